--- a/crates/bench/src/dispatching.rs
+++ b/crates/bench/src/dispatching.rs
@@ -2,7 +2,7 @@
 //! what its decisions take.
 
 use goldcrestway_dispatch::Action;
-use goldcrestway_dispatch::AppendEnd;
+use goldcrestway_dispatch::AppendOutcome;
 use goldcrestway_dispatch::Bounds;
 use goldcrestway_dispatch::Config;
 use goldcrestway_dispatch::Decoders;
@@ -10,13 +10,12 @@
 use goldcrestway_dispatch::Event;
 use goldcrestway_dispatch::Incarnation;
 use goldcrestway_dispatch::JobId;
-use goldcrestway_dispatch::Listed;
-use goldcrestway_dispatch::ListedRun;
 use goldcrestway_dispatch::Now;
-use goldcrestway_dispatch::OrderEnd;
+use goldcrestway_dispatch::OrderOutcome;
 use goldcrestway_dispatch::Page;
-use goldcrestway_dispatch::ReadEnd;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::ReadOutcome;
+use goldcrestway_dispatch::Resources;
+use goldcrestway_dispatch::RunReport;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::StoredRecord;
 use goldcrestway_dispatch::Stream;
@@ -24,10 +23,11 @@
 use goldcrestway_dispatch::TaskId;
 use goldcrestway_dispatch::WorkerCall;
 use goldcrestway_dispatch::WorkerEntry;
+use goldcrestway_dispatch::WorkerReport;
 use std::collections::BTreeMap;
 
 /// What each worker has: as on the larger of the sites in use.
-const WORKER_ROOM: Room = Room {
+const WORKER_RESOURCES: Resources = Resources {
     cpu_milli: 32_000,
     memory_mb: 125_000,
     accelerators: 1,
@@ -44,7 +44,7 @@
     now_ms: u64,
     jobs: u64,
     running: BTreeMap<Box<str>, Vec<(TaskId, u32)>>,
-    looks: Vec<(u64, Box<str>)>,
+    polls: Vec<(u64, Box<str>)>,
     offset: u64,
     starts: u64,
     workers: usize,
@@ -66,7 +66,7 @@
         failure_domain: "hall".into(),
         is_leaving: false,
         cold_ms: 0,
-        room: WORKER_ROOM,
+        resources: WORKER_RESOURCES,
         rack: "rack".into(),
         labels: Box::default(),
     })
@@ -85,7 +85,7 @@
             now_ms: 0,
             jobs: 0,
             running: BTreeMap::new(),
-            looks: Vec::new(),
+            polls: Vec::new(),
             offset: 0,
             starts: 0,
             workers,
@@ -124,13 +124,13 @@
             cpu_milli,
             memory_mb: 100,
             estimated_ms: 1_000_000,
-            is_lasting: true,
+            is_long_running: true,
             ..Step::default()
         };
         let submission = Submission {
             queue: "queue".into(),
             service: "service".into(),
-            attempts_most: 3,
+            max_attempts: 3,
             steps: vec![step],
             accepted_wall_ms: WALL_MS + self.now_ms,
             ..Submission::default()
@@ -139,7 +139,7 @@
             request: self.jobs,
             job: JobId(self.jobs),
             submission,
-            patience_ms: 3_000,
+            answer_timeout_ms: 3_000,
         };
         self.handle(event);
     }
@@ -151,10 +151,10 @@
     }
 
     fn answer_looks(&mut self) {
-        for (ticket, worker) in std::mem::take(&mut self.looks) {
+        for (ticket, worker) in std::mem::take(&mut self.polls) {
             let mut runs = Vec::new();
             for (task, run) in self.running.get(&worker).into_iter().flatten() {
-                runs.push(ListedRun {
+                runs.push(RunReport {
                     task: *task,
                     run: *run,
                     checkpoint: "".into(),
@@ -162,16 +162,16 @@
                     gauge: 1,
                 });
             }
-            let listed = Listed {
+            let report = WorkerReport {
                 incarnation: Incarnation::UNKNOWN,
                 runs,
-                ends: Vec::new(),
+                exits: Vec::new(),
             };
-            let end = OrderEnd::Done {
+            let outcome = OrderOutcome::Done {
                 clock_ms: self.now_ms,
-                listed: Some(listed),
+                report: Some(report),
             };
-            self.handle(Event::Ordered { ticket, end });
+            self.handle(Event::Ordered { ticket, outcome });
         }
     }
 
@@ -195,21 +195,21 @@
             } => {
                 let offset = self.offset;
                 self.offset += records.len() as u64;
-                let end = AppendEnd::Stored { offset };
-                Some(Event::Appended { ticket, end })
+                let outcome = AppendOutcome::Stored { offset };
+                Some(Event::Appended { ticket, outcome })
             }
             Action::Read {
                 ticket, wait_ms: 0, ..
             } => {
-                let end = ReadEnd::Records {
+                let outcome = ReadOutcome::Records {
                     records: Vec::new(),
                     end: 0,
                 };
-                Some(Event::Read { ticket, end })
+                Some(Event::Read { ticket, outcome })
             }
             Action::Load { ticket, stream, .. } => Some(Event::Loaded {
                 ticket,
-                end: Ok(self.page(stream)),
+                outcome: Ok(self.page(stream)),
             }),
             Action::Order {
                 ticket,
@@ -223,8 +223,8 @@
 
     fn obey(&mut self, ticket: u64, worker: Box<str>, call: WorkerCall) -> Option<Event> {
         match call {
-            WorkerCall::Look { .. } => {
-                self.looks.push((ticket, worker));
+            WorkerCall::Poll { .. } => {
+                self.polls.push((ticket, worker));
                 return None;
             }
             WorkerCall::Start { task, run, .. } => {
@@ -233,11 +233,11 @@
             }
             _ => {}
         }
-        let end = OrderEnd::Done {
+        let outcome = OrderOutcome::Done {
             clock_ms: self.now_ms,
-            listed: None,
+            report: None,
         };
-        Some(Event::Ordered { ticket, end })
+        Some(Event::Ordered { ticket, outcome })
     }
 
     fn page(&self, stream: Stream) -> Page {
--- a/crates/dispatch/src/lane.rs
+++ b/crates/dispatch/src/appender.rs
@@ -1,13 +1,13 @@
 //! Appends to one stream under an epoch, one after the other.
 
 use crate::event::Action;
-use crate::event::AppendEnd;
+use crate::event::AppendOutcome;
 use crate::event::Fence;
 use crate::event::Stream;
 use crate::owner::records_bytes;
 
 /// Signs of life while nothing else is to be said. Followers claim after three missing ones.
-pub(crate) const BEAT_MS: u64 = 250;
+pub(crate) const HEARTBEAT_MS: u64 = 250;
 /// Time after which an append without an answer is repeated. The store answers in 4 ms,
 /// and in 240 ms when it is sixty times slower.
 const APPEND_TIMEOUT_MS: u64 = 700;
@@ -20,7 +20,7 @@
 /// Appends to one stream: one at a time, so that their order is that of the log. A repeat
 /// has the sequence number of the first try, which makes it harmless.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct Appender {
     stream: Stream,
     sequence: u64,
     /// Records that are not stored yet.
@@ -33,7 +33,7 @@
     pub(crate) last_bytes: u64,
 }
 
-impl Lane {
+impl Appender {
     pub(crate) fn new(stream: Stream, sequence: u64, now_ms: u64) -> Self {
         Self {
             stream,
@@ -90,9 +90,14 @@
 
     /// Takes in the end of an append. Gives `None` if it is none of this lane, else whether
     /// its records are stored.
-    pub(crate) fn take(&mut self, ticket: u64, end: AppendEnd, now_ms: u64) -> Option<bool> {
+    pub(crate) fn take(
+        &mut self,
+        ticket: u64,
+        outcome: AppendOutcome,
+        now_ms: u64,
+    ) -> Option<bool> {
         self.ticket.take_if(|own| *own == ticket)?;
-        let is_stored = matches!(end, AppendEnd::Stored { .. });
+        let is_stored = matches!(outcome, AppendOutcome::Stored { .. });
         if is_stored {
             self.sequence += 1;
             self.records = None;
--- a/crates/dispatch/src/bounds.rs
+++ b/crates/dispatch/src/bounds.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bounds {
     /// Longest lease of a task that a worker grants.
-    pub lease_most_ms: u64,
+    pub max_lease_ms: u64,
     /// Time for which the state of a finished job must be told.
     pub status_ms: u64,
     /// How early a scheduled occurrence may start.
@@ -26,9 +26,9 @@
     /// Where other hosts reach this one, to have their orders relayed; empty if nowhere.
     pub relay_address: Box<str>,
     /// Largest record that the store takes.
-    pub record_most_bytes: u64,
+    pub max_record_bytes: u64,
     /// Parts of the stream of jobs. All hosts must use the same number.
-    pub job_parts: u8,
+    pub job_partitions: u8,
     /// Which mechanisms are in use.
     pub policy: Policy,
 }
@@ -37,7 +37,7 @@
     /// The values of the first deployments.
     fn default() -> Self {
         Self {
-            lease_most_ms: 6_000,
+            max_lease_ms: 6_000,
             status_ms: 120_000,
             early_ms: 250,
             harm_ms: 4_000,
@@ -47,8 +47,8 @@
             link_bytes_per_s: 125_000_000,
             descriptors: 4_096,
             relay_address: "".into(),
-            record_most_bytes: 262_144,
-            job_parts: 4,
+            max_record_bytes: 262_144,
+            job_partitions: 4,
             policy: Policy::default(),
         }
     }
--- a/crates/dispatch/src/config.rs
+++ b/crates/dispatch/src/config.rs
@@ -4,7 +4,7 @@
 
 /// Resources: what a task asks for, or what a worker has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Room {
+pub struct Resources {
     /// Processor time in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory.
@@ -13,17 +13,17 @@
     pub accelerators: u64,
 }
 
-impl Room {
-    /// Tells whether `wanted` fits in.
-    pub fn holds(self, wanted: Room) -> bool {
-        self.cpu_milli >= wanted.cpu_milli
-            && self.memory_mb >= wanted.memory_mb
-            && self.accelerators >= wanted.accelerators
+impl Resources {
+    /// Tells whether `requested` fits in.
+    pub fn can_fit(self, requested: Resources) -> bool {
+        self.cpu_milli >= requested.cpu_milli
+            && self.memory_mb >= requested.memory_mb
+            && self.accelerators >= requested.accelerators
     }
 
     /// Adds up.
-    pub fn plus(self, other: Room) -> Room {
-        Room {
+    pub fn plus(self, other: Resources) -> Resources {
+        Resources {
             cpu_milli: self.cpu_milli + other.cpu_milli,
             memory_mb: self.memory_mb + other.memory_mb,
             accelerators: self.accelerators + other.accelerators,
@@ -31,8 +31,8 @@
     }
 
     /// Takes away, down to nothing.
-    pub fn minus(self, other: Room) -> Room {
-        Room {
+    pub fn minus(self, other: Resources) -> Resources {
+        Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
             memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -54,7 +54,7 @@
     /// 0 comes first.
     pub priority: u32,
     /// Runs of a task that may fail.
-    pub attempts_most: u32,
+    pub max_attempts: u32,
     /// How many times its longest chain of work a job may take, in thousandths.
     pub stretch_permille: u64,
     /// Time on top of that.
@@ -82,13 +82,13 @@
     /// All queues.
     pub queues: Box<[Queue]>,
     /// Longest head of a caller's request.
-    pub head_most_bytes: usize,
+    pub max_head_bytes: usize,
     /// Longest body of a caller's request.
-    pub body_most_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a caller's request to come in.
-    pub request_most_ms: u64,
+    pub max_request_ms: u64,
     /// Longest silence of a caller between requests.
-    pub idle_most_ms: u64,
+    pub max_idle_ms: u64,
 }
 
 impl Config {
@@ -130,7 +130,7 @@
     /// Time after its start for which it stays slow.
     pub cold_ms: u64,
     /// What it has.
-    pub room: Room,
+    pub resources: Resources,
     /// Its rack.
     pub rack: Box<str>,
     /// Its labels, its rack among them.
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -96,7 +96,7 @@
     is_watcher: bool,
     salt: u64,
     /// When the newest sign of life was read, and the sign.
-    sign_ms: Option<u64>,
+    heartbeat_ms: Option<u64>,
     /// When it was first known that the owner leaves.
     leaving_ms: Option<u64>,
     /// Epochs that this host has used.
@@ -115,7 +115,7 @@
             is_weaker: false,
             is_watcher: true,
             salt,
-            sign_ms: None,
+            heartbeat_ms: None,
             leaving_ms: None,
             claims: 0,
             floor: 0,
@@ -124,12 +124,12 @@
     }
 
     /// Notes what reads of the stream take of late.
-    pub(crate) fn note_latency(&mut self, latency_ms: u64) {
+    pub(crate) fn record_latency(&mut self, latency_ms: u64) {
         self.latency_ms = latency_ms;
     }
 
     /// Notes which hosts there are.
-    pub(crate) fn note_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
+    pub(crate) fn update_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
         let strongest_permille = Survey::of(hosts).strongest_permille;
         let is_weaker = |cpu_permille| is_weaker(cpu_permille, strongest_permille);
         self.is_weaker = is_weaker(self.cpu_permille);
@@ -144,7 +144,7 @@
 
     /// Notes what the owner tells of all hosts. About as many watch out as among hosts that know
     /// one another.
-    pub(crate) fn note_survey(&mut self, survey: Survey) {
+    pub(crate) fn apply_survey(&mut self, survey: Survey) {
         self.is_weaker = is_weaker(self.cpu_permille, survey.strongest_permille);
         let is_early = self.spread_permille * survey.strong_hosts < WATCHERS as u64 * 1_000;
         self.is_watcher = is_early && !self.is_weaker;
@@ -156,8 +156,8 @@
     }
 
     /// Notes that a read found something that the owner wrote.
-    pub(crate) fn note_sign(&mut self, now_ms: u64, owner: &OwnerRecord) {
-        self.sign_ms = Some(now_ms);
+    pub(crate) fn record_heartbeat(&mut self, now_ms: u64, owner: &OwnerRecord) {
+        self.heartbeat_ms = Some(now_ms);
         if !owner.is_leaving {
             self.leaving_ms = None;
         } else if self.leaving_ms.is_none() {
@@ -166,38 +166,39 @@
     }
 
     /// Tells whether a sign of life was read at `since_ms` or later.
-    pub(crate) fn has_sign_since(&self, since_ms: u64) -> bool {
-        self.sign_ms.is_some_and(|sign_ms| sign_ms >= since_ms)
+    pub(crate) fn has_heartbeat_since(&self, since_ms: u64) -> bool {
+        self.heartbeat_ms
+            .is_some_and(|heartbeat_ms| heartbeat_ms >= since_ms)
     }
 
     /// Notes that the stream was read to its end for the first time.
-    pub(crate) fn note_loaded(&mut self, now_ms: u64) {
-        self.sign_ms.get_or_insert(now_ms);
+    pub(crate) fn record_loaded(&mut self, now_ms: u64) {
+        self.heartbeat_ms.get_or_insert(now_ms);
     }
 
     /// Counts anew from here: nobody could have been heard so far, or another host was
     /// faster.
     pub(crate) fn restart(&mut self, now_ms: u64) {
-        self.sign_ms = self.sign_ms.map(|_| now_ms);
+        self.heartbeat_ms = self.heartbeat_ms.map(|_| now_ms);
         self.leaving_ms = self.leaving_ms.map(|_| now_ms);
     }
 
     /// Gives the time at which this host may claim, unless it reads of an owner then.
     pub(crate) fn turn_ms(&self, owner: &OwnerRecord) -> Option<u64> {
-        let sign_ms = self.sign_ms?;
+        let heartbeat_ms = self.heartbeat_ms?;
         let slow_ms = self.latency_ms * LATENCY_FACTOR;
         let leaving_wait_ms = self.spread_permille * (LEAVING_SPREAD_MS + slow_ms) / 1_000;
         if owner.token == 0 {
             let weaker_ms = if self.is_weaker { FIRST_WEAKER_MS } else { 0 };
             let spread_ms = self.spread_permille * FIRST_SPREAD_MS / 1_000;
-            return Some(sign_ms + FIRST_WAIT_MS + weaker_ms + spread_ms);
+            return Some(heartbeat_ms + FIRST_WAIT_MS + weaker_ms + spread_ms);
         }
         let weaker_ms = if self.is_weaker { WEAKER_MS } else { 0 };
         if let Some(leaving_ms) = self.leaving_ms {
             return Some(leaving_ms + weaker_ms + leaving_wait_ms);
         }
         let spread_ms = self.spread_permille * (SPREAD_MS + slow_ms) / 1_000;
-        Some(sign_ms + weaker_ms + SILENCE_MS + slow_ms + spread_ms)
+        Some(heartbeat_ms + weaker_ms + SILENCE_MS + slow_ms + spread_ms)
     }
 
     /// Tells whether to claim: a read that was sent when this host's turn had come, at
@@ -217,11 +218,11 @@
 
     /// Gives the pause between reads of the stream.
     pub(crate) fn poll_ms(&self, now_ms: u64, owner: &OwnerRecord) -> u64 {
-        match self.sign_ms {
+        match self.heartbeat_ms {
             // There never was an owner, so none is missed.
             Some(_) if owner.token == 0 => POLL_MS,
             Some(_) if !self.is_watcher => IDLE_POLL_MS,
-            Some(sign_ms) if now_ms < sign_ms + 2 * POLL_MS => POLL_MS,
+            Some(heartbeat_ms) if now_ms < heartbeat_ms + 2 * POLL_MS => POLL_MS,
             _ => SUSPECT_POLL_MS,
         }
     }
--- a/crates/dispatch/src/entry/ages.rs
+++ b/crates/dispatch/src/entry/ages.rs
@@ -30,7 +30,7 @@
         format!(
             "version={} rules_age_ms={}",
             self.rules_version,
-            show_age(self.rules_ms)
+            format_age(self.rules_ms)
         )
     }
 }
@@ -71,13 +71,13 @@
             format!("{stream:?}"),
             format!(
                 "why={fault:?} sent_age_ms={sent_age_ms} waits={waits} failures={failures} age_ms={}",
-                show_age(age_ms)
+                format_age(age_ms)
             ),
         )));
     }
 }
 
 /// Writes an age for a log line.
-pub(super) fn show_age(age_ms: Option<u64>) -> String {
+pub(super) fn format_age(age_ms: Option<u64>) -> String {
     age_ms.map_or("unknown".into(), |age_ms| age_ms.to_string())
 }
--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -7,13 +7,13 @@
 use crate::entry::questions::Asker;
 use crate::entry::questions::Question;
 use crate::event::Action;
-use crate::event::AppendEnd;
+use crate::event::AppendOutcome;
 use crate::event::Now;
 use crate::event::Reply;
 use crate::event::StoredRecord;
 use crate::event::Stream;
 use crate::ids::JobId;
-use crate::policy::size::tasks_most;
+use crate::policy::size::max_tasks;
 use crate::record::Key;
 use crate::record::Submission;
 use goldcrestway_core::Code;
@@ -38,15 +38,15 @@
 const RETRY_MS: u64 = 120;
 /// Time for which a part that refused an append, or gave no answer, is left alone: parts
 /// are away for seconds.
-const SHUN_MS: u64 = 1_000;
+const AVOID_MS: u64 = 1_000;
 /// Appends of this host under way at once. Jobs that come meanwhile share the next one.
-const FLIGHTS_MOST: usize = 4;
+const MAX_FLIGHTS: usize = 4;
 /// Records in one append.
-const BATCH_MOST: usize = 64;
+const MAX_BATCH: usize = 64;
 /// Time that the way back to the caller may take.
 const WAY_MS: u64 = 150;
 /// Time that a caller of unknown patience is made to wait at most.
-const PATIENCE_MOST_MS: u64 = 2_500;
+const MAX_ANSWER_TIMEOUT_MS: u64 = 2_500;
 /// After that long a store in trouble may be better.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 
@@ -79,9 +79,9 @@
     /// Appends under way, by ticket.
     flights: HashMap<u64, Flight>,
     /// Until when each part of the stream of jobs is left alone, after a failure.
-    shunned_until_ms: Vec<u64>,
+    avoided_until_ms: Vec<u64>,
     /// The part that the next append goes to.
-    next_part: usize,
+    next_partition: usize,
     /// What appends take of late.
     append_ms: u64,
 }
@@ -90,19 +90,19 @@
 #[derive(Debug)]
 struct Flight {
     sent_ms: u64,
-    part: usize,
+    partition: usize,
 }
 
 impl Callers {
     /// Hosts begin with different parts, so that these share the load.
-    pub(crate) fn new(host: &str, parts: u8) -> Self {
-        let parts = usize::from(parts.max(1));
+    pub(crate) fn new(host: &str, partitions: u8) -> Self {
+        let partitions = usize::from(partitions.max(1));
         Self {
             writes: Vec::new(),
             questions: Vec::new(),
             flights: HashMap::new(),
-            shunned_until_ms: vec![0; parts],
-            next_part: xxh3_64(host.as_bytes()) as usize % parts,
+            avoided_until_ms: vec![0; partitions],
+            next_partition: xxh3_64(host.as_bytes()) as usize % partitions,
             append_ms: 0,
         }
     }
@@ -113,18 +113,18 @@
     }
 
     /// Chooses the part for an append: in turn, past those that have just failed.
-    pub(crate) fn choose_part(&mut self, now_ms: u64) -> u8 {
-        let parts = self.shunned_until_ms.len();
-        let mut part = self.next_part;
-        for ahead in 0..parts {
-            let candidate = (self.next_part + ahead) % parts;
-            if now_ms >= self.shunned_until_ms[candidate] {
-                part = candidate;
+    pub(crate) fn choose_partition(&mut self, now_ms: u64) -> u8 {
+        let partitions = self.avoided_until_ms.len();
+        let mut partition = self.next_partition;
+        for ahead in 0..partitions {
+            let candidate = (self.next_partition + ahead) % partitions;
+            if now_ms >= self.avoided_until_ms[candidate] {
+                partition = candidate;
                 break;
             }
         }
-        self.next_part = (part + 1) % parts;
-        part as u8
+        self.next_partition = (partition + 1) % partitions;
+        partition as u8
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -132,13 +132,13 @@
     }
 
     /// Notes the end of an append.
-    fn note_append(&mut self, ticket: u64, end: AppendEnd, now_ms: u64) {
+    fn record_append(&mut self, ticket: u64, outcome: AppendOutcome, now_ms: u64) {
         let Some(flight) = self.flights.remove(&ticket) else {
             return;
         };
         self.append_ms = (self.append_ms + now_ms - flight.sent_ms) / 2;
-        if matches!(end, AppendEnd::Refused | AppendEnd::Unknown) {
-            self.shunned_until_ms[flight.part] = now_ms + SHUN_MS;
+        if matches!(outcome, AppendOutcome::Refused | AppendOutcome::Unknown) {
+            self.avoided_until_ms[flight.partition] = now_ms + AVOID_MS;
         }
     }
 
@@ -148,16 +148,16 @@
         flights.any(|flight| now_ms >= flight.sent_ms + LATE_MS)
     }
 
-    fn flights_most(&self) -> usize {
+    fn max_flights(&self) -> usize {
         if self.append_ms > SLOW_MS {
             1
         } else {
-            FLIGHTS_MOST
+            MAX_FLIGHTS
         }
     }
 
     fn timeout_ms(&self) -> u64 {
-        (self.append_ms * SLOW_FACTOR).clamp(APPEND_TIMEOUT_MS, PATIENCE_MOST_MS)
+        (self.append_ms * SLOW_FACTOR).clamp(APPEND_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
     }
 }
 
@@ -168,12 +168,12 @@
         request: u64,
         job: JobId,
         submission: Submission,
-        patience_ms: u64,
+        answer_timeout_ms: u64,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
         let is_known = self
-            .ledger
+            .job_table
             .jobs
             .get(&job)
             .is_some_and(|record| record.submission.is_some());
@@ -184,13 +184,13 @@
             });
             return;
         }
-        let record_most_bytes = self.bounds.record_most_bytes;
-        let tasks_most = tasks_most(record_most_bytes);
+        let max_record_bytes = self.bounds.max_record_bytes;
+        let max_tasks = max_tasks(max_record_bytes);
         let value: Box<[u8]> = submission.encode_to_vec().into();
-        if submission.tasks() > tasks_most || value.len() as u64 + KEY_BYTES > record_most_bytes {
+        if submission.tasks() > max_tasks || value.len() as u64 + KEY_BYTES > max_record_bytes {
             actions.push(Action::Answer {
                 request,
-                reply: Reply::TooLarge { tasks_most },
+                reply: Reply::TooLarge { max_tasks },
             });
             return;
         }
@@ -199,7 +199,7 @@
             job,
             Key::Submitted(job),
             value,
-            patience_ms,
+            answer_timeout_ms,
             now,
             actions,
         );
@@ -210,11 +210,11 @@
         &mut self,
         request: u64,
         job: JobId,
-        patience_ms: u64,
+        answer_timeout_ms: u64,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        match self.ledger.jobs.get(&job) {
+        match self.job_table.jobs.get(&job) {
             Some(record) if record.is_cancelled || record.phase().is_final() => {
                 actions.push(Action::Answer {
                     request,
@@ -222,9 +222,13 @@
                 });
             }
             Some(record) if record.submission.is_some() => {
-                self.write_cancel(request, job, patience_ms, now, actions);
+                self.write_cancel(request, job, answer_timeout_ms, now, actions);
             }
-            _ => self.ask(Asker::Caller(request), About::Cancel(job, patience_ms), now),
+            _ => self.ask(
+                Asker::Caller(request),
+                About::Cancel(job, answer_timeout_ms),
+                now,
+            ),
         }
     }
 
@@ -232,7 +236,7 @@
         &mut self,
         request: u64,
         job: JobId,
-        patience_ms: u64,
+        answer_timeout_ms: u64,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
@@ -242,7 +246,7 @@
             job,
             Key::Cancelled(job),
             value,
-            patience_ms,
+            answer_timeout_ms,
             now,
             actions,
         );
@@ -258,7 +262,7 @@
         job: JobId,
         key: Key,
         value: Box<[u8]>,
-        patience_ms: u64,
+        answer_timeout_ms: u64,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
@@ -277,13 +281,15 @@
             });
             return;
         }
-        let patience_ms = patience_ms.min(PATIENCE_MOST_MS).saturating_sub(WAY_MS);
+        let answer_timeout_ms = answer_timeout_ms
+            .min(MAX_ANSWER_TIMEOUT_MS)
+            .saturating_sub(WAY_MS);
         self.callers.writes.push(Write {
             request,
             job,
             key,
             value,
-            give_up_ms: now.steady_ms + patience_ms,
+            give_up_ms: now.steady_ms + answer_timeout_ms,
             taken_ms: now.steady_ms,
             retry_ms: 0,
             ticket: None,
@@ -298,32 +304,41 @@
     pub(crate) fn appended(
         &mut self,
         ticket: u64,
-        end: AppendEnd,
+        outcome: AppendOutcome,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        match end {
-            AppendEnd::Fenced | AppendEnd::Stored { .. } => {
-                self.contact.note_answer(self.quiet_ms(), now.steady_ms);
+        match outcome {
+            AppendOutcome::Fenced | AppendOutcome::Stored { .. } => {
+                self.contact.record_answer(self.quiet_ms(), now.steady_ms);
             }
-            AppendEnd::Refused | AppendEnd::Unknown => self.contact.note_doubt(now.steady_ms),
+            AppendOutcome::Refused | AppendOutcome::Unknown => self.contact.suspect(now.steady_ms),
         }
-        if self.take_announced(ticket, end, now) || self.take_claim(ticket, end, now, actions) {
+        if self.take_announced(ticket, outcome, now)
+            || self.handle_claim(ticket, outcome, now, actions)
+        {
             return;
         }
         if let Some(owner) = &mut self.owner
-            && let Some(states) = owner.take_append(ticket, end, now, &mut self.tickets, actions)
+            && let Some(states) =
+                owner.handle_append(ticket, outcome, now, &mut self.tickets, actions)
         {
             for (job, state) in states {
-                self.ledger.set_state(job, state);
+                self.job_table.set_state(job, state);
             }
             return;
         }
-        self.end_write(ticket, end, now, actions);
+        self.end_write(ticket, outcome, now, actions);
     }
 
-    fn end_write(&mut self, ticket: u64, end: AppendEnd, now: Now, actions: &mut Vec<Action>) {
-        self.callers.note_append(ticket, end, now.steady_ms);
+    fn end_write(
+        &mut self,
+        ticket: u64,
+        outcome: AppendOutcome,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
+        self.callers.record_append(ticket, outcome, now.steady_ms);
         let mut at = 0;
         let mut stored = 0;
         while at < self.callers.writes.len() {
@@ -333,17 +348,17 @@
                 continue;
             }
             write.ticket = None;
-            match end {
-                AppendEnd::Stored { offset } => {
+            match outcome {
+                AppendOutcome::Stored { offset } => {
                     let write = self.callers.writes.remove(at);
                     self.finish_write(write, offset + stored, now, actions);
                     stored += 1;
                 }
-                AppendEnd::Unknown => {
+                AppendOutcome::Unknown => {
                     write.is_doubtful = true;
                     at += 1;
                 }
-                AppendEnd::Refused | AppendEnd::Fenced => {
+                AppendOutcome::Refused | AppendOutcome::Fenced => {
                     write.refusals += 1;
                     write.retry_ms = now.steady_ms + RETRY_MS;
                     at += 1;
@@ -358,8 +373,8 @@
             key: write.key.text(),
             value: write.value,
         };
-        let change = self.ledger.apply(&record);
-        self.take_change(change, now, actions);
+        let change = self.job_table.apply(&record);
+        self.apply_change(change, now, actions);
         actions.push(Action::Note(Note::new(
             Code::JobStored,
             write.job.to_string(),
@@ -391,14 +406,14 @@
     fn send_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let mut flights = self.callers.flights.len();
         let timeout_ms = self.callers.timeout_ms();
-        while flights < self.callers.flights_most() {
+        while flights < self.callers.max_flights() {
             let mut records = Vec::new();
             let ticket = self.tickets + 1;
             for write in &mut self.callers.writes {
                 if write.ticket.is_some() || now.steady_ms < write.retry_ms {
                     continue;
                 }
-                if records.len() < BATCH_MOST {
+                if records.len() < MAX_BATCH {
                     write.ticket = Some(ticket);
                     records.push((write.key.text(), write.value.clone()));
                 }
@@ -407,16 +422,16 @@
                 return;
             }
             self.tickets = ticket;
-            let part = self.callers.choose_part(now.steady_ms);
+            let partition = self.callers.choose_partition(now.steady_ms);
             let flight = Flight {
                 sent_ms: now.steady_ms,
-                part: usize::from(part),
+                partition: usize::from(partition),
             };
             self.callers.flights.insert(ticket, flight);
             flights += 1;
             actions.push(Action::Append {
                 ticket,
-                stream: Stream::Jobs(part),
+                stream: Stream::Jobs(partition),
                 fence: None,
                 records,
                 timeout_ms,
--- a/crates/dispatch/src/entry/callers/read_back.rs
+++ b/crates/dispatch/src/entry/callers/read_back.rs
@@ -7,7 +7,7 @@
 use crate::event::Action;
 use crate::event::Now;
 use crate::event::Reply;
-use crate::ledger::JobState;
+use crate::job_table::JobState;
 use crate::record::Key;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -18,7 +18,7 @@
 impl Entry {
     /// Answers those whose append had no answer and is read back.
     pub(super) fn settle_read_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let jobs = &self.ledger.jobs;
+        let jobs = &self.job_table.jobs;
         let mut settled = Vec::new();
         self.callers.writes.retain(|write| {
             let record = jobs.get(&write.job);
@@ -66,7 +66,7 @@
     }
 
     /// Takes in what the owner says of the job of a write.
-    pub(in crate::entry) fn note_read_back(&mut self, request: u64, reply: &Reply) {
+    pub(in crate::entry) fn record_read_back(&mut self, request: u64, reply: &Reply) {
         let Reply::State(state) = reply else {
             return;
         };
--- a/crates/dispatch/src/entry/contact.rs
+++ b/crates/dispatch/src/entry/contact.rs
@@ -32,12 +32,12 @@
     }
 
     /// Notes a call that is late or has failed.
-    pub(super) fn note_doubt(&mut self, now_ms: u64) {
+    pub(super) fn suspect(&mut self, now_ms: u64) {
         self.doubt_ms.get_or_insert(now_ms);
     }
 
     /// Notes an answer of a store that may be asked for nothing for so long.
-    pub(super) fn note_answer(&mut self, quiet_ms: u64, now_ms: u64) {
+    pub(super) fn record_answer(&mut self, quiet_ms: u64, now_ms: u64) {
         if now_ms > self.answered_ms + SILENCE_MS + quiet_ms {
             self.since_ms = now_ms;
         }
@@ -49,16 +49,16 @@
 impl Entry {
     /// Notes the newest answer to a read, and has all streams know since when the store
     /// answers.
-    pub(super) fn note_contact(&mut self) {
+    pub(super) fn record_contact(&mut self) {
         let tails = [&self.rules, &self.states, &self.workers];
         let answered = tails.iter().filter_map(|tail| tail.answered_ms).max();
         if let Some(answered_ms) = answered.max(self.jobs.answered_ms()) {
-            self.contact.note_answer(self.quiet_ms(), answered_ms);
+            self.contact.record_answer(self.quiet_ms(), answered_ms);
         }
         let since_ms = self.contact.since_ms;
         for tail in [&mut self.rules, &mut self.states, &mut self.workers] {
-            tail.note_contact(since_ms);
+            tail.record_contact(since_ms);
         }
-        self.jobs.note_contact(since_ms);
+        self.jobs.record_contact(since_ms);
     }
 }
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -19,14 +19,14 @@
 const JOBS_POLL_MS: u64 = 6_000;
 /// Time for which a host that sees the first owner waits for its connection before it reads which
 /// other hosts there are.
-const MEET_MS: u64 = 1_000;
+const HOSTS_READ_MS: u64 = 1_000;
 /// The same while appends of this host had no answer: what is read back is told as stored.
 const DOUBTFUL_POLL_MS: u64 = 600;
 /// Time without an answer of the store after which a host turns unready, and refuses at
 /// once what it could not store.
 const STORE_AWAY_MS: u64 = 1_800;
 /// The same after a call was late or failed, on a host that otherwise asks the store for nothing.
-const DOUBT_MOST_MS: u64 = 600;
+const MAX_DOUBT_MS: u64 = 600;
 /// Time for which a job is told about after it was final, over what is asked for.
 const STATUS_SLACK_MS: u64 = 60_000;
 /// Pause between two looks for jobs that need not be told about any more.
@@ -52,7 +52,7 @@
         let acts = self.owner.is_some() || self.claim.is_some();
         if acts {
             // A list on record is enough to begin with; the platform's own is as long again.
-            let has_list = !self.progress.is_loaded() || !self.inheritance.workers.is_empty();
+            let has_list = !self.progress.is_loaded() || !self.recovered.workers.is_empty();
             if self.owner.is_some() || !has_list {
                 self.workers.load(now_ms, tickets, actions);
             }
@@ -75,7 +75,7 @@
         if self.reading.scope == Scope::All {
             self.follow_jobs(now_ms, actions);
         }
-        let pause_ms = self.election.poll_ms(now_ms, &self.ledger.owner);
+        let pause_ms = self.election.poll_ms(now_ms, &self.job_table.owner);
         if now_ms >= self.states_read_ms + pause_ms {
             self.states_read_ms = now_ms;
             self.states
@@ -85,19 +85,19 @@
 
     /// Has jobs read once the first owner has shown itself: which hosts there are, and with that
     /// whether this one is among the next, stands among them. An owner that connects tells enough.
-    fn meet_hosts(&mut self, now_ms: u64) {
-        if self.ledger.owner.token == 0 {
+    fn read_hosts(&mut self, now_ms: u64) {
+        if self.job_table.owner.token == 0 {
             return;
         }
-        let meet_ms = *self.meet_ms.get_or_insert(now_ms + MEET_MS);
-        if now_ms >= meet_ms && self.reading.owner_link.is_none() {
+        let hosts_read_ms = *self.hosts_read_ms.get_or_insert(now_ms + HOSTS_READ_MS);
+        if now_ms >= hosts_read_ms && self.reading.owner_link.is_none() {
             self.jobs_read_ms = None;
-            self.meet_ms = Some(u64::MAX);
+            self.hosts_read_ms = Some(u64::MAX);
         }
     }
 
     fn follow_jobs(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        self.meet_hosts(now_ms);
+        self.read_hosts(now_ms);
         let pause_ms = match self.callers.has_doubtful() {
             true => DOUBTFUL_POLL_MS,
             false => JOBS_POLL_MS,
@@ -127,7 +127,7 @@
     /// is about to tell.
     fn probe_in_doubt(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         if self.callers.has_late_append(now_ms) {
-            self.contact.note_doubt(now_ms);
+            self.contact.suspect(now_ms);
         }
         if self.contact.is_in_doubt() {
             self.rules.probe(now_ms, &mut self.tickets, actions);
@@ -141,7 +141,7 @@
         let is_silent = now.steady_ms > self.contact.answered_ms + limit_ms;
         let is_doubted = self
             .contact
-            .has_been_in_doubt_for(DOUBT_MOST_MS, now.steady_ms);
+            .has_been_in_doubt_for(MAX_DOUBT_MS, now.steady_ms);
         let has_cause = self.reading.is_quiet() && is_doubted;
         // Rules may have changed meanwhile: a host that took callers by those from before
         // would accept for queues that are gone, and deny those that have come.
@@ -175,7 +175,7 @@
         self.purge_ms = now.steady_ms + PURGE_MS;
         let kept_ms = self.bounds.status_ms + STATUS_SLACK_MS;
         let mut over = Vec::new();
-        for (id, job) in &self.ledger.jobs {
+        for (id, job) in &self.job_table.jobs {
             if job
                 .final_wall_ms()
                 .is_some_and(|final_wall_ms| now.wall_ms >= final_wall_ms + kept_ms)
@@ -184,11 +184,11 @@
             }
         }
         for id in &over {
-            self.ledger.jobs.remove(id);
+            self.job_table.jobs.remove(id);
         }
         // What a host has not read to its end is of no use to it for long.
         if self.reading.asks_owner() {
-            self.ledger.jobs.clear();
+            self.job_table.jobs.clear();
         }
         let Some(owner) = self.owner.as_mut().filter(|_| !over.is_empty()) else {
             return;
@@ -200,11 +200,11 @@
             records.push((Key::Cancelled(id).text(), Box::default()));
         }
         // Should an append be lost, the next owner finds the keys and drops them.
-        for part in 0..self.jobs.parts() {
+        for partition in 0..self.jobs.partitions() {
             self.tickets += 1;
             actions.push(Action::Append {
                 ticket: self.tickets,
-                stream: Stream::Jobs(part),
+                stream: Stream::Jobs(partition),
                 fence: None,
                 records: records.clone(),
                 timeout_ms: PURGE_MS,
--- a/crates/dispatch/src/entry/job_tails.rs
+++ b/crates/dispatch/src/entry/job_tails.rs
@@ -15,10 +15,10 @@
 }
 
 impl JobTails {
-    pub(crate) fn new(parts: u8, salt: u64) -> Self {
+    pub(crate) fn new(partitions: u8, salt: u64) -> Self {
         let mut tails = Vec::new();
-        for part in 0..parts.max(1) {
-            tails.push(Tail::new(Stream::Jobs(part), salt));
+        for partition in 0..partitions.max(1) {
+            tails.push(Tail::new(Stream::Jobs(partition), salt));
         }
         Self { tails }
     }
@@ -28,16 +28,16 @@
     }
 
     /// Gives the number of parts.
-    pub(crate) fn parts(&self) -> u8 {
+    pub(crate) fn partitions(&self) -> u8 {
         self.tails.len() as u8
     }
 
-    pub(crate) fn tail(&self, part: u8) -> Option<&Tail> {
-        self.tails.get(usize::from(part))
+    pub(crate) fn tail(&self, partition: u8) -> Option<&Tail> {
+        self.tails.get(usize::from(partition))
     }
 
-    pub(crate) fn tail_mut(&mut self, part: u8) -> Option<&mut Tail> {
-        self.tails.get_mut(usize::from(part))
+    pub(crate) fn tail_mut(&mut self, partition: u8) -> Option<&mut Tail> {
+        self.tails.get_mut(usize::from(partition))
     }
 
     /// Tells whether some part was loaded, so that jobs can be taken in.
@@ -76,9 +76,9 @@
     }
 
     /// Notes since when the store answers this host.
-    pub(crate) fn note_contact(&mut self, contact_ms: u64) {
+    pub(crate) fn record_contact(&mut self, contact_ms: u64) {
         for tail in &mut self.tails {
-            tail.note_contact(contact_ms);
+            tail.record_contact(contact_ms);
         }
     }
 
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -14,6 +14,7 @@
 mod suspension;
 mod worker_list;
 
+use crate::appender::Appender;
 use crate::bounds::Bounds;
 use crate::config::Config;
 use crate::config::Decoders;
@@ -33,16 +34,15 @@
 use crate::event::Fence;
 use crate::event::LinkId;
 use crate::event::Now;
-use crate::event::ReadEnd;
+use crate::event::ReadOutcome;
 use crate::event::Stream;
-use crate::lane::Lane;
-use crate::ledger::Change;
-use crate::ledger::Inheritance;
-use crate::ledger::Ledger;
-use crate::owner::Figures;
+use crate::job_table::Change;
+use crate::job_table::JobTable;
+use crate::job_table::RecoveredState;
 use crate::owner::Owner;
+use crate::owner::OwnerStats;
 use crate::owner::records_bytes;
-use crate::policy::link::LIST_PAUSE_MOST_MS;
+use crate::policy::link::MAX_LIST_PAUSE_MS;
 use crate::record::OwnerRecord;
 use crate::relay::Relay;
 use crate::tail::Progress;
@@ -68,20 +68,20 @@
     /// When it was known to be stored.
     stored: Option<u64>,
     /// Signs of life since.
-    signs: Lane,
-    beat: u64,
+    heartbeats: Appender,
+    heartbeat: u64,
 }
 
 impl Claim {
     /// Gives the record that tells the other hosts of this claim. What the former owner said of all
     /// hosts holds on.
-    fn record(&self, host: &str, former: &OwnerRecord) -> OwnerRecord {
+    fn record(&self, host: &str, previous: &OwnerRecord) -> OwnerRecord {
         OwnerRecord {
             token: self.fence.epoch,
             host: host.into(),
             is_leaving: false,
-            beat: self.beat,
-            ..former.clone()
+            heartbeat: self.heartbeat,
+            ..previous.clone()
         }
     }
 }
@@ -100,19 +100,19 @@
     states: Tail,
     /// Read only while this host is about to become owner.
     progress: Tail,
-    inheritance: Inheritance,
+    recovered: RecoveredState,
     rules: Tail,
     workers: Tail,
     loading: LoadingReport,
     jobs_read_ms: Option<u64>,
     /// When to read which hosts there are; set once an owner has shown itself.
-    meet_ms: Option<u64>,
+    hosts_read_ms: Option<u64>,
     states_read_ms: u64,
     workers_read_ms: u64,
     /// Pause before the next read of the list of workers.
     workers_pause_ms: u64,
     purge_ms: u64,
-    ledger: Ledger,
+    job_table: JobTable,
     config: Option<Rc<Config>>,
     evacuations: Rc<Evacuations>,
     worker_entries: BTreeMap<Box<str>, WorkerEntry>,
@@ -125,7 +125,7 @@
     owner: Option<Owner>,
     /// Orders of owners that this host carries to workers.
     relay: Relay,
-    past_figures: Figures,
+    past_stats: OwnerStats,
     /// When the claim under which this host owns was stored.
     claimed_ms: u64,
     is_stopping: bool,
@@ -144,25 +144,25 @@
             host: host.into(),
             salt,
             election: Election::new(host, &bounds, salt),
-            jobs: JobTails::new(bounds.job_parts, salt),
-            callers: Callers::new(host, bounds.job_parts),
+            jobs: JobTails::new(bounds.job_partitions, salt),
+            callers: Callers::new(host, bounds.job_partitions),
             bounds,
             decoders,
             tickets: 0,
             reading: Reading::new(),
             states: owner_tail(salt),
             progress: Tail::new(Stream::Progress, salt),
-            inheritance: Inheritance::default(),
+            recovered: RecoveredState::default(),
             rules: Tail::new(Stream::Rules, salt),
             workers: Tail::new(Stream::Workers, salt),
             loading: LoadingReport::default(),
             jobs_read_ms: None,
-            meet_ms: None,
+            hosts_read_ms: None,
             states_read_ms: 0,
             workers_read_ms: 0,
-            workers_pause_ms: LIST_PAUSE_MOST_MS,
+            workers_pause_ms: MAX_LIST_PAUSE_MS,
             purge_ms: 0,
-            ledger: Ledger::default(),
+            job_table: JobTable::default(),
             config: None,
             evacuations: Rc::default(),
             worker_entries: BTreeMap::new(),
@@ -171,7 +171,7 @@
             announce_ms: 0,
             owner: None,
             relay: Relay::default(),
-            past_figures: Figures::default(),
+            past_stats: OwnerStats::default(),
             claimed_ms: 0,
             is_stopping: false,
             is_store_away: false,
@@ -193,9 +193,9 @@
 
     /// Tells whether callers should be sent here.
     pub fn is_ready(&self) -> bool {
-        let is_informed = self.is_informed() && !self.is_loading();
+        let is_caught_up = self.is_caught_up() && !self.is_loading();
         let has_rules = self.config.is_some() && !self.are_rules_behind;
-        has_rules && is_informed && !self.is_stopping && !self.is_store_away
+        has_rules && is_caught_up && !self.is_stopping && !self.is_store_away
     }
 
     /// Tells whether this host is the owner.
@@ -209,15 +209,15 @@
     }
 
     /// Gives the counts of all times at which this host was the owner.
-    pub fn figures(&self) -> Figures {
+    pub fn stats(&self) -> OwnerStats {
         match &self.owner {
-            Some(owner) => owner.figures,
-            None => self.past_figures,
+            Some(owner) => owner.stats,
+            None => self.past_stats,
         }
     }
 
     /// Tells whether this host has read what it needs to take jobs.
-    fn is_informed(&self) -> bool {
+    fn is_caught_up(&self) -> bool {
         let has_jobs = self.reading.asks_owner() || self.jobs.is_usable();
         has_jobs && self.states.is_loaded()
     }
@@ -231,7 +231,7 @@
     /// them is decided once.
     pub fn handle_all(&mut self, now: Now, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.note_time(now, &mut actions);
+        self.record_time(now, &mut actions);
         for event in events {
             self.take(now, event, &mut actions);
         }
@@ -248,10 +248,10 @@
             Event::Stop => self.stop(),
             Event::LinkOpened { link } => {
                 if let Some(owner) = &mut self.owner {
-                    owner.note_relay(link, now);
+                    owner.handle_relay_opened(link, now);
                 }
             }
-            Event::Frame { link, bytes } => self.take_frame(link, &bytes, now, actions),
+            Event::Frame { link, bytes } => self.handle_frame(link, &bytes, now, actions),
             Event::LinkLost { link } if link.is_incoming() => self.relay.lose(link),
             Event::LinkLost { link } => {
                 if let Some(owner) = &mut self.owner {
@@ -262,44 +262,44 @@
                 request,
                 job,
                 submission,
-                patience_ms,
-            } => self.submit(request, job, submission, patience_ms, now, actions),
+                answer_timeout_ms,
+            } => self.submit(request, job, submission, answer_timeout_ms, now, actions),
             Event::Query { request, job } => self.query(request, job, now, actions),
             Event::Cancel {
                 request,
                 job,
-                patience_ms,
-            } => self.cancel(request, job, patience_ms, now, actions),
+                answer_timeout_ms,
+            } => self.cancel(request, job, answer_timeout_ms, now, actions),
             Event::Count { request, queue } => self.count(request, queue, now),
-            Event::Appended { ticket, end } => self.appended(ticket, end, now, actions),
-            Event::Read { ticket, end } => self.read(ticket, end, now, actions),
-            Event::Loaded { ticket, end } => self.loaded(ticket, end, now, actions),
-            Event::Advised { ticket, end } => {
+            Event::Appended { ticket, outcome } => self.appended(ticket, outcome, now, actions),
+            Event::Read { ticket, outcome } => self.read(ticket, outcome, now, actions),
+            Event::Loaded { ticket, outcome } => self.loaded(ticket, outcome, now, actions),
+            Event::PermitsAnswered { ticket, outcome } => {
                 if let Some(owner) = &mut self.owner {
-                    owner.take_advice(ticket, end, now);
+                    owner.handle_permit_outcome(ticket, outcome, now);
                 }
             }
-            Event::Ordered { ticket, end } => {
-                if self.relay.take_end(ticket, &end) {
+            Event::Ordered { ticket, outcome } => {
+                if self.relay.handle_outcome(ticket, &outcome) {
                     return;
                 }
                 if let Some(owner) = &mut self.owner {
-                    owner.take_order(ticket, end, now, actions);
+                    owner.handle_order_outcome(ticket, outcome, now, actions);
                 }
             }
         }
     }
 
     /// Takes in orders of an owner, or what came of orders of this one.
-    fn take_frame(&mut self, link: LinkId, bytes: &[u8], now: Now, actions: &mut Vec<Action>) {
+    fn handle_frame(&mut self, link: LinkId, bytes: &[u8], now: Now, actions: &mut Vec<Action>) {
         if link.is_incoming() {
             let evacuations = &self.evacuations;
             let tickets = &mut self.tickets;
             self.relay
-                .take_frame(link, bytes, evacuations, now.steady_ms, tickets, actions);
+                .handle_frame(link, bytes, evacuations, now.steady_ms, tickets, actions);
             self.take_answers();
         } else if let Some(owner) = &mut self.owner {
-            owner.take_relayed(link, bytes, now, actions);
+            owner.handle_relay_frame(link, bytes, now, actions);
             self.take_inquiries(now);
         }
     }
@@ -313,11 +313,11 @@
         }
     }
 
-    fn read(&mut self, ticket: u64, mut end: ReadEnd, now: Now, actions: &mut Vec<Action>) {
-        if matches!(end, ReadEnd::Failed(_)) {
-            self.contact.note_doubt(now.steady_ms);
+    fn read(&mut self, ticket: u64, mut outcome: ReadOutcome, now: Now, actions: &mut Vec<Action>) {
+        if matches!(outcome, ReadOutcome::Failed(_)) {
+            self.contact.suspect(now.steady_ms);
         }
-        if let (Some(owner), ReadEnd::Records { records, .. }) = (&mut self.owner, &end) {
+        if let (Some(owner), ReadOutcome::Records { records, .. }) = (&mut self.owner, &outcome) {
             let rows = records.iter().map(|record| (&*record.key, &*record.value));
             owner.charge_read(records_bytes(rows));
         }
@@ -325,8 +325,8 @@
             let Some(tail) = self.tail_mut(stream) else {
                 continue;
             };
-            if let Some(progress) = tail.take_read(ticket, now.steady_ms, &mut end) {
-                self.take_records(stream, progress, now, actions);
+            if let Some(progress) = tail.handle_read(ticket, now.steady_ms, &mut outcome) {
+                self.apply_records(stream, progress, now, actions);
                 return;
             }
         }
@@ -335,7 +335,7 @@
     fn loaded(
         &mut self,
         ticket: u64,
-        mut end: crate::event::PageEnd,
+        mut outcome: crate::event::LoadOutcome,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
@@ -343,8 +343,8 @@
             let Some(tail) = self.tail_mut(stream) else {
                 continue;
             };
-            if let Some(progress) = tail.take_page(ticket, now.steady_ms, &mut end) {
-                self.take_records(stream, progress, now, actions);
+            if let Some(progress) = tail.handle_page(ticket, now.steady_ms, &mut outcome) {
+                self.apply_records(stream, progress, now, actions);
                 return;
             }
         }
@@ -352,13 +352,13 @@
 
     /// Lists all streams that this host may read.
     fn streams(&self) -> impl Iterator<Item = Stream> + use<> {
-        let parts = (0..self.jobs.parts()).map(Stream::Jobs);
-        SINGLE_STREAMS.into_iter().chain(parts)
+        let partitions = (0..self.jobs.partitions()).map(Stream::Jobs);
+        SINGLE_STREAMS.into_iter().chain(partitions)
     }
 
     fn tail(&self, stream: Stream) -> Option<&Tail> {
         match stream {
-            Stream::Jobs(part) => self.jobs.tail(part),
+            Stream::Jobs(partition) => self.jobs.tail(partition),
             Stream::Progress => Some(&self.progress),
             Stream::States => Some(&self.states),
             Stream::Rules => Some(&self.rules),
@@ -368,7 +368,7 @@
 
     fn tail_mut(&mut self, stream: Stream) -> Option<&mut Tail> {
         match stream {
-            Stream::Jobs(part) => self.jobs.tail_mut(part),
+            Stream::Jobs(partition) => self.jobs.tail_mut(partition),
             Stream::Progress => Some(&mut self.progress),
             Stream::States => Some(&mut self.states),
             Stream::Rules => Some(&mut self.rules),
@@ -376,7 +376,7 @@
         }
     }
 
-    fn take_records(
+    fn apply_records(
         &mut self,
         stream: Stream,
         progress: Progress,
@@ -387,63 +387,65 @@
             self.report_failure(stream, failure, now, actions);
         }
         match stream {
-            Stream::Jobs(_) => self.take_jobs(&progress, now, actions),
+            Stream::Jobs(_) => self.apply_jobs(&progress, now, actions),
             Stream::Progress => {
                 for record in &progress.records {
-                    self.inheritance.apply(record);
+                    self.recovered.apply(record);
                 }
             }
-            Stream::States => self.take_states(&progress, now),
-            Stream::Rules => self.take_rules(&progress, actions),
-            Stream::Workers => self.take_workers(progress, now, actions),
+            Stream::States => self.apply_states(&progress, now),
+            Stream::Rules => self.apply_rules(&progress, actions),
+            Stream::Workers => self.apply_workers(progress, now, actions),
         }
     }
 
-    fn take_jobs(&mut self, progress: &Progress, now: Now, actions: &mut Vec<Action>) {
+    fn apply_jobs(&mut self, progress: &Progress, now: Now, actions: &mut Vec<Action>) {
         let mut has_hosts = false;
         for record in &progress.records {
-            let change = self.ledger.apply(record);
+            let change = self.job_table.apply(record);
             has_hosts |= change == Change::Host;
-            self.take_change(change, now, actions);
+            self.apply_change(change, now, actions);
         }
         // With thousands of hosts this is a pass over all of them.
         if !has_hosts {
             return;
         }
-        self.election.note_hosts(&self.ledger.hosts);
+        self.election.update_hosts(&self.job_table.hosts);
         if let Some(owner) = &mut self.owner {
-            owner.note_hosts(&self.ledger.hosts);
+            owner.update_hosts(&self.job_table.hosts);
         }
     }
 
     /// Passes a change on to the owner, if this host is that.
-    pub(crate) fn take_change(&mut self, change: Change, now: Now, actions: &mut Vec<Action>) {
+    pub(crate) fn apply_change(&mut self, change: Change, now: Now, actions: &mut Vec<Action>) {
         let Some(owner) = &mut self.owner else {
             return;
         };
         match change {
-            Change::Submitted(id) => owner.adopt(id, &self.ledger, now, actions),
+            Change::Submitted(id) => owner.adopt(id, &self.job_table, now, actions),
             Change::Cancelled(id) => owner.cancel(id, now, actions),
             _ => {}
         }
     }
 
-    fn take_states(&mut self, progress: &Progress, now: Now) {
-        self.election.note_latency(self.states.average_latency_ms());
+    fn apply_states(&mut self, progress: &Progress, now: Now) {
+        self.election
+            .record_latency(self.states.average_latency_ms());
         for record in &progress.records {
-            self.ledger.apply(record);
+            self.job_table.apply(record);
         }
         if !progress.records.is_empty() {
-            self.election.note_sign(now.steady_ms, &self.ledger.owner);
+            self.election
+                .record_heartbeat(now.steady_ms, &self.job_table.owner);
         }
         if self.states.is_loaded() {
-            self.election.note_loaded(now.steady_ms);
+            self.election.record_loaded(now.steady_ms);
         }
     }
 
     /// Does what is due by now.
     fn advance(&mut self, now: Now, actions: &mut Vec<Action>) {
-        self.note_contact();
+        self.record_contact();
         self.decide_scope(now, actions);
         self.follow(now, actions);
         self.report_loading(now, actions);
--- a/crates/dispatch/src/entry/owning.rs
+++ b/crates/dispatch/src/entry/owning.rs
@@ -1,15 +1,15 @@
 //! Claiming to own the progress of jobs, and ceasing to.
 
+use crate::appender::Appender;
+use crate::appender::HEARTBEAT_MS;
 use crate::entry::Claim;
 use crate::entry::Entry;
 use crate::event::Action;
-use crate::event::AppendEnd;
+use crate::event::AppendOutcome;
 use crate::event::Fence;
 use crate::event::Now;
 use crate::event::Stream;
-use crate::lane::BEAT_MS;
-use crate::lane::Lane;
-use crate::ledger::Inheritance;
+use crate::job_table::RecoveredState;
 use crate::owner::Owner;
 use crate::record::HostRecord;
 use crate::record::Key;
@@ -22,7 +22,7 @@
 /// Time for which a new owner waits for the newest jobs and the list of workers before it
 /// begins with what it has. They take 20 ms, and a second from a store that is slow; but part
 /// of the store may be away for longer than leases last.
-const PATIENCE_MS: u64 = 600;
+const MAX_READ_WAIT_MS: u64 = 600;
 /// Time after which a claim without an answer is repeated.
 const CLAIM_TIMEOUT_MS: u64 = 700;
 /// Pause before an announcement that was refused is repeated, and before one that was
@@ -35,7 +35,7 @@
 impl Entry {
     /// Announces this host once, and whenever its share of a core has changed.
     pub(crate) fn announce(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if !self.is_informed() || self.announcing.is_some() || now.steady_ms < self.announce_ms {
+        if !self.is_caught_up() || self.announcing.is_some() || now.steady_ms < self.announce_ms {
             return;
         }
         let own = HostRecord {
@@ -45,17 +45,17 @@
         // Whoever has not read which hosts are known is known if the owner connects.
         let is_known = match self.reading.asks_owner() {
             true => !self.may_be_unknown(now.steady_ms),
-            false => self.ledger.hosts.get(&self.host) == Some(&own),
+            false => self.job_table.hosts.get(&self.host) == Some(&own),
         };
         if is_known {
             return;
         }
-        let part = self.callers.choose_part(now.steady_ms);
+        let partition = self.callers.choose_partition(now.steady_ms);
         self.tickets += 1;
         self.announcing = Some(self.tickets);
         actions.push(Action::Append {
             ticket: self.tickets,
-            stream: Stream::Jobs(part),
+            stream: Stream::Jobs(partition),
             fence: None,
             records: vec![(
                 Key::Host(self.host.clone()).text(),
@@ -66,12 +66,12 @@
     }
 
     /// Takes in the end of an announcement, if the append was one.
-    pub(crate) fn take_announced(&mut self, ticket: u64, end: AppendEnd, now: Now) -> bool {
+    pub(crate) fn take_announced(&mut self, ticket: u64, outcome: AppendOutcome, now: Now) -> bool {
         if self.announcing.take_if(|own| *own == ticket).is_none() {
             return false;
         }
         // Whether it is stored shows when it is read back.
-        let is_stored = matches!(end, AppendEnd::Stored { .. });
+        let is_stored = matches!(outcome, AppendOutcome::Stored { .. });
         let pause_ms = if is_stored {
             ANNOUNCED_MS
         } else {
@@ -83,14 +83,14 @@
 
     /// Claims if no owner is to be seen, and begins to own once all is read.
     pub(crate) fn contend(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if self.owner.is_some() || self.is_stopping || self.config.is_none() || !self.is_informed()
+        if self.owner.is_some() || self.is_stopping || self.config.is_none() || !self.is_caught_up()
         {
             return;
         }
         if self.reading.is_quiet() {
             return;
         }
-        let owner = &self.ledger.owner;
+        let owner = &self.job_table.owner;
         let is_due = self.election.should_claim(self.states.known_ms(), owner);
         let is_turn = !is_due && self.election.is_due(now.steady_ms, owner);
         // While the store is away nothing will be read that lets this host claim.
@@ -99,7 +99,7 @@
                 .prompt(now.steady_ms, now.steady_ms, &mut self.tickets, actions);
         }
         if self.claim.is_none() && is_due && self.knows_rivals(now, actions) {
-            let owner = &self.ledger.owner;
+            let owner = &self.job_table.owner;
             actions.push(Action::Note(Note::new(
                 Code::OwnerSuspected,
                 &*owner.host,
@@ -116,12 +116,12 @@
                 retry_ms: 0,
                 stored: None,
                 // The claim itself is number 0.
-                signs: Lane::new(Stream::States, 1, now.steady_ms),
-                beat: 0,
+                heartbeats: Appender::new(Stream::States, 1, now.steady_ms),
+                heartbeat: 0,
             });
         }
         self.send_claim(now, actions);
-        self.show_life(now, actions);
+        self.send_heartbeat(now, actions);
         self.finish_claim(now, actions);
     }
 
@@ -129,11 +129,11 @@
     /// owner. It reads that no sooner than its turn comes: all hosts that read one another's
     /// announcements again and again would be a load of hosts times hosts.
     fn knows_rivals(&mut self, now: Now, actions: &mut Vec<Action>) -> bool {
-        let owner = &self.ledger.owner;
+        let owner = &self.job_table.owner;
         let Some(turn_ms) = self.election.turn_ms(owner).filter(|_| owner.token == 0) else {
             return true;
         };
-        if self.jobs.is_fresh_since(turn_ms) || now.steady_ms >= turn_ms + PATIENCE_MS {
+        if self.jobs.is_fresh_since(turn_ms) || now.steady_ms >= turn_ms + MAX_READ_WAIT_MS {
             return true;
         }
         let tickets = &mut self.tickets;
@@ -145,19 +145,19 @@
     /// over a thin link; others would take this host for dead meanwhile, claim, and read the
     /// same, so that nobody would ever own: 22 owners in a minute. A host to which the store
     /// gives nothing keeps silent, so that another one may try.
-    fn show_life(&mut self, now: Now, actions: &mut Vec<Action>) {
+    fn send_heartbeat(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_reading = self.progress.is_arriving();
         let Some(claim) = self.claim.as_mut().filter(|claim| claim.stored.is_some()) else {
             return;
         };
-        if is_reading && claim.signs.may_begin(now.steady_ms, BEAT_MS) {
-            claim.beat += 1;
-            let records = vec![claim.record(&self.host, &self.ledger.owner).row()];
-            claim.signs.begin(records, now.steady_ms);
+        if is_reading && claim.heartbeats.may_begin(now.steady_ms, HEARTBEAT_MS) {
+            claim.heartbeat += 1;
+            let records = vec![claim.record(&self.host, &self.job_table.owner).row()];
+            claim.heartbeats.begin(records, now.steady_ms);
         }
         let epoch = claim.fence.epoch;
         claim
-            .signs
+            .heartbeats
             .send(epoch, 0, now.steady_ms, &mut self.tickets, actions);
     }
 
@@ -170,7 +170,7 @@
         }
         self.tickets += 1;
         claim.ticket = Some(self.tickets);
-        let records = vec![claim.record(&self.host, &self.ledger.owner).row()];
+        let records = vec![claim.record(&self.host, &self.job_table.owner).row()];
         actions.push(Action::Append {
             ticket: self.tickets,
             stream: Stream::Progress,
@@ -187,7 +187,7 @@
             return;
         };
         let token = self.claim.as_ref().map_or(0, |claim| claim.fence.epoch);
-        if self.ledger.owner.token > token {
+        if self.job_table.owner.token > token {
             self.claim = None;
             return;
         }
@@ -198,35 +198,35 @@
         if !self.jobs.is_fresh_since(stored_ms) {
             self.jobs.prompt(stored_ms, now_ms, tickets, actions);
         }
-        let has_list = self.workers.is_loaded() || !self.inheritance.workers.is_empty();
+        let has_list = self.workers.is_loaded() || !self.recovered.workers.is_empty();
         let is_read = self.jobs.is_fresh_since(stored_ms) && has_list;
         let has_read_least = self.progress.is_loaded() && self.states.is_loaded();
-        if !has_read_least || !is_read && now_ms < stored_ms + PATIENCE_MS {
+        if !has_read_least || !is_read && now_ms < stored_ms + MAX_READ_WAIT_MS {
             return;
         }
         let Some(claim) = self.claim.take() else {
             return;
         };
         self.claimed_ms = stored_ms;
-        let inheritance = std::mem::take(&mut self.inheritance);
+        let recovered = std::mem::take(&mut self.recovered);
         if !self.workers.is_loaded() {
-            self.worker_entries = inheritance.workers.clone();
+            self.worker_entries = recovered.workers.clone();
         }
         let mut owner = Owner::new(
             &self.host,
             token,
             &self.bounds,
-            &self.ledger,
-            inheritance,
-            claim.signs,
+            &self.job_table,
+            recovered,
+            claim.heartbeats,
             now,
             actions,
         );
-        owner.figures = self.past_figures;
-        owner.note_evacuations(self.evacuations.clone());
+        owner.stats = self.past_stats;
+        owner.set_evacuations(self.evacuations.clone());
         // This host answers from its own ledger while it is the owner.
-        for (job, state) in owner.untold() {
-            self.ledger.set_state(*job, *state);
+        for (job, state) in owner.unpublished() {
+            self.job_table.set_state(*job, *state);
         }
         owner.list_workers(&self.worker_entries, now, actions);
         actions.push(Action::Note(Note::new(
@@ -234,7 +234,7 @@
             &*self.host,
             format!(
                 "token={token} jobs={} workers={} all_read={is_read} claim_age_ms={} cpu_permille={}",
-                self.ledger.jobs.len(),
+                self.job_table.jobs.len(),
                 self.worker_entries.len(),
                 now_ms.saturating_sub(stored_ms),
                 self.bounds.cpu_permille
@@ -244,18 +244,22 @@
     }
 
     /// Takes in the end of a claim, if the append was one.
-    pub(crate) fn take_claim(
+    pub(crate) fn handle_claim(
         &mut self,
         ticket: u64,
-        end: AppendEnd,
+        outcome: AppendOutcome,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(claim) = &mut self.claim else {
             return false;
         };
-        if claim.signs.take(ticket, end, now.steady_ms).is_some() {
-            if end == AppendEnd::Fenced {
+        if claim
+            .heartbeats
+            .take(ticket, outcome, now.steady_ms)
+            .is_some()
+        {
+            if outcome == AppendOutcome::Fenced {
                 self.give_up_claim(now);
             }
             return true;
@@ -264,22 +268,24 @@
             return false;
         }
         claim.ticket = None;
-        match end {
-            AppendEnd::Stored { offset } => {
+        match outcome {
+            AppendOutcome::Stored { offset } => {
                 claim.stored = Some(now.steady_ms);
                 self.progress = Tail::new(Stream::Progress, self.salt);
-                self.inheritance = Inheritance::default();
+                self.recovered = RecoveredState::default();
                 let epoch = claim.fence.epoch;
-                let record = claim.record(&self.host, &self.ledger.owner);
-                self.show_claim(&record, actions);
+                let record = claim.record(&self.host, &self.job_table.owner);
+                self.announce_claim(&record, actions);
                 actions.push(Action::Note(Note::new(
                     Code::OwnerClaimed,
                     &*self.host,
                     format!("token={epoch} offset={offset}"),
                 )));
             }
-            AppendEnd::Fenced => self.give_up_claim(now),
-            AppendEnd::Refused | AppendEnd::Unknown => claim.retry_ms = now.steady_ms + RETRY_MS,
+            AppendOutcome::Fenced => self.give_up_claim(now),
+            AppendOutcome::Refused | AppendOutcome::Unknown => {
+                claim.retry_ms = now.steady_ms + RETRY_MS
+            }
         }
         true
     }
@@ -293,7 +299,7 @@
 
     /// Tells the other hosts of a claim at once, so that they make none. Should the append
     /// be lost, the owner's own signs of life follow soon.
-    fn show_claim(&mut self, record: &OwnerRecord, actions: &mut Vec<Action>) {
+    fn announce_claim(&mut self, record: &OwnerRecord, actions: &mut Vec<Action>) {
         self.tickets += 1;
         actions.push(Action::Append {
             ticket: self.tickets,
@@ -315,7 +321,7 @@
         };
         if owner.stepdown().is_none() {
             if self.jobs.is_fresh_since(self.claimed_ms) {
-                owner.inform();
+                owner.mark_caught_up();
             }
             owner.hold_starts(may_miss_evacuations);
             owner.advance(now, &mut self.tickets, actions);
@@ -327,7 +333,7 @@
             format!("token={} why=fenced", owner.token()),
         )));
         owner.close_relays(actions);
-        self.past_figures = owner.figures;
+        self.past_stats = owner.stats;
         self.owner = None;
         self.election.restart(now.steady_ms);
     }
--- a/crates/dispatch/src/entry/questions.rs
+++ b/crates/dispatch/src/entry/questions.rs
@@ -11,7 +11,7 @@
 use crate::event::Now;
 use crate::event::Reply;
 use crate::ids::JobId;
-use crate::ledger::JobState;
+use crate::job_table::JobState;
 use crate::relay;
 use crate::relay::Inquiry;
 use crate::relay::Subject;
@@ -23,11 +23,11 @@
 
 /// Time for which a question waits for a fresh read before it is answered by what is
 /// known, or told to come again.
-const QUESTION_MOST_MS: u64 = 900;
+const MAX_QUESTION_MS: u64 = 900;
 
 /// Age of what waiting jobs are counted by, at most. Callers are told that a count may be two
 /// seconds old; the rest is for the answer on its way.
-const COUNT_AGE_MOST_MS: u64 = 1_750;
+const MAX_COUNT_AGE_MS: u64 = 1_750;
 
 /// Who awaits the answer to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -117,7 +117,7 @@
 
     /// Gives the state of a job if no read could change it, or if this host writes it.
     fn certain_state(&self, job: JobId) -> Option<JobState> {
-        let record = self.ledger.jobs.get(&job)?;
+        let record = self.job_table.jobs.get(&job)?;
         record.submission.as_ref()?;
         let state = record.state();
         (state.is_over() || self.owner.is_some()).then_some(state)
@@ -173,7 +173,7 @@
         actions: &mut Vec<Action>,
     ) -> Option<Question> {
         // While the store is away no read will bring what is missing in time.
-        let is_late = self.is_store_away || now.steady_ms >= question.asked_ms + QUESTION_MOST_MS;
+        let is_late = self.is_store_away || now.steady_ms >= question.asked_ms + MAX_QUESTION_MS;
         let reply = match self.reading.asks_owner() {
             true => self.answer_by_owner(&mut question, is_late, now),
             false => self.answer_by_reading(&question, is_late, now, actions),
@@ -181,12 +181,12 @@
         let Some(reply) = reply else {
             return Some(question);
         };
-        if let About::Cancel(job, patience_ms) = question.about
+        if let About::Cancel(job, answer_timeout_ms) = question.about
             && let Asker::Caller(request) = question.asker
             && let Reply::State(state) = reply
             && !state.is_over()
         {
-            self.write_cancel(request, job, patience_ms, now, actions);
+            self.write_cancel(request, job, answer_timeout_ms, now, actions);
             return None;
         }
         let reply = match (&question.about, reply) {
@@ -220,7 +220,7 @@
                     owner.answer_host(asker, &reply);
                 }
             }
-            Asker::Write(request) => self.note_read_back(request, &reply),
+            Asker::Write(request) => self.record_read_back(request, &reply),
         }
     }
 
@@ -240,7 +240,7 @@
                 self.answer_waiting(queue, question.asked_ms, is_late, now, actions)
             }
             About::Cancel(job, _) => {
-                let record = self.ledger.jobs.get(job);
+                let record = self.job_table.jobs.get(job);
                 let known = record.filter(|record| record.submission.is_some());
                 match known {
                     Some(record) => Some(Reply::State(record.state())),
@@ -298,7 +298,7 @@
             return Some(Reply::State(state));
         }
         let record = self
-            .ledger
+            .job_table
             .jobs
             .get(&job)
             .filter(|record| record.submission.is_some());
@@ -338,7 +338,7 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Option<Reply> {
-        let since_ms = asked_ms.saturating_sub(COUNT_AGE_MOST_MS);
+        let since_ms = asked_ms.saturating_sub(MAX_COUNT_AGE_MS);
         let is_own = self.owner.is_some();
         let is_fresh =
             self.jobs.is_fresh_since(since_ms) && (is_own || self.states.is_fresh_since(since_ms));
@@ -348,7 +348,7 @@
             return Some(Reply::NoSuchQueue);
         }
         if is_fresh && are_rules_current {
-            return Some(Reply::Waiting(self.ledger.count_waiting(queue)));
+            return Some(Reply::Waiting(self.job_table.count_waiting(queue)));
         }
         if is_late {
             return Some(Reply::NotDone {
--- a/crates/dispatch/src/entry/rules.rs
+++ b/crates/dispatch/src/entry/rules.rs
@@ -11,7 +11,7 @@
 use crate::config::Decoded;
 use crate::config::Queue;
 use crate::entry::Entry;
-use crate::entry::ages::show_age;
+use crate::entry::ages::format_age;
 use crate::event::Action;
 use crate::event::Now;
 use crate::event::StoredRecord;
@@ -55,9 +55,9 @@
     /// Tells whether the rules in force are as new as they must be.
     pub(super) fn are_rules_current(&self, now: Now) -> bool {
         let promised_ms = self.bounds.rules_in_force_ms * AGE_PERCENT / 100;
-        let most_ms = promised_ms + LATENCY_FACTOR * self.rules.typical_latency_ms();
+        let max_ms = promised_ms + LATENCY_FACTOR * self.rules.typical_latency_ms();
         let age_ms = self.rules.age_ms(now.steady_ms);
-        self.config.is_some() && age_ms.is_some_and(|age_ms| age_ms <= most_ms)
+        self.config.is_some() && age_ms.is_some_and(|age_ms| age_ms <= max_ms)
     }
 
     /// Tells whether the rules are current, or could not be read since the store answers. A
@@ -89,21 +89,21 @@
         actions.push(Action::Note(Note::new(code, &*self.host, detail)));
     }
 
-    pub(super) fn take_rules(&mut self, progress: &Progress, actions: &mut Vec<Action>) {
+    pub(super) fn apply_rules(&mut self, progress: &Progress, actions: &mut Vec<Action>) {
         let known = self.evacuations.clone();
         if progress.is_reloaded {
             self.drop_evacuations(&progress.records, actions);
         }
         for record in &progress.records {
             if let Some(read) = (self.decoders.evacuation)(&record.key, &record.value) {
-                self.take_evacuation(record, read, actions);
+                self.apply_evacuation(record, read, actions);
                 continue;
             }
             if &*record.key != "config" || record.value.is_empty() {
                 continue;
             }
             match (self.decoders.config)(&record.value) {
-                Ok(config) => self.take_config(config, progress.former_age_ms, actions),
+                Ok(config) => self.apply_config(config, progress.previous_age_ms, actions),
                 Err(fault) => actions.push(Action::Note(Note::new(
                     Code::RulesUnreadable,
                     "config",
@@ -112,7 +112,7 @@
             }
         }
         if let Some(owner) = self.owner.as_mut().filter(|_| self.evacuations != known) {
-            owner.note_evacuations(self.evacuations.clone());
+            owner.set_evacuations(self.evacuations.clone());
         }
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Takes an evacuation into force, or back. One that can't be read changes nothing.
-    fn take_evacuation(
+    fn apply_evacuation(
         &mut self,
         record: &StoredRecord,
         read: Decoded<Box<str>>,
@@ -160,10 +160,10 @@
     }
 
     /// Takes rules into force, unless newer ones are.
-    fn take_config(
+    fn apply_config(
         &mut self,
         config: Config,
-        former_age_ms: Option<u64>,
+        previous_age_ms: Option<u64>,
         actions: &mut Vec<Action>,
     ) {
         if self
@@ -179,7 +179,7 @@
             format!(
                 "queues={} former_age_ms={}",
                 config.queues.len(),
-                show_age(former_age_ms)
+                format_age(previous_age_ms)
             ),
         )));
         self.config = Some(Rc::new(config));
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -89,11 +89,11 @@
     /// Decides how much is to be read from now on.
     pub(super) fn decide_scope(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
-        self.note_owner_link(now_ms, actions);
+        self.record_owner_link(now_ms, actions);
         match self.reading.scope {
             Scope::Undecided if self.states.is_loaded() => self.choose_scope(),
             Scope::Owner => {
-                self.note_alone(now_ms);
+                self.record_alone(now_ms);
                 let spread_ms = self.salt % ALONE_SPREAD_MS;
                 if self
                     .reading
@@ -120,11 +120,11 @@
 
     /// Takes in what the newest owner says of all hosts; tells whether it informs them.
     fn take_survey(&mut self) -> bool {
-        let owner = &self.ledger.owner;
+        let owner = &self.job_table.owner;
         if !owner.informs_hosts {
             return false;
         }
-        self.election.note_survey(Survey {
+        self.election.apply_survey(Survey {
             strongest_permille: owner.strongest_permille,
             strong_hosts: owner.strong_hosts,
         });
@@ -132,10 +132,10 @@
     }
 
     /// Notices that the owner is heard, and that it no longer is.
-    fn note_owner_link(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        let link = self.relay.owner_link(self.ledger.owner.token, now_ms);
-        let former = std::mem::replace(&mut self.reading.owner_link, link);
-        if former.is_some() == link.is_some() {
+    fn record_owner_link(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
+        let link = self.relay.owner_link(self.job_table.owner.token, now_ms);
+        let previous = std::mem::replace(&mut self.reading.owner_link, link);
+        if previous.is_some() == link.is_some() {
             return;
         }
         let since_ms = std::mem::replace(&mut self.reading.changed_ms, now_ms);
@@ -153,10 +153,10 @@
     }
 
     /// Notices that an owner lives that does not connect to this host.
-    fn note_alone(&mut self, now_ms: u64) {
+    fn record_alone(&mut self, now_ms: u64) {
         let is_alive = self
             .election
-            .has_sign_since(now_ms.saturating_sub(OWNER_GONE_MS));
+            .has_heartbeat_since(now_ms.saturating_sub(OWNER_GONE_MS));
         if self.reading.owner_link.is_some() || !is_alive {
             self.reading.alone_since_ms = None;
         } else {
@@ -177,7 +177,7 @@
         self.reading.scope = Scope::All;
         self.reading.alone_since_ms = None;
         self.states = Tail::new(Stream::States, self.salt);
-        self.jobs = JobTails::new(self.bounds.job_parts, self.salt);
+        self.jobs = JobTails::new(self.bounds.job_partitions, self.salt);
     }
 
     /// Stops reading jobs once an owner answers for them.
@@ -189,11 +189,11 @@
             return;
         }
         // Whoever has not read which hosts there are goes by what the owner says of them.
-        if self.ledger.hosts.len() <= 1 && !self.take_survey() || self.election.is_watcher() {
+        if self.job_table.hosts.len() <= 1 && !self.take_survey() || self.election.is_watcher() {
             return;
         }
         self.reading.scope = Scope::Owner;
         self.states = owner_tail(self.salt);
-        self.ledger.jobs.clear();
+        self.job_table.jobs.clear();
     }
 }
--- a/crates/dispatch/src/entry/suspension.rs
+++ b/crates/dispatch/src/entry/suspension.rs
@@ -15,12 +15,12 @@
 impl Entry {
     /// Compares the clocks. A time of day that was set ahead looks like a suspension, and costs
     /// a read of each stream.
-    pub(super) fn note_time(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn record_time(&mut self, now: Now, actions: &mut Vec<Action>) {
         let lead_ms = now.wall_ms.saturating_sub(now.steady_ms);
-        let Some(former_ms) = self.clock_lead_ms.replace(lead_ms) else {
+        let Some(previous_ms) = self.clock_lead_ms.replace(lead_ms) else {
             return;
         };
-        let jump_ms = lead_ms.saturating_sub(former_ms);
+        let jump_ms = lead_ms.saturating_sub(previous_ms);
         if jump_ms < JUMP_MS {
             return;
         }
--- a/crates/dispatch/src/entry/worker_list.rs
+++ b/crates/dispatch/src/entry/worker_list.rs
@@ -11,7 +11,12 @@
 
 impl Entry {
     /// Takes in what the platform says of workers, and passes on what has changed.
-    pub(super) fn take_workers(&mut self, progress: Progress, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn apply_workers(
+        &mut self,
+        progress: Progress,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
         if progress.is_reloaded {
             self.worker_entries.clear();
         }
--- a/crates/dispatch/src/evacuations.rs
+++ b/crates/dispatch/src/evacuations.rs
@@ -51,8 +51,8 @@
         version: u64,
         is_in_force: bool,
     ) -> bool {
-        let former = self.by_domain.get(failure_domain);
-        if former.is_some_and(|former| former.version >= version) {
+        let previous = self.by_domain.get(failure_domain);
+        if previous.is_some_and(|previous| previous.version >= version) {
             return false;
         }
         let is_news = is_in_force || self.covers(failure_domain);
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -4,7 +4,7 @@
 use crate::ids::StepId;
 use crate::ids::TaskId;
 use crate::incarnation::Incarnation;
-use crate::ledger::JobState;
+use crate::job_table::JobState;
 use crate::record::Submission;
 use goldcrestway_core::Note;
 use std::rc::Rc;
@@ -57,7 +57,7 @@
 
 /// How an append ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AppendEnd {
+pub enum AppendOutcome {
     /// It stands at this offset.
     Stored {
         /// Offset of the first record.
@@ -73,7 +73,7 @@
 
 /// How a read ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ReadEnd {
+pub enum ReadOutcome {
     /// Records from the asked offset on.
     Records {
         /// The records.
@@ -110,14 +110,14 @@
 }
 
 /// How loading a page ended.
-pub type PageEnd = Result<Page, ReadFault>;
+pub type LoadOutcome = Result<Page, ReadFault>;
 
 /// How long the answer to a read is awaited. What a host on a thin link asks for may take
 /// it seconds to receive; given up after a fixed time, the same bytes would be asked for
 /// again and again, and such a host would never have read what it must know. So an answer
 /// is given up when it does not begin, or when nothing more of it comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadPatience {
+pub struct ReadTimeouts {
     /// Time in which the first bytes must come.
     pub first_byte_ms: u64,
     /// Longest pause between bytes after that.
@@ -126,7 +126,7 @@
 
 /// How a run ended at a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
+pub enum ExitReason {
     /// Well.
     Done,
     /// Badly, through its own or its worker's fault.
@@ -143,7 +143,7 @@
 
 /// A run that a worker lists as present.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListedRun {
+pub struct RunReport {
     /// Its task.
     pub task: TaskId,
     /// Its number.
@@ -159,7 +159,7 @@
 
 /// A run that a worker lists as ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListedEnd {
+pub struct RunExit {
     /// Number of the end at that worker.
     pub number: u64,
     /// Its task.
@@ -167,20 +167,20 @@
     /// Its number.
     pub run: u32,
     /// How it ended.
-    pub manner: Manner,
+    pub exit_reason: ExitReason,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: Box<str>,
 }
 
 /// What a worker lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct WorkerReport {
     /// Which start of the worker answers.
     pub incarnation: Incarnation,
     /// Present runs.
-    pub runs: Vec<ListedRun>,
+    pub runs: Vec<RunReport>,
     /// Ends that it was not yet told to forget.
-    pub ends: Vec<ListedEnd>,
+    pub exits: Vec<RunExit>,
 }
 
 /// Why a worker refused an order and did nothing.
@@ -206,13 +206,13 @@
 
 /// How an order to a worker ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// Carried out. A look gives what the worker lists.
     Done {
         /// The worker's clock.
         clock_ms: u64,
         /// What it lists, in answer to a look.
-        listed: Option<Listed>,
+        report: Option<WorkerReport>,
     },
     /// Refused; nothing was done.
     Refused(Refusal),
@@ -224,7 +224,7 @@
 
 /// How a call for permits ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AdviceEnd {
+pub enum PermitOutcome {
     /// Of the workers named, these may run the step.
     Permitted {
         /// Worker and permit.
@@ -257,15 +257,15 @@
     /// Stop a run, and never start it later.
     Stop { task: TaskId, run: u32 },
     /// Let the run work at this share, from 0 to 100.
-    Pace {
+    SetShare {
         task: TaskId,
         run: u32,
         percent: u32,
     },
-    /// Tell what runs and what has ended, forget the ends up to `seen`, let all that
+    /// Tell what runs and what has ended, forget the ends up to `acknowledged_exit`, let all that
     /// runs live until the given time, and wait for an end if none is there.
-    Look {
-        seen: u64,
+    Poll {
+        acknowledged_exit: u64,
         lease_until_ms: Option<u64>,
         wait_ms: u64,
     },
@@ -310,7 +310,7 @@
         request: u64,
         job: JobId,
         submission: Submission,
-        patience_ms: u64,
+        answer_timeout_ms: u64,
     },
     /// A caller asks for the state of a job.
     Query { request: u64, job: JobId },
@@ -318,20 +318,20 @@
     Cancel {
         request: u64,
         job: JobId,
-        patience_ms: u64,
+        answer_timeout_ms: u64,
     },
     /// A caller asks how many jobs of a queue wait.
     Count { request: u64, queue: Box<str> },
     /// An append has ended.
-    Appended { ticket: u64, end: AppendEnd },
+    Appended { ticket: u64, outcome: AppendOutcome },
     /// A read has ended.
-    Read { ticket: u64, end: ReadEnd },
+    Read { ticket: u64, outcome: ReadOutcome },
     /// A page was loaded, or not.
-    Loaded { ticket: u64, end: PageEnd },
+    Loaded { ticket: u64, outcome: LoadOutcome },
     /// An order to a worker has ended.
-    Ordered { ticket: u64, end: OrderEnd },
+    Ordered { ticket: u64, outcome: OrderOutcome },
     /// A call for permits has ended.
-    Advised { ticket: u64, end: AdviceEnd },
+    PermitsAnswered { ticket: u64, outcome: PermitOutcome },
     /// A connection to another host was made.
     LinkOpened { link: LinkId },
     /// Another host has sent something.
@@ -361,7 +361,7 @@
     NoSuchQueue,
     /// The job has more tasks or text than can be kept on record; it was not stored and never will
     /// be. A job may have so many tasks.
-    TooLarge { tasks_most: u64 },
+    TooLarge { max_tasks: u64 },
     /// It was not done and will not be; asking again makes sense after the given time.
     NotDone { retry_after_ms: u64 },
     /// It may have been done; asking again does no harm.
@@ -389,14 +389,14 @@
         stream: Stream,
         from: u64,
         wait_ms: u64,
-        patience: ReadPatience,
+        timeouts: ReadTimeouts,
     },
     /// Load the newest record of the keys that follow `after`.
     Load {
         ticket: u64,
         stream: Stream,
         after: Box<str>,
-        patience: ReadPatience,
+        timeouts: ReadTimeouts,
     },
     /// Give an order to an incarnation of a worker.
     Order {
@@ -408,7 +408,7 @@
         timeout_ms: u64,
     },
     /// Ask which of these workers may run a step.
-    Advise {
+    RequestPermits {
         ticket: u64,
         step: StepId,
         workers: Vec<Box<str>>,
@@ -421,7 +421,7 @@
     /// Close a connection to another entry host.
     CloseLink { link: LinkId },
     /// Drop the connections to a worker that is gone.
-    Forget { address: Box<str> },
+    Disconnect { address: Box<str> },
     /// Answer a caller.
     Answer { request: u64, reply: Reply },
     /// New rules are in force.
--- a/crates/dispatch/src/ledger.rs
+++ b/crates/dispatch/src/job_table.rs
@@ -88,14 +88,14 @@
 
 /// The progress of all jobs and what was learned, as a host that becomes owner reads it.
 #[derive(Debug, Default)]
-pub(crate) struct Inheritance {
+pub(crate) struct RecoveredState {
     pub(crate) jobs: HashMap<JobId, Progress>,
     pub(crate) learned: Learned,
     /// Workers as the former owner last saw them listed.
     pub(crate) workers: BTreeMap<Box<str>, WorkerEntry>,
 }
 
-impl Inheritance {
+impl RecoveredState {
     /// Takes in one record of the stream of progress.
     pub(crate) fn apply(&mut self, record: &StoredRecord) {
         match Key::parse(&record.key) {
@@ -124,7 +124,7 @@
 
 /// All jobs on record, and the owner.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
+pub(crate) struct JobTable {
     pub(crate) jobs: HashMap<JobId, JobRecord>,
     pub(crate) owner: OwnerRecord,
     owner_offset: u64,
@@ -132,7 +132,7 @@
     pub(crate) hosts: HashMap<Box<str>, HostRecord>,
 }
 
-impl Ledger {
+impl JobTable {
     /// Takes in one record. Records of a key may come again and in any order.
     pub(crate) fn apply(&mut self, record: &StoredRecord) -> Change {
         match Key::parse(&record.key) {
@@ -192,7 +192,7 @@
     /// are read again change nothing.
     pub(crate) fn set_state(&mut self, id: JobId, state: StateRecord) {
         let job = self.jobs.entry(id).or_default();
-        if state.phase().rank() > job.phase().rank() {
+        if state.phase().stage() > job.phase().stage() {
             job.state = state;
         }
     }
--- a/crates/dispatch/src/owner/adopting.rs
+++ b/crates/dispatch/src/owner/adopting.rs
@@ -5,11 +5,11 @@
 use crate::event::Now;
 use crate::ids::JobId;
 use crate::ids::TaskId;
-use crate::ledger::Ledger;
+use crate::job_table::JobTable;
 use crate::owner::CLOCK_SKEW_PERMILLE;
-use crate::owner::CONFIRMED_MOST_MS;
-use crate::owner::LAPSE_SLACK_MS;
 use crate::owner::LEASE_MS;
+use crate::owner::LEASE_SLACK_MS;
+use crate::owner::MAX_UNCONFIRMED_MS;
 use crate::owner::Owner;
 use crate::owner::job::Job;
 use crate::owner::job::JobKey;
@@ -25,35 +25,35 @@
     pub(crate) fn adopt(
         &mut self,
         id: JobId,
-        ledger: &Ledger,
+        job_table: &JobTable,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
         if self.job_keys.contains_key(&id) {
             return;
         }
-        let Some(record) = ledger.jobs.get(&id) else {
+        let Some(record) = job_table.jobs.get(&id) else {
             return;
         };
         if record.submission.is_none() {
             return;
         }
-        let foreign_ms = self.foreign_lapse_ms(now.steady_ms);
+        let foreign_ms = self.foreign_expiry_ms(now.steady_ms);
         let progress = self.unread.remove(&id);
-        let (silent, noted) = (&self.silent, &self.noted_silent);
-        let listed = &self.noted_workers;
+        let (silent, recorded_as_silent) = (&self.silent, &self.recorded_silent);
+        let listed = &self.recorded_workers;
         let (workers, keys) = (&mut self.workers, &mut self.worker_keys);
         let job = Job::new(id, record, progress.as_ref(), now, |name| {
             *keys.entry(name.into()).or_insert_with(|| {
-                let lapsed_ms = silent.get(name).copied().unwrap_or(foreign_ms);
-                let mut worker = Worker::unlisted(name, lapsed_ms);
+                let leases_expired_ms = silent.get(name).copied().unwrap_or(foreign_ms);
+                let mut worker = Worker::unlisted(name, leases_expired_ms);
                 // Whoever answers at its address tells what became of it.
                 if let Some(entry) = listed.get(name) {
                     worker.entry = entry.clone();
                     worker.incarnation = entry.incarnation;
                     worker.was_leaving = entry.is_leaving;
                 }
-                worker.is_noted_silent = noted.contains(name);
+                worker.is_recorded_silent = recorded_as_silent.contains(name);
                 workers.insert(worker)
             })
         });
@@ -61,20 +61,20 @@
             return;
         };
         // A former owner may have died before it could tell.
-        if job.phase.rank() > job.told.rank() {
-            job.told = job.phase;
-            self.writer.tell(id, job.state());
+        if job.phase.stage() > job.published.stage() {
+            job.published = job.phase;
+            self.writer.publish(id, job.state());
         }
         if job.phase.is_final() {
-            self.over.insert(id, job.submission);
+            self.finished_jobs.insert(id, job.submission);
             return;
         }
         let is_new = job.open_occurrences(now, &self.bounds);
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
         self.live.push(key);
-        self.inherit_runs(key);
-        self.inherit_losses(key);
+        self.recover_runs(key);
+        self.recover_lost_runs(key);
         self.must_place |= is_new;
         if record.is_cancelled {
             self.cancel(id, now, actions);
@@ -83,40 +83,40 @@
 
     /// Time after which a worker that this owner never reached holds nothing of a former
     /// one: that one stops within a while of losing its confirmation.
-    fn foreign_lapse_ms(&self, now_ms: u64) -> u64 {
-        now_ms + CONFIRMED_MOST_MS + self.lease_span_ms()
+    fn foreign_expiry_ms(&self, now_ms: u64) -> u64 {
+        now_ms + MAX_UNCONFIRMED_MS + self.lease_span_ms()
     }
 
     /// Lease that is given with looks and starts.
     pub(crate) fn lease_ms(&self) -> u64 {
-        self.bounds.lease_most_ms.min(LEASE_MS)
+        self.bounds.max_lease_ms.min(LEASE_MS)
     }
 
     /// Longest time from sending an order with a lease until that lease is over.
     pub(crate) fn lease_span_ms(&self) -> u64 {
-        self.lease_ms() * CLOCK_SKEW_PERMILLE / 1_000 + LAPSE_SLACK_MS
+        self.lease_ms() * CLOCK_SKEW_PERMILLE / 1_000 + LEASE_SLACK_MS
     }
 
     /// Longest time for which a worker grants a lease, whatever is asked for.
-    pub(crate) fn longest_lease_span_ms(&self) -> u64 {
-        self.bounds.lease_most_ms * CLOCK_SKEW_PERMILLE / 1_000 + LAPSE_SLACK_MS
+    pub(crate) fn max_lease_span_ms(&self) -> u64 {
+        self.bounds.max_lease_ms * CLOCK_SKEW_PERMILLE / 1_000 + LEASE_SLACK_MS
     }
 
-    fn inherit_runs(&mut self, key: JobKey) {
+    fn recover_runs(&mut self, key: JobKey) {
         let job = &self.jobs[key];
-        let mut placed = Vec::new();
+        let mut placement = Vec::new();
         job.for_each_task(|id, task| {
-            placed.extend(task.placed.map(|placed| (id, placed)));
-            placed.extend(task.copy.map(|copy| (id, copy)));
+            placement.extend(task.placement.map(|placement| (id, placement)));
+            placement.extend(task.copy.map(|copy| (id, copy)));
         });
-        for (id, at) in placed {
+        for (id, at) in placement {
             let mut run = self.make_run(key, id, RunPhase::Inherited, 0);
             run.is_probe = self.suspected_at(id).is_some();
             if let Some(worker) = self.workers.get_mut(at.worker) {
                 // Its end may have been listed, and passed over, while the job was not read. A
                 // run that is neither there nor known to have ended counts as lost, and its
                 // task would run again. The worker still holds the ends that are not on record.
-                worker.handled = worker.recorded;
+                worker.handled_exit = worker.recorded_exit;
                 // It was met there before its job was read.
                 worker.remove(id, at.run);
                 worker.add(id, at.run, run);
@@ -137,10 +137,10 @@
 
     /// Makes a worker of which only what the list says is known. One that is on record as
     /// silent gets no lease before it is on record no more.
-    pub(crate) fn meet(&self, entry: WorkerEntry, now_ms: u64) -> Worker {
-        let is_noted_silent = self.noted_silent.contains(&entry.id);
-        let mut worker = Worker::new(entry, self.foreign_lapse_ms(now_ms));
-        worker.is_noted_silent = is_noted_silent;
+    pub(crate) fn make_worker(&self, entry: WorkerEntry, now_ms: u64) -> Worker {
+        let is_recorded_silent = self.recorded_silent.contains(&entry.id);
+        let mut worker = Worker::new(entry, self.foreign_expiry_ms(now_ms));
+        worker.is_recorded_silent = is_recorded_silent;
         worker
     }
 
@@ -152,7 +152,7 @@
         actions: &mut Vec<Action>,
     ) {
         let mut unlisted = Vec::new();
-        for id in self.worker_keys.keys().chain(self.noted_workers.keys()) {
+        for id in self.worker_keys.keys().chain(self.recorded_workers.keys()) {
             if !entries.contains_key(id) {
                 unlisted.push(id.clone());
             }
@@ -160,7 +160,7 @@
         for id in entries.keys().chain(&unlisted) {
             self.list_worker(id, entries.get(id), now, actions);
         }
-        self.spread_first_looks(now.steady_ms);
+        self.spread_first_polls(now.steady_ms);
     }
 
     /// Takes in what the platform says of a worker, if it lists it. Most reports say what the
@@ -181,11 +181,11 @@
             (Some(key), None) => self.workers[key].is_listed,
             (None, entry) => entry.is_some(),
         };
-        let is_noted = self.noted_workers.contains_key(id);
-        if !is_news && is_noted == entry.is_some() {
+        let is_recorded = self.recorded_workers.contains_key(id);
+        if !is_news && is_recorded == entry.is_some() {
             return;
         }
-        self.unnoted.insert(id.into());
+        self.unrecorded_workers.insert(id.into());
         self.must_place = true;
         match (known, entry) {
             (Some(key), Some(entry)) => {
@@ -197,11 +197,11 @@
                         format!("runs={}", worker.runs.len()),
                     )));
                 }
-                worker.take_entry(entry.clone());
+                worker.update_entry(entry.clone());
             }
             (Some(key), None) => self.workers[key].is_listed = false,
             (None, Some(entry)) => {
-                let worker = self.meet(entry.clone(), now.steady_ms);
+                let worker = self.make_worker(entry.clone(), now.steady_ms);
                 let key = self.workers.insert(worker);
                 self.worker_keys.insert(id.into(), key);
             }
--- a/crates/dispatch/src/owner/calls.rs
+++ b/crates/dispatch/src/owner/calls.rs
@@ -2,13 +2,13 @@
 
 use crate::event::Action;
 use crate::event::Now;
-use crate::event::OrderEnd;
+use crate::event::OrderOutcome;
 use crate::event::Refusal;
 use crate::event::WorkerCall;
 use crate::ids::TaskId;
 use crate::owner::Owner;
 use crate::owner::Stepdown;
-use crate::owner::worker::Fate;
+use crate::owner::worker::RemovalReason;
 use crate::owner::worker::WorkerKey;
 
 /// Time by which a worker's clock is off what was expected when it counts anew. Clocks are slow by
@@ -18,10 +18,10 @@
 /// What an order in flight was for.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Purpose {
-    Look {
+    Poll {
         sent_ms: u64,
         /// Newest end that the worker was told to forget.
-        seen: u64,
+        acknowledged_exit: u64,
     },
     Start {
         task: TaskId,
@@ -31,7 +31,7 @@
         task: TaskId,
         run: u32,
     },
-    Pace {
+    SetShare {
         task: TaskId,
         run: u32,
         percent: u32,
@@ -50,42 +50,45 @@
 
 impl Owner {
     /// Takes in the end of an order, if it is one of this owner.
-    pub(crate) fn take_order(
+    pub(crate) fn handle_order_outcome(
         &mut self,
         ticket: u64,
-        end: OrderEnd,
+        outcome: OrderOutcome,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
         let Some(order) = self.orders.remove(&ticket) else {
             return;
         };
-        self.note_lateness(order, &end, now.steady_ms);
+        self.record_lateness(order, &outcome, now.steady_ms);
         let Order {
             worker, purpose, ..
         } = order;
-        if end == OrderEnd::Refused(Refusal::Fence) {
+        if outcome == OrderOutcome::Refused(Refusal::Fence) {
             self.stepdown = Some(Stepdown::Fenced);
             return;
         }
         if !self.workers.contains_key(worker) {
             return;
         }
-        if end == OrderEnd::Refused(Refusal::Gone) {
-            self.bury(worker, Fate::Replaced, now, actions);
+        if outcome == OrderOutcome::Refused(Refusal::Gone) {
+            self.remove_worker(worker, RemovalReason::Replaced, now, actions);
             return;
         }
-        if let OrderEnd::Done { clock_ms, .. } = &end {
+        if let OrderOutcome::Done { clock_ms, .. } = &outcome {
             self.set_clock(worker, *clock_ms, now.steady_ms);
         }
         match purpose {
-            Purpose::Look { sent_ms, seen } => {
-                self.end_look(worker, sent_ms, seen, end, now, actions);
+            Purpose::Poll {
+                sent_ms,
+                acknowledged_exit,
+            } => {
+                self.on_poll(worker, sent_ms, acknowledged_exit, outcome, now, actions);
             }
-            Purpose::Start { task, run } => self.end_start(worker, task, run, end, now, actions),
-            Purpose::Stop { task, run } => self.end_stop(worker, task, run, end, now),
-            Purpose::Pace { task, run, percent } => {
-                self.end_pace(worker, task, run, percent, &end, now.steady_ms);
+            Purpose::Start { task, run } => self.on_start(worker, task, run, outcome, now, actions),
+            Purpose::Stop { task, run } => self.on_stop(worker, task, run, outcome, now),
+            Purpose::SetShare { task, run, percent } => {
+                self.on_share_change(worker, task, run, percent, &outcome, now.steady_ms);
             }
         }
     }
@@ -94,28 +97,28 @@
     /// has started again, and what it was told by its former clock it grants for as long as it ever
     /// does. Answers to orders tell that before a look does.
     fn set_clock(&mut self, key: WorkerKey, clock_ms: u64, now_ms: u64) {
-        let longest_ms = now_ms + self.longest_lease_span_ms();
+        let longest_ms = now_ms + self.max_lease_span_ms();
         let worker = &mut self.workers[key];
         let expected_ms = worker.clock_ms(now_ms);
         if expected_ms.is_some_and(|expected_ms| expected_ms.abs_diff(clock_ms) > CLOCK_JUMP_MS) {
-            worker.lapsed_ms = worker.lapsed_ms.max(longest_ms);
-            worker.next_look_ms = now_ms;
+            worker.leases_expired_ms = worker.leases_expired_ms.max(longest_ms);
+            worker.next_poll_ms = now_ms;
         }
         worker.clock = Some((clock_ms, now_ms));
     }
 
     /// Learns what answers take. One that came before its wait was over tells nothing, as the
     /// worker may have given it at any time.
-    fn note_lateness(&mut self, order: Order, end: &OrderEnd, now_ms: u64) {
+    fn record_lateness(&mut self, order: Order, outcome: &OrderOutcome, now_ms: u64) {
         let took_ms = now_ms.saturating_sub(order.sent_ms);
-        match end {
-            OrderEnd::NotSent => {}
-            OrderEnd::Unknown => {
-                self.answers.note_missing(now_ms);
+        match outcome {
+            OrderOutcome::NotSent => {}
+            OrderOutcome::Unknown => {
+                self.answers.record_missing(now_ms);
                 self.pass_over_relay(order.worker, now_ms);
             }
             _ if took_ms >= order.wait_ms => {
-                self.answers.note_answer(took_ms - order.wait_ms, now_ms);
+                self.answers.record_answer(took_ms - order.wait_ms, now_ms);
             }
             _ => {}
         }
@@ -132,7 +135,7 @@
         actions: &mut Vec<Action>,
     ) {
         let wait_ms = match call {
-            WorkerCall::Look { wait_ms, .. } => wait_ms,
+            WorkerCall::Poll { wait_ms, .. } => wait_ms,
             _ => 0,
         };
         *tickets += 1;
@@ -143,7 +146,7 @@
             wait_ms,
         };
         self.orders.insert(*tickets, order);
-        let timeout_ms = wait_ms + self.patience_ms(worker);
+        let timeout_ms = wait_ms + self.answer_timeout_ms(worker);
         if self.relay(*tickets, worker, &call, timeout_ms, now_ms) {
             return;
         }
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -12,9 +12,9 @@
 use crate::incarnation::Incarnation;
 use crate::owner::Owner;
 use crate::owner::job::JobKey;
-use crate::owner::task::Loss;
+use crate::owner::task::LostRun;
 use crate::owner::task::Task;
-use crate::owner::worker::Fate;
+use crate::owner::worker::RemovalReason;
 use crate::owner::worker::Run;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::Worker;
@@ -47,10 +47,10 @@
 }
 
 impl LostWorker {
-    fn new(loss: &Loss, span: Option<Span>) -> Self {
+    fn new(lost_run: &LostRun, span: Option<Span>) -> Self {
         Self {
-            address: loss.address.clone(),
-            incarnation: loss.incarnation,
+            address: lost_run.address.clone(),
+            incarnation: lost_run.incarnation,
             span,
             tasks: BTreeSet::new(),
         }
@@ -69,7 +69,7 @@
     /// When it crashed, if it did; not known of one that this owner never heard.
     span: Option<Span>,
     /// What is lost, by task or gang.
-    losses: Vec<(TaskId, Loss)>,
+    lost_runs: Vec<(TaskId, LostRun)>,
 }
 
 /// What is known of crashes.
@@ -103,14 +103,14 @@
 }
 
 /// Adds what went with a worker. Members of a gang go with it as one.
-fn add_loss(losses: &mut Vec<(TaskId, Loss)>, unit: TaskId, loss: Loss) {
-    let mut known = losses.iter_mut();
-    match known.find(|(other, former)| *other == unit && former.run == loss.run) {
-        Some((_, former)) => {
-            former.is_suspect |= loss.is_suspect;
-            former.is_confirmed |= loss.is_confirmed;
+fn add_lost_run(lost_runs: &mut Vec<(TaskId, LostRun)>, unit: TaskId, lost_run: LostRun) {
+    let mut known = lost_runs.iter_mut();
+    match known.find(|(other, previous)| *other == unit && previous.run == lost_run.run) {
+        Some((_, previous)) => {
+            previous.is_suspect |= lost_run.is_suspect;
+            previous.is_confirmed |= lost_run.is_confirmed;
         }
-        None => losses.push((unit, loss)),
+        None => lost_runs.push((unit, lost_run)),
     }
 }
 
@@ -124,22 +124,22 @@
     /// hardly there.
     fn may_have_begun(&self) -> bool {
         match self.phase {
-            RunPhase::Recording => self.tries > 0,
-            RunPhase::Stopped { .. } => self.was_there,
+            RunPhase::Recording => self.start_attempts > 0,
+            RunPhase::Stopped { .. } => self.was_confirmed,
             _ => true,
         }
     }
 
     /// Tells whether it may be the cause if its worker crashes.
     pub(crate) fn is_suspect(&self) -> bool {
-        !self.is_sound && self.may_have_begun()
+        !self.is_stable && self.may_have_begun()
     }
 }
 
 impl Worker {
     /// Gives the time in which it has crashed, if it has.
     fn span(&self, now_ms: u64) -> Span {
-        (self.answered_ms, self.missed_ms.unwrap_or(now_ms))
+        (self.answered_ms, self.first_missed_ms.unwrap_or(now_ms))
     }
 }
 
@@ -161,7 +161,12 @@
     }
 
     /// Gives what goes with a worker that is given up, as it speaks against the tasks.
-    pub(super) fn describe_fall(&self, key: WorkerKey, fate: Fate, now_ms: u64) -> Fall {
+    pub(super) fn describe_fall(
+        &self,
+        key: WorkerKey,
+        removal_reason: RemovalReason,
+        now_ms: u64,
+    ) -> Fall {
         let worker = &self.workers[key];
         let begun = worker.runs.iter().filter(|(_, run)| run.may_have_begun());
         let suspects: BTreeSet<TaskId> = begun
@@ -169,33 +174,33 @@
             .filter(|(_, run)| run.is_suspect())
             .map(|((task, _), _)| self.unit(*task))
             .collect();
-        let mut losses = Vec::new();
+        let mut lost_runs = Vec::new();
         for ((task, number), run) in begun {
             // What had worked for a while is no explanation as long as there is another one.
-            let is_counted = run.is_suspect() || suspects.is_empty() && !run.is_lasting;
+            let is_counted = run.is_suspect() || suspects.is_empty() && !run.is_long_running;
             // Nobody can be met again at an address that is not known.
-            if run.is_stray || !is_counted || worker.entry.address.is_empty() {
+            if run.is_orphan || !is_counted || worker.entry.address.is_empty() {
                 continue;
             }
-            let loss = Loss {
+            let lost_run = LostRun {
                 worker: worker.entry.id.clone(),
                 address: worker.entry.address.clone(),
                 incarnation: worker.incarnation,
                 run: *number,
                 is_suspect: run.is_suspect(),
-                is_alone: suspects.len() == 1,
+                is_sole_suspect: suspects.len() == 1,
                 is_confirmed: matches!(run.phase, RunPhase::Present { .. }),
             };
-            add_loss(&mut losses, self.unit(*task), loss);
+            add_lost_run(&mut lost_runs, self.unit(*task), lost_run);
         }
-        let is_replaced = fate.is_replaced();
+        let is_replaced = removal_reason.is_replaced();
         Fall {
             worker: worker.entry.id.clone(),
             is_planned: worker.was_leaving,
             is_replaced,
             is_unexplained: (is_replaced || worker.is_silent()) && suspects.is_empty(),
             span: worker.is_known.then(|| worker.span(now_ms)),
-            losses,
+            lost_runs,
         }
     }
 
@@ -207,15 +212,21 @@
         if let Some(span) = fall.span.filter(|_| fall.is_unexplained) {
             self.crashes.keep(fall.worker.clone(), span, now.steady_ms);
         }
-        for (task, loss) in fall.losses {
-            self.note_loss(task, loss, fall.span, now.steady_ms);
+        for (task, lost_run) in fall.lost_runs {
+            self.record_lost_run(task, lost_run, fall.span, now.steady_ms);
         }
         if fall.is_replaced {
             self.settle(&fall.worker, true, now, actions);
         }
     }
 
-    fn note_loss(&mut self, task: TaskId, loss: Loss, span: Option<Span>, now_ms: u64) {
+    fn record_lost_run(
+        &mut self,
+        task: TaskId,
+        lost_run: LostRun,
+        span: Option<Span>,
+        now_ms: u64,
+    ) {
         let Some(key) = self.job_keys.get(&task.job).copied() else {
             return;
         };
@@ -226,24 +237,24 @@
         let lost = self
             .crashes
             .lost
-            .entry(loss.worker.clone())
-            .or_insert_with(|| LostWorker::new(&loss, span));
+            .entry(lost_run.worker.clone())
+            .or_insert_with(|| LostWorker::new(&lost_run, span));
         lost.tasks.insert(task);
-        state.note_loss(loss, now_ms);
+        state.record_lost_run(lost_run, now_ms);
         job.is_dirty = true;
     }
 
     /// Takes up what former owners have put on record of a job's losses.
-    pub(super) fn inherit_losses(&mut self, key: JobKey) {
+    pub(super) fn recover_lost_runs(&mut self, key: JobKey) {
         let mut inherited = Vec::new();
         self.jobs[key].for_each_task(|id, task| {
-            for loss in &task.losses {
-                inherited.push((id, loss.clone()));
+            for lost_run in &task.lost_runs {
+                inherited.push((id, lost_run.clone()));
             }
         });
-        for (task, loss) in inherited {
-            let lost = LostWorker::new(&loss, None);
-            let lost = self.crashes.lost.entry(loss.worker).or_insert(lost);
+        for (task, lost_run) in inherited {
+            let lost = LostWorker::new(&lost_run, None);
+            let lost = self.crashes.lost.entry(lost_run.worker).or_insert(lost);
             lost.tasks.insert(task);
         }
     }
@@ -251,7 +262,7 @@
     /// Learns from the first answer of an incarnation what became of those that were lost: the
     /// former one at its address, or under its id, has crashed, and one that answers itself has
     /// not.
-    pub(super) fn settle_lost(&mut self, key: WorkerKey, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn resolve_lost(&mut self, key: WorkerKey, now: Now, actions: &mut Vec<Action>) {
         let worker = &self.workers[key];
         let mut settled = Vec::new();
         for (id, lost) in &self.crashes.lost {
@@ -288,16 +299,16 @@
             return;
         };
         let mut is_excused = lost.span.is_some_and(|span| self.is_outage(id, span));
-        let mut losses = Vec::new();
+        let mut lost_runs = Vec::new();
         for task in lost.tasks {
             let Some(key) = self.job_keys.get(&task.job).copied() else {
                 continue;
             };
             let job = &mut self.jobs[key];
             if let Some(state) = job.task_mut(task) {
-                let taken = state.take_losses(id);
+                let taken = state.take_lost_runs(id);
                 job.is_dirty = true;
-                losses.extend(taken.into_iter().map(|loss| (key, task, loss)));
+                lost_runs.extend(taken.into_iter().map(|lost_run| (key, task, lost_run)));
             }
         }
         if !has_crashed {
@@ -305,12 +316,12 @@
         }
         // Those that are suspected most come first: what one of them has done for certain raises no
         // suspicion against the others.
-        losses.sort_by_key(|(key, task, _)| {
+        lost_runs.sort_by_key(|(key, task, _)| {
             let state = self.jobs[*key].task(*task);
             Reverse(state.map_or(0, |state| state.suspicion.confirmed))
         });
-        for (key, task, loss) in losses {
-            is_excused |= self.count_crash(key, task, &loss, is_excused, now, actions);
+        for (key, task, lost_run) in lost_runs {
+            is_excused |= self.count_crash(key, task, &lost_run, is_excused, now, actions);
         }
     }
 
@@ -319,27 +330,27 @@
         &mut self,
         key: JobKey,
         task: TaskId,
-        loss: &Loss,
+        lost_run: &LostRun,
         is_excused: bool,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> bool {
         let job = &mut self.jobs[key];
-        let is_lasting = job.step(task).is_some_and(|step| step.is_lasting);
+        let is_long_running = job.step(task).is_some_and(|step| step.is_long_running);
         let Some(state) = job.task_mut(task) else {
             return false;
         };
-        if state.suspicion.is_counted(loss.run) {
+        if state.suspicion.is_counted(lost_run.run) {
             return false;
         }
         let crash = Crash {
-            run: loss.run,
-            address: &loss.address,
-            is_suspect: loss.is_suspect,
-            is_confirmed: loss.is_confirmed,
-            is_alone: loss.is_alone,
+            run: lost_run.run,
+            address: &lost_run.address,
+            is_suspect: lost_run.is_suspect,
+            is_confirmed: lost_run.is_confirmed,
+            is_sole_suspect: lost_run.is_sole_suspect,
             is_excused,
-            is_lasting,
+            is_long_running,
         };
         let is_to_blame = state.suspicion.count(&crash) && !state.is_done;
         let Suspicion {
@@ -350,12 +361,12 @@
             task.to_string(),
             format!(
                 "run={} worker={} address={} suspect={} there={} alone={} excused={is_excused} confirmed={confirmed} crashes={crashes}",
-                loss.run,
-                loss.worker,
-                loss.address,
-                loss.is_suspect,
-                loss.is_confirmed,
-                loss.is_alone
+                lost_run.run,
+                lost_run.worker,
+                lost_run.address,
+                lost_run.is_suspect,
+                lost_run.is_confirmed,
+                lost_run.is_sole_suspect
             ),
         )));
         if is_to_blame {
@@ -383,30 +394,30 @@
             task.job.to_string(),
             format!("task={task} why=crashes confirmed={confirmed} crashes={crashes}"),
         )));
-        self.figures.given_up += 1;
+        self.stats.given_up += 1;
         self.finish(key, JobPhase::Failed, now, actions);
     }
 
     /// Counts a start of a task that may have crashed workers before.
-    pub(super) fn note_start(&mut self, key: JobKey, task: TaskId) {
+    pub(super) fn record_start(&mut self, key: JobKey, task: TaskId) {
         // One member stands for its gang.
         if self.unit(task) == task
             && let Some(state) = self.jobs[key].task_mut(task)
         {
-            state.suspicion.note_start(state.unsettled());
+            state.suspicion.record_start(state.unsettled());
         }
     }
 
     /// Takes in that a start was refused, so that it was none; of a gang other members may have
     /// begun.
-    pub(super) fn take_back_start(&mut self, task: TaskId) {
+    pub(super) fn undo_start(&mut self, task: TaskId) {
         let Some(key) = self.job_keys.get(&task.job).copied() else {
             return;
         };
         let job = &mut self.jobs[key];
         let is_gang = job.step(task).is_some_and(|step| step.is_gang);
         if let Some(state) = job.task_mut(task).filter(|_| !is_gang) {
-            state.suspicion.take_back_start();
+            state.suspicion.undo_start();
         }
     }
 
@@ -429,36 +440,36 @@
             return;
         };
         if let Some(state) = self.jobs[key].task_mut(task) {
-            state.mishaps = 0;
+            state.failed_starts = 0;
         }
         let job = &self.jobs[key];
         let (Some(step), Some(state)) = (job.step(task), job.task(unit)) else {
             return;
         };
-        let is_lasting = step.is_lasting;
-        let is_open = state.is_suspect() || is_lasting && state.suspicion.crashes > 0;
-        if !is_open || step.is_gang && !self.is_gang_sound(key, task) {
+        let is_long_running = step.is_long_running;
+        let is_open = state.is_suspect() || is_long_running && state.suspicion.crashes > 0;
+        if !is_open || step.is_gang && !self.is_gang_stable(key, task) {
             return;
         }
         let job = &mut self.jobs[key];
         if let Some(state) = job.task_mut(unit) {
-            state.suspicion.clear(is_lasting);
-            state.losses.retain(|loss| !loss.is_suspect);
+            state.suspicion.clear(is_long_running);
+            state.lost_runs.retain(|lost_run| !lost_run.is_suspect);
             job.is_dirty = true;
         }
     }
 
-    fn is_gang_sound(&self, key: JobKey, member: TaskId) -> bool {
+    fn is_gang_stable(&self, key: JobKey, member: TaskId) -> bool {
         let job = &self.jobs[key];
         let count = job.step(member).map_or(0, |step| step.count) as u16;
         (0..count).all(|index| {
             let id = TaskId { index, ..member };
-            let placed = job.task(id).and_then(|task| task.placed);
-            let run = placed.and_then(|placed| {
-                let worker = self.workers.get(placed.worker)?;
-                worker.runs.get(&(id, placed.run))
+            let placement = job.task(id).and_then(|task| task.placement);
+            let run = placement.and_then(|placement| {
+                let worker = self.workers.get(placement.worker)?;
+                worker.runs.get(&(id, placement.run))
             });
-            run.is_some_and(|run| run.is_sound)
+            run.is_some_and(|run| run.is_stable)
         })
     }
 
@@ -469,8 +480,12 @@
         if !state.is_suspect() {
             return None;
         }
-        let unsettled = state.losses.iter().rev().find(|loss| loss.may_be_cause());
-        let address = unsettled.map_or(&state.suspicion.address, |loss| &loss.address);
+        let unsettled = state
+            .lost_runs
+            .iter()
+            .rev()
+            .find(|lost_run| lost_run.may_be_cause());
+        let address = unsettled.map_or(&state.suspicion.address, |lost_run| &lost_run.address);
         Some(address.clone())
     }
 }
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -1,23 +1,23 @@
 //! What the end of a run means for its task and job.
 
 use crate::event::Action;
-use crate::event::Manner;
+use crate::event::ExitReason;
 use crate::event::Now;
 use crate::ids::TaskId;
 use crate::owner::Owner;
 use crate::owner::job::JobKey;
-use crate::owner::task::Placed;
+use crate::owner::task::Placement;
 use crate::owner::worker::WorkerKey;
-use crate::policy::stragglers::Pace;
+use crate::policy::stragglers::Speed;
 use crate::record::JobPhase;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
 /// Failures in a row after which a worker gets nothing new for a while.
-const FAILURES_MOST: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 /// That while, doubled with the next failure. A worker that has recovered must not stand
 /// empty for long: tasks that last must run again within seconds where there is room.
-const FAILED_SHUN_MS: u64 = 1_500;
+const FAILED_AVOID_MS: u64 = 1_500;
 /// Pause before a task that ended badly is started again, doubled with each further time.
 const AGAIN_MS: u64 = 30;
 
@@ -27,74 +27,83 @@
         clippy::too_many_arguments,
         reason = "These are the columns of one row."
     )]
-    pub(crate) fn apply_end(
+    pub(crate) fn apply_run_exit(
         &mut self,
         key: WorkerKey,
         task: TaskId,
         number: u32,
-        manner: Manner,
+        exit_reason: ExitReason,
         checkpoint: &str,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
         self.must_place = true;
         let Some(run) = self.workers[key].remove(task, number) else {
-            if manner == Manner::Done {
-                self.accept_late_end(task, now, actions);
+            if exit_reason == ExitReason::Done {
+                self.accept_late_exit(task, now, actions);
             }
             return;
         };
-        match manner {
-            Manner::Done => self.figures.done += 1,
-            Manner::Failed => self.figures.failed += 1,
-            _ => self.figures.broken += 1,
+        match exit_reason {
+            ExitReason::Done => self.stats.done += 1,
+            ExitReason::Failed => self.stats.failed += 1,
+            _ => self.stats.broken += 1,
         }
-        let is_first = self.task(task).is_none_or(|task| task.mishaps == 0);
-        self.judge_worker(key, manner, is_first, now.steady_ms);
-        if manner != Manner::Done {
+        let is_first = self.task(task).is_none_or(|task| task.failed_starts == 0);
+        self.judge_worker(key, exit_reason, is_first, now.steady_ms);
+        if exit_reason != ExitReason::Done {
             actions.push(Action::Note(Note::new(
                 Code::RunBroken,
                 task.to_string(),
                 format!(
-                    "run={number} worker={} how={manner:?} percent={} stray={}",
-                    self.workers[key].entry.id, run.percent, run.is_stray
+                    "run={number} worker={} how={exit_reason:?} percent={} stray={}",
+                    self.workers[key].entry.id, run.percent, run.is_orphan
                 ),
             )));
         }
-        if run.is_stray {
+        if run.is_orphan {
             return;
         }
         let Some(job) = self.job_keys.get(&task.job).copied() else {
             return;
         };
-        if manner == Manner::Done && run.first_percent == 0 {
-            let took_ms = now.steady_ms.saturating_sub(run.begun_ms);
+        if exit_reason == ExitReason::Done && run.first_percent == 0 {
+            let took_ms = now.steady_ms.saturating_sub(run.started_ms);
             let job = &mut self.jobs[job];
             self.durations
-                .note(&job.submission.queue, run.is_filler, took_ms);
+                .note(&job.submission.queue, run.is_best_effort, took_ms);
             if let Some(step) = job.step_mut(task) {
                 step.ended += 1;
                 step.ended_ms += took_ms;
-                let pace = Pace {
+                let speed = Speed {
                     projected_ms: took_ms,
                     usual_ms: step.ended_ms / u64::from(step.ended),
                 };
-                self.workers[key].note_pace(pace, now.steady_ms);
+                self.workers[key].record_speed(speed, now.steady_ms);
             }
         }
-        self.end_run(job, key, task, number, manner, checkpoint, now, actions);
+        self.end_run(
+            job,
+            key,
+            task,
+            number,
+            exit_reason,
+            checkpoint,
+            now,
+            actions,
+        );
     }
 
     /// Takes a task for done whose run ended well before it was given up, and is told of
     /// only now: its worker was cut off until its lease was over. Whatever was started in
     /// its place is stopped, and it never starts again.
-    fn accept_late_end(&mut self, id: TaskId, now: Now, actions: &mut Vec<Action>) {
+    fn accept_late_exit(&mut self, id: TaskId, now: Now, actions: &mut Vec<Action>) {
         let Some(key) = self.job_keys.get(&id.job).copied() else {
             return;
         };
         let job = &mut self.jobs[key];
-        let is_lasting = job.step(id).is_some_and(|step| step.is_lasting);
-        if is_lasting || job.phase.is_final() {
+        let is_long_running = job.step(id).is_some_and(|step| step.is_long_running);
+        if is_long_running || job.phase.is_final() {
             return;
         }
         if job.task_mut(id).is_none_or(|task| task.is_done) {
@@ -122,7 +131,7 @@
             }
             task.is_done = true;
             let own = TaskId { index, ..id };
-            rivals.extend(task.placed.take().map(|run| (own, run)));
+            rivals.extend(task.placement.take().map(|run| (own, run)));
             rivals.extend(task.copy.take().map(|run| (own, run)));
         }
         step.recount();
@@ -135,18 +144,24 @@
 
     /// Learns from an end whether a worker fails whatever it starts. A task that has just failed on
     /// another one says nothing of this one: it would take each worker from everybody in turn.
-    fn judge_worker(&mut self, key: WorkerKey, manner: Manner, is_first: bool, now_ms: u64) {
+    fn judge_worker(
+        &mut self,
+        key: WorkerKey,
+        exit_reason: ExitReason,
+        is_first: bool,
+        now_ms: u64,
+    ) {
         if !self.bounds.policy.avoids_failing_workers {
             return;
         }
         let worker = &mut self.workers[key];
-        match manner {
-            Manner::Done => worker.failures_in_row = 0,
-            Manner::Failed if is_first => {
-                worker.failures_in_row += 1;
-                if worker.failures_in_row >= FAILURES_MOST {
-                    let doublings = (worker.failures_in_row - FAILURES_MOST).min(1);
-                    worker.shunned_until_ms = now_ms + (FAILED_SHUN_MS << doublings);
+        match exit_reason {
+            ExitReason::Done => worker.consecutive_failures = 0,
+            ExitReason::Failed if is_first => {
+                worker.consecutive_failures += 1;
+                if worker.consecutive_failures >= MAX_FAILURES {
+                    let doublings = (worker.consecutive_failures - MAX_FAILURES).min(1);
+                    worker.avoided_until_ms = now_ms + (FAILED_AVOID_MS << doublings);
                 }
             }
             _ => {}
@@ -163,7 +178,7 @@
         worker: WorkerKey,
         id: TaskId,
         number: u32,
-        manner: Manner,
+        exit_reason: ExitReason,
         checkpoint: &str,
         now: Now,
         actions: &mut Vec<Action>,
@@ -172,49 +187,49 @@
         if job.phase.is_final() {
             return;
         }
-        let is_lasting = job.step(id).is_some_and(|step| step.is_lasting);
-        let attempts_most = job.submission.attempts_most.max(1);
+        let is_long_running = job.step(id).is_some_and(|step| step.is_long_running);
+        let max_attempts = job.submission.max_attempts.max(1);
         let Some(task) = job.task_mut(id) else {
             return;
         };
-        let ended = Placed {
+        let ended = Placement {
             run: number,
             worker,
         };
-        if task.is_done || (task.placed != Some(ended) && task.copy != Some(ended)) {
+        if task.is_done || (task.placement != Some(ended) && task.copy != Some(ended)) {
             return;
         }
-        if manner == Manner::Done && !is_lasting {
-            task.let_go(ended);
+        if exit_reason == ExitReason::Done && !is_long_running {
+            task.release_run(ended);
             self.complete_task(key, id);
             if self.jobs[key].is_finished() {
                 self.finish(key, JobPhase::Completed, now, actions);
             }
             return;
         }
-        task.let_go(ended);
+        task.release_run(ended);
         if !checkpoint.is_empty() {
             task.checkpoint = checkpoint.into();
         }
-        task.wait_longer(AGAIN_MS, now.steady_ms);
-        if manner == Manner::Failed {
+        task.back_off(AGAIN_MS, now.steady_ms);
+        if exit_reason == ExitReason::Failed {
             task.failed_on = Some(worker);
-            task.failures += u32::from(!is_lasting);
+            task.failures += u32::from(!is_long_running);
         }
         let failures = task.failures;
         job.has_waiting = true;
         job.is_dirty = true;
         let is_gang = job.step(id).is_some_and(|step| step.is_gang);
-        let mut has_failed = failures >= attempts_most;
+        let mut has_failed = failures >= max_attempts;
         if let Some(step) = job.step_mut(id) {
             step.recount();
-            has_failed |= is_gang && step.gang_failures() >= attempts_most;
+            has_failed |= is_gang && step.gang_failures() >= max_attempts;
         }
         if has_failed {
             actions.push(Action::Note(Note::new(
                 Code::JobFailed,
                 id.job.to_string(),
-                format!("task={id} failures={attempts_most}"),
+                format!("task={id} failures={max_attempts}"),
             )));
             self.finish(key, JobPhase::Failed, now, actions);
         } else if is_gang {
@@ -222,16 +237,16 @@
         }
     }
 
-    fn stop_rival(&mut self, task: TaskId, rival: Placed) {
+    fn stop_rival(&mut self, task: TaskId, rival: Placement) {
         let Some(worker) = self.workers.get_mut(rival.worker) else {
             return;
         };
         let Some(run) = worker.runs.get_mut(&(task, rival.run)) else {
             return;
         };
-        run.is_stray = true;
+        run.is_orphan = true;
         worker.has_orders = true;
-        if run.halt() {
+        if run.request_stop() {
             worker.remove(task, rival.run);
         }
     }
@@ -245,18 +260,18 @@
         let Some(job_key) = self.job_keys.get(&id.job).copied() else {
             return;
         };
-        if run.is_stray {
+        if run.is_orphan {
             return;
         }
         let job = &mut self.jobs[job_key];
         let Some(task) = job.task_mut(id) else {
             return;
         };
-        let lost = Placed {
+        let lost = Placement {
             run: number,
             worker: key,
         };
-        if !task.let_go(lost) {
+        if !task.release_run(lost) {
             return;
         }
         if !run.checkpoint.is_empty() {
--- a/crates/dispatch/src/owner/evacuating.rs
+++ b/crates/dispatch/src/owner/evacuating.rs
@@ -11,7 +11,7 @@
 
 impl Owner {
     /// Takes in which failure domains are evacuated.
-    pub(crate) fn note_evacuations(&mut self, evacuations: Rc<Evacuations>) {
+    pub(crate) fn set_evacuations(&mut self, evacuations: Rc<Evacuations>) {
         self.evacuations = evacuations;
         // What waited for a domain may have its turn there again.
         self.must_place = true;
--- a/crates/dispatch/src/owner/gangs.rs
+++ b/crates/dispatch/src/owner/gangs.rs
@@ -11,8 +11,8 @@
 use crate::owner::Owner;
 use crate::owner::job::JobKey;
 use crate::owner::job::StepState;
-use crate::owner::pricing::Wanted;
-use crate::owner::task::Placed;
+use crate::owner::pricing::TaskRequirements;
+use crate::owner::task::Placement;
 use crate::owner::worker::WorkerKey;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -22,11 +22,11 @@
     pub(crate) fn place_gang(
         &mut self,
         key: JobKey,
-        wanted: &Wanted<'_>,
+        requirements: &TaskRequirements<'_>,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let first = wanted.task;
+        let first = requirements.task;
         let Some(state) = self.jobs[key].step_mut(first) else {
             return false;
         };
@@ -49,12 +49,12 @@
             self.wake_ms = self.wake_ms.min(until_ms);
             return true;
         }
-        let count = wanted.step.count as usize;
+        let count = requirements.step.count as usize;
         let mut members = (0..count as u16).map(|index| TaskId { index, ..first });
-        if members.any(|member| self.is_astray(member)) {
+        if members.any(|member| self.has_orphan(member)) {
             return true;
         }
-        let Some(workers) = self.find_gang(wanted, count, now.steady_ms) else {
+        let Some(workers) = self.find_gang(requirements, count, now.steady_ms) else {
             return true;
         };
         for (index, worker) in workers.into_iter().enumerate() {
@@ -76,20 +76,20 @@
         let mut others = Vec::new();
         for (index, task) in state.tasks.iter().enumerate() {
             let index = index as u16;
-            if let Some(placed) = task.placed {
-                others.push((TaskId { index, ..id }, placed));
+            if let Some(placement) = task.placement {
+                others.push((TaskId { index, ..id }, placement));
             }
         }
-        for (task, placed) in others {
-            let Some(worker) = self.workers.get_mut(placed.worker) else {
+        for (task, placement) in others {
+            let Some(worker) = self.workers.get_mut(placement.worker) else {
                 continue;
             };
-            let Some(run) = worker.runs.get_mut(&(task, placed.run)) else {
+            let Some(run) = worker.runs.get_mut(&(task, placement.run)) else {
                 continue;
             };
             worker.has_orders = true;
-            if run.halt() {
-                self.lose_member(placed.worker, key, task, placed.run);
+            if run.request_stop() {
+                self.lose_member(placement.worker, key, task, placement.run);
             }
         }
     }
@@ -98,7 +98,7 @@
         self.workers[worker].remove(id, run);
         let job = &mut self.jobs[key];
         if let Some(task) = job.task_mut(id) {
-            task.let_go(Placed { run, worker });
+            task.release_run(Placement { run, worker });
         }
         if let Some(step) = job.step_mut(id) {
             step.recount();
@@ -107,30 +107,35 @@
     }
 
     /// Finds workers for all members: on one rack if that matters and is possible.
-    fn find_gang(&self, wanted: &Wanted<'_>, count: usize, now_ms: u64) -> Option<Vec<WorkerKey>> {
-        if wanted.step.is_rack_sensitive {
+    fn find_gang(
+        &self,
+        requirements: &TaskRequirements<'_>,
+        count: usize,
+        now_ms: u64,
+    ) -> Option<Vec<WorkerKey>> {
+        if requirements.step.is_rack_sensitive {
             let mut racks = BTreeSet::new();
             for worker in self.workers.values() {
                 racks.insert(&worker.entry.rack);
             }
             for rack in racks {
-                if let Some(workers) = self.fill_gang(wanted, count, Some(rack), now_ms) {
+                if let Some(workers) = self.fill_gang(requirements, count, Some(rack), now_ms) {
                     return Some(workers);
                 }
             }
         }
-        self.fill_gang(wanted, count, None, now_ms)
+        self.fill_gang(requirements, count, None, now_ms)
     }
 
     /// Takes the best workers one after the other, each for as many members as it holds.
     fn fill_gang(
         &self,
-        wanted: &Wanted<'_>,
+        requirements: &TaskRequirements<'_>,
         count: usize,
         rack: Option<&str>,
         now_ms: u64,
     ) -> Option<Vec<WorkerKey>> {
-        let mut ranked = self.rank(wanted, now_ms);
+        let mut ranked = self.rank_workers(requirements, now_ms);
         let mut chosen = Vec::with_capacity(count);
         while chosen.len() < count {
             let Reverse((_, key)) = ranked.pop()?;
@@ -138,14 +143,16 @@
             if rack.is_some_and(|rack| *worker.entry.rack != *rack) {
                 continue;
             }
-            let room = wanted.step.room();
+            let resources = requirements.step.resources();
             let mut free = worker.free();
             let mut members = 0;
-            while chosen.len() < count && free.holds(room) {
-                if wanted.step.per_worker_most > 0 && members == wanted.step.per_worker_most {
+            while chosen.len() < count && free.can_fit(resources) {
+                if requirements.step.max_per_worker > 0
+                    && members == requirements.step.max_per_worker
+                {
                     break;
                 }
-                free = free.minus(room);
+                free = free.minus(resources);
                 members += 1;
                 chosen.push(key);
             }
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -7,12 +7,12 @@
 //! whose order may still reach it, which it has to bar before they count as lost.
 
 use crate::event::Action;
-use crate::event::Listed;
 use crate::event::Now;
+use crate::event::WorkerReport;
 use crate::ids::TaskId;
 use crate::owner::Owner;
-use crate::owner::task::Placed;
-use crate::owner::worker::Fate;
+use crate::owner::task::Placement;
+use crate::owner::worker::RemovalReason;
 use crate::owner::worker::Run;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
@@ -76,42 +76,42 @@
 impl Owner {
     /// Takes in which incarnation of a worker has answered, and gives the key under which it is
     /// known from now on.
-    pub(super) fn meet_incarnation(
+    pub(super) fn match_incarnation(
         &mut self,
         key: WorkerKey,
-        listed: &Listed,
+        report: &WorkerReport,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> WorkerKey {
         let worker = &mut self.workers[key];
-        if listed.incarnation == worker.incarnation
-            || listed.incarnation.started_wall_ms().is_none()
+        if report.incarnation == worker.incarnation
+            || report.incarnation.started_wall_ms().is_none()
         {
             return key;
         }
-        let is_other = listed.incarnation.differs_from(worker.incarnation);
+        let is_other = report.incarnation.differs_from(worker.incarnation);
         if is_other && (worker.is_known || !worker.runs.is_empty()) {
-            return self.replace_incarnation(key, listed, now, actions);
+            return self.replace_incarnation(key, report, now, actions);
         }
-        worker.incarnation = listed.incarnation;
+        worker.incarnation = report.incarnation;
         worker.was_leaving = worker.entry.is_leaving && worker.is_reported();
-        self.unnoted.insert(worker.entry.id.clone());
+        self.unrecorded_workers.insert(worker.entry.id.clone());
         key
     }
 
     fn replace_incarnation(
         &mut self,
-        former: WorkerKey,
-        listed: &Listed,
+        previous: WorkerKey,
+        report: &WorkerReport,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> WorkerKey {
         let now_ms = now.steady_ms;
-        let kept = self.take_listed(former, listed);
-        self.note_burial(former, Fate::Restarted, now_ms, actions);
-        let fall = self.describe_fall(former, Fate::Restarted, now_ms);
-        let doubtful = self.take_doubtful(former, now_ms);
-        let key = self.begin_incarnation(former, listed, now_ms);
+        let kept = self.split_listed_runs(previous, report);
+        self.record_removal(previous, RemovalReason::Restarted, now_ms, actions);
+        let fall = self.describe_fall(previous, RemovalReason::Restarted, now_ms);
+        let doubtful = self.take_doubtful(previous, now_ms);
+        let key = self.begin_incarnation(previous, report, now_ms);
         for (task, number, mut run) in kept {
             run.phase = match run.phase {
                 // The promise not to start it later is gone with who gave it.
@@ -120,20 +120,20 @@
                 }
                 _ => RunPhase::Present { since_ms: now_ms },
             };
-            self.move_run(former, key, task, number, run);
+            self.move_run(previous, key, task, number, run);
         }
         for (task, number, mut run) in doubtful {
             run.phase = RunPhase::Stopping { again_ms: 0 };
-            self.move_run(former, key, task, number, run);
+            self.move_run(previous, key, task, number, run);
         }
-        let lost: Vec<(TaskId, u32)> = self.workers[former].runs.keys().copied().collect();
+        let lost: Vec<(TaskId, u32)> = self.workers[previous].runs.keys().copied().collect();
         for (task, run) in lost {
-            self.lose_run(former, task, run, now_ms);
+            self.lose_run(previous, task, run, now_ms);
         }
-        self.workers.remove(former);
+        self.workers.remove(previous);
         // Connections that were open to the former one may hang.
         let address = self.workers[key].entry.address.clone();
-        actions.push(Action::Forget { address });
+        actions.push(Action::Disconnect { address });
         self.take_fall(fall, now, actions);
         self.must_place = true;
         key
@@ -141,29 +141,39 @@
 
     /// Makes the worker that stands for the new incarnation. What is reported may still be of the
     /// former one; nothing new is given to it until that has changed.
-    fn begin_incarnation(&mut self, former: WorkerKey, listed: &Listed, now_ms: u64) -> WorkerKey {
-        let former = &self.workers[former];
-        let (entry, is_listed, clock) = (former.entry.clone(), former.is_listed, former.clock);
-        let mut worker = self.meet(entry, now_ms);
+    fn begin_incarnation(
+        &mut self,
+        previous: WorkerKey,
+        report: &WorkerReport,
+        now_ms: u64,
+    ) -> WorkerKey {
+        let previous = &self.workers[previous];
+        let (entry, is_listed, clock) =
+            (previous.entry.clone(), previous.is_listed, previous.clock);
+        let mut worker = self.make_worker(entry, now_ms);
         worker.is_listed = is_listed;
         // It came with the answer that tells of this incarnation.
         worker.clock = clock;
-        worker.incarnation = listed.incarnation;
+        worker.incarnation = report.incarnation;
         worker.was_leaving = worker.entry.is_leaving && worker.is_reported();
         // What it got by the clock of its former life it grants for as long as it ever does.
-        worker.lapsed_ms = now_ms + self.longest_lease_span_ms();
+        worker.leases_expired_ms = now_ms + self.max_lease_span_ms();
         let id = worker.entry.id.clone();
         let key = self.workers.insert(worker);
-        self.unnoted.insert(id.clone());
+        self.unrecorded_workers.insert(id.clone());
         self.worker_keys.insert(id, key);
         key
     }
 
     /// Takes the runs off a worker that its new incarnation lists itself, at work or ended.
-    fn take_listed(&mut self, key: WorkerKey, listed: &Listed) -> Vec<(TaskId, u32, Run)> {
+    fn split_listed_runs(
+        &mut self,
+        key: WorkerKey,
+        report: &WorkerReport,
+    ) -> Vec<(TaskId, u32, Run)> {
         let mut ids: BTreeSet<(TaskId, u32)> = BTreeSet::new();
-        ids.extend(listed.runs.iter().map(|row| (row.task, row.run)));
-        ids.extend(listed.ends.iter().map(|end| (end.task, end.run)));
+        ids.extend(report.runs.iter().map(|row| (row.task, row.run)));
+        ids.extend(report.exits.iter().map(|exit| (exit.task, exit.run)));
         let worker = &mut self.workers[key];
         let mut taken = Vec::new();
         for (task, number) in ids {
@@ -176,7 +186,7 @@
 
     /// Takes the runs off a worker whose orders may still be carried out.
     fn take_doubtful(&mut self, key: WorkerKey, now_ms: u64) -> Vec<(TaskId, u32, Run)> {
-        self.note_unanswered(key, now_ms);
+        self.record_unanswered(key, now_ms);
         let worker = &mut self.workers[key];
         let mut taken = Vec::new();
         for (task, number) in self.doubtful_starts.list(&worker.entry.id, now_ms) {
@@ -188,7 +198,7 @@
     }
 
     /// Notes the orders to start of which nothing will be heard, as their worker is given up.
-    pub(super) fn note_unanswered(&mut self, key: WorkerKey, now_ms: u64) {
+    pub(super) fn record_unanswered(&mut self, key: WorkerKey, now_ms: u64) {
         let worker = &self.workers[key];
         for ((task, number), run) in &worker.runs {
             if run.phase == RunPhase::Sent {
@@ -205,12 +215,15 @@
         let Some(state) = job.and_then(|job| self.jobs[job].task_mut(task)) else {
             return;
         };
-        let former = Placed {
+        let previous = Placement {
             run: number,
             worker: from,
         };
-        for place in [&mut state.placed, &mut state.copy].into_iter().flatten() {
-            if *place == former {
+        for place in [&mut state.placement, &mut state.copy]
+            .into_iter()
+            .flatten()
+        {
+            if *place == previous {
                 place.worker = to;
             }
         }
@@ -218,17 +231,17 @@
 
     /// Has a worker that answers for the first time bar the runs whose orders may still reach it.
     /// Those that it lists have reached it.
-    pub(super) fn bar_late_starts(&mut self, key: WorkerKey, listed: &Listed, now_ms: u64) {
+    pub(super) fn bar_late_starts(&mut self, key: WorkerKey, report: &WorkerReport, now_ms: u64) {
         let id = self.workers[key].entry.id.clone();
         for (task, number) in self.doubtful_starts.list(&id, now_ms) {
-            let mut ends = listed.ends.iter();
-            let has_ended = ends.any(|end| end.task == task && end.run == number);
+            let mut ends = report.exits.iter();
+            let has_ended = ends.any(|exit| exit.task == task && exit.run == number);
             if has_ended || self.workers[key].runs.contains_key(&(task, number)) {
                 continue;
             }
             let phase = RunPhase::Stopping { again_ms: 0 };
             let mut run = self.make_unknown_run(task, phase, key);
-            run.is_stray = true;
+            run.is_orphan = true;
             let worker = &mut self.workers[key];
             worker.has_orders = true;
             worker.add(task, number, run);
--- a/crates/dispatch/src/owner/job.rs
+++ b/crates/dispatch/src/owner/job.rs
@@ -4,14 +4,14 @@
 use crate::event::Now;
 use crate::ids::JobId;
 use crate::ids::TaskId;
-use crate::ledger::JobRecord;
-use crate::owner::permits::ASKED_MOST;
+use crate::job_table::JobRecord;
+use crate::owner::permits::MAX_ASKED;
 use crate::owner::progress::resume_step;
 use crate::owner::progress::step_progress;
 use crate::owner::task::Task;
 use crate::owner::worker::WorkerKey;
 use crate::policy::ordering::Waiting;
-use crate::policy::size::tasks_most;
+use crate::policy::size::max_tasks;
 use crate::record::JobPhase;
 use crate::record::OccurrenceProgress;
 use crate::record::Progress;
@@ -59,7 +59,7 @@
 
     /// Notes whether some of its tasks wait, of which there were so many before. Those that wait
     /// while others of them get their turn have not waited for long.
-    pub(crate) fn note_wait(&mut self, waits: bool, before: u32, now_ms: u64) {
+    pub(crate) fn record_wait(&mut self, waits: bool, before: u32, now_ms: u64) {
         let since_ms = match self.waiting < before {
             true => now_ms,
             false => self.waits_since_ms.unwrap_or(now_ms),
@@ -117,7 +117,7 @@
     pub(crate) next_occurrence: u32,
     pub(crate) phase: JobPhase,
     /// The phase that callers are told, or will be by an append under way.
-    pub(crate) told: JobPhase,
+    pub(crate) published: JobPhase,
     /// The record of its progress is behind.
     pub(crate) is_dirty: bool,
     /// Time by which its caller would like it done.
@@ -152,7 +152,7 @@
             occurrences: Vec::new(),
             next_occurrence: 0,
             phase: progress.map_or(JobPhase::Queued, Progress::phase),
-            told: record.phase(),
+            published: record.phase(),
             is_dirty: false,
             due_ms: arrived_ms + allowed_ms,
             worthless_ms: arrived_ms + allowed_ms * WORTHLESS_FACTOR,
@@ -181,12 +181,12 @@
     /// Opens the occurrences that are due, as many as may be under way, and tells whether there
     /// were any.
     pub(crate) fn open_occurrences(&mut self, now: Now, bounds: &Bounds) -> bool {
-        let tasks_most = tasks_most(bounds.record_most_bytes);
+        let max_tasks = max_tasks(bounds.max_record_bytes);
         let early_ms = bounds.early_ms;
         let mut has_new = false;
         while self.next_occurrence < self.submission.repetitions.max(1) {
             let open = self.occurrences.len() as u64;
-            if open > 0 && (open + 1) * self.submission.tasks() > tasks_most {
+            if open > 0 && (open + 1) * self.submission.tasks() > max_tasks {
                 break;
             }
             if now.wall_ms + early_ms / 2 < self.occurrence_due_wall_ms(self.next_occurrence) {
@@ -218,8 +218,12 @@
         let later_ms = self.later_ms(now);
         Waiting {
             priority: self.submission.priority,
-            is_lasting: self.submission.steps.iter().any(|step| step.is_lasting),
-            has_begun: self.phase != JobPhase::Queued,
+            is_long_running: self
+                .submission
+                .steps
+                .iter()
+                .any(|step| step.is_long_running),
+            has_started: self.phase != JobPhase::Queued,
             due_ms: self.due_ms + later_ms,
             worthless_ms: self.worthless_ms + later_ms,
             left_ms: self.left_ms(),
@@ -349,7 +353,7 @@
             work_ms => work_ms,
         };
         let call_ms = match submission.needs_permits() {
-            true => submission.permit_call_ms(ASKED_MOST),
+            true => submission.permit_call_ms(MAX_ASKED),
             false => 0,
         };
         let took_ms = if counted(number) {
--- a/crates/dispatch/src/owner/link.rs
+++ b/crates/dispatch/src/owner/link.rs
@@ -9,7 +9,7 @@
 
 /// Bytes of the head and the fields of a call to a worker, as counted on the wire: looks are
 /// 215, and orders to start 260 without their texts.
-const LOOK_BYTES: u64 = 215;
+const POLL_BYTES: u64 = 215;
 const ORDER_BYTES: u64 = 260;
 /// Bytes of an answer without a list, and of a run or an end in a list.
 const ANSWER_BYTES: u64 = 91;
@@ -19,7 +19,7 @@
 const RECORD_BYTES: u64 = 10;
 /// Bytes of a look that is relayed, of an order to start beside the text, and of the end of an
 /// order and a row in it, with a part of the frame's own.
-const RELAYED_LOOK_BYTES: u64 = 50;
+const RELAYED_POLL_BYTES: u64 = 50;
 const RELAYED_START_BYTES: u64 = 80;
 const RELAYED_ANSWER_BYTES: u64 = 35;
 const RELAYED_ROW_BYTES: u64 = 42;
@@ -38,9 +38,9 @@
 }
 
 /// Gives the bytes of a look at a worker, and of its answer.
-fn look_bytes(worker: &Worker) -> (u64, u64) {
+fn poll_bytes(worker: &Worker) -> (u64, u64) {
     (
-        LOOK_BYTES,
+        POLL_BYTES,
         ANSWER_BYTES + ROW_BYTES * worker.runs.len() as u64,
     )
 }
@@ -51,8 +51,8 @@
     pub(super) fn charge_order(&mut self, key: WorkerKey, call: &WorkerCall) {
         let (out_bytes, in_bytes) = match call {
             WorkerCall::Start { .. } => return,
-            WorkerCall::Look { .. } => look_bytes(&self.workers[key]),
-            WorkerCall::Stop { .. } | WorkerCall::Pace { .. } => (LOOK_BYTES, ANSWER_BYTES),
+            WorkerCall::Poll { .. } => poll_bytes(&self.workers[key]),
+            WorkerCall::Stop { .. } | WorkerCall::SetShare { .. } => (POLL_BYTES, ANSWER_BYTES),
         };
         self.link.charge(out_bytes, in_bytes);
     }
@@ -73,8 +73,8 @@
     pub(super) fn charge_relayed(&mut self, key: WorkerKey, call: &WorkerCall, bytes: u64) {
         let rows = match call {
             WorkerCall::Start { .. } => return,
-            WorkerCall::Look { .. } => self.workers[key].runs.len() as u64,
-            WorkerCall::Stop { .. } | WorkerCall::Pace { .. } => 0,
+            WorkerCall::Poll { .. } => self.workers[key].runs.len() as u64,
+            WorkerCall::Stop { .. } | WorkerCall::SetShare { .. } => 0,
         };
         let in_bytes = RELAYED_ANSWER_BYTES + RELAYED_ROW_BYTES * rows;
         self.link.charge_shared(bytes, in_bytes);
@@ -109,19 +109,19 @@
     pub(super) fn link_gap_ms(&self, workers: usize) -> u64 {
         let count = workers as u64;
         match self.has_relays() {
-            true => self.link.looks_gap_ms(count, RELAYED_LOOK_BYTES),
-            false => self.link.looks_gap_ms(count, LOOK_BYTES + PACKET_BYTES),
+            true => self.link.polls_gap_ms(count, RELAYED_POLL_BYTES),
+            false => self.link.polls_gap_ms(count, POLL_BYTES + PACKET_BYTES),
         }
     }
 
     /// Gives how long the answer of a worker is awaited. Right after a miss a second one is
     /// given twice the time: should the link have become slow, what answers take shows only by
     /// one that is still awaited when it comes.
-    pub(super) fn patience_ms(&self, key: WorkerKey) -> u64 {
-        let patience_ms = self.answers.patience_ms();
-        match self.workers[key].misses {
-            1 => 2 * patience_ms,
-            _ => patience_ms,
+    pub(super) fn answer_timeout_ms(&self, key: WorkerKey) -> u64 {
+        let answer_timeout_ms = self.answers.answer_timeout_ms();
+        match self.workers[key].missed_answers {
+            1 => 2 * answer_timeout_ms,
+            _ => answer_timeout_ms,
         }
     }
 }
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -10,7 +10,6 @@
 //!   after which they refuse whatever a former owner still sends.
 
 mod adopting;
-mod burials;
 mod calls;
 mod crashes;
 mod ends;
@@ -19,22 +18,24 @@
 mod incarnations;
 mod job;
 mod link;
-mod looks;
 mod orders;
-mod pacing;
+mod orphans;
 mod permits;
 mod placing;
+mod polls;
 mod pricing;
 mod progress;
 mod relaying;
+mod shares;
 mod stragglers;
-mod strays;
 mod task;
 mod waits;
 mod worker;
+mod worker_removal;
 mod workers;
 mod writing;
 
+use crate::appender::Appender;
 use crate::bounds::Bounds;
 use crate::config::WorkerEntry;
 use crate::election::Survey;
@@ -43,9 +44,8 @@
 use crate::event::Now;
 use crate::ids::JobId;
 use crate::ids::TaskId;
-use crate::lane::Lane;
-use crate::ledger::Inheritance;
-use crate::ledger::Ledger;
+use crate::job_table::JobTable;
+use crate::job_table::RecoveredState;
 use crate::owner::calls::Order;
 use crate::owner::crashes::Crashes;
 use crate::owner::incarnations::DoubtfulStarts;
@@ -54,16 +54,16 @@
 pub(crate) use crate::owner::link::records_bytes;
 use crate::owner::permits::Permits;
 use crate::owner::stragglers::Durations;
-pub use crate::owner::waits::Wait;
+pub use crate::owner::waits::WaitReason;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
 use crate::owner::workers::Workers;
 use crate::owner::writing::Writer;
+use crate::policy::answer_timeouts::AnswerLatencies;
 use crate::policy::images::Images;
-use crate::policy::interference::Interference;
+use crate::policy::interference::InterferenceModel;
+use crate::policy::link::CallPriority;
 use crate::policy::link::LinkBudget;
-use crate::policy::link::Rank;
-use crate::policy::patience::AnswerTimes;
 use crate::policy::placing::placing_gap_ms;
 use crate::record::JobPhase;
 use crate::record::Progress;
@@ -79,7 +79,7 @@
 
 /// Time for which an owner goes on that neither the store nor the workers confirm.
 /// The store is silent for longer than that at times, the workers are not.
-const CONFIRMED_MOST_MS: u64 = 1_500;
+const MAX_UNCONFIRMED_MS: u64 = 1_500;
 /// Age of the latest confirmation at which another one is looked for.
 const CONFIRMED_ANEW_MS: u64 = 300;
 /// Lease that tasks get. A task whose worker falls silent is started elsewhere once it is
@@ -88,11 +88,11 @@
 const LEASE_MS: u64 = 4_800;
 /// A clock may be slow by 2%; a third more covers the time on the way.
 const CLOCK_SKEW_PERMILLE: u64 = 1_030;
-const LAPSE_SLACK_MS: u64 = 300;
+const LEASE_SLACK_MS: u64 = 300;
 
 /// Counts that the metrics show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Figures {
+pub struct OwnerStats {
     /// Orders to start that were sent.
     pub starts: u64,
     /// Orders to start that were refused for want of room.
@@ -106,23 +106,23 @@
     /// Runs that went with their worker.
     pub lost: u64,
     /// Workers that were given up.
-    pub workers_gone: u64,
+    pub workers_removed: u64,
     /// Those of them at whose address another incarnation answered.
     pub workers_replaced: u64,
     /// Jobs that were given up as a task of theirs crashes its workers.
     pub given_up: u64,
     /// Looks at workers.
-    pub looks: u64,
+    pub polls: u64,
     /// How often the state of a worker was looked over in a turn.
-    pub looked_over: u64,
+    pub workers_refreshed: u64,
     /// How often a worker was weighed for a step that waits.
-    pub weighed: u64,
+    pub evaluated: u64,
     /// Changes of a filler's share.
-    pub paces: u64,
+    pub share_changes: u64,
     /// Appends to the stream of progress.
     pub appends: u64,
     /// Times that a call was put off since the link is full, by rank.
-    pub put_off: [u64; Rank::ALL.len()],
+    pub deferred: [u64; CallPriority::ALL.len()],
     /// Time that the link still takes for what goes out.
     pub link_out_ms: u64,
     /// Time that the link still takes for what comes in.
@@ -136,7 +136,7 @@
     /// Times that the relays of a worker were selected anew.
     pub selected: u64,
     /// Steps that have waited for long, by what for.
-    pub waits: [u64; Wait::ALL.len()],
+    pub waits: [u64; WaitReason::ALL.len()],
 }
 
 /// Why an owner ends.
@@ -155,25 +155,25 @@
     /// When what a former owner knew to be silent has lapsed, by worker.
     silent: HashMap<Box<str>, u64>,
     /// Workers that the newest record of silent ones names, or one under way.
-    noted_silent: BTreeSet<Box<str>>,
+    recorded_silent: BTreeSet<Box<str>>,
     jobs: SlotMap<JobKey, Job>,
     job_keys: HashMap<JobId, JobKey>,
     live: Vec<JobKey>,
     /// Progress of jobs that this owner has not read yet.
     unread: HashMap<JobId, Progress>,
     /// All jobs that stood in the store when this owner claimed are read.
-    is_informed: bool,
+    is_caught_up: bool,
     /// Workers as they are on record for a successor.
-    noted_workers: BTreeMap<Box<str>, WorkerEntry>,
+    recorded_workers: BTreeMap<Box<str>, WorkerEntry>,
     /// Workers of which something else may be true than these say.
-    unnoted: BTreeSet<Box<str>>,
+    unrecorded_workers: BTreeSet<Box<str>>,
     /// Jobs that are over. What still runs of them takes room until it has ended.
-    over: HashMap<JobId, Rc<Submission>>,
+    finished_jobs: HashMap<JobId, Rc<Submission>>,
     workers: Workers,
     worker_keys: HashMap<Box<str>, WorkerKey>,
     orders: HashMap<u64, Order>,
     link: LinkBudget,
-    answers: AnswerTimes,
+    answers: AnswerLatencies,
     relays: Sessions,
     /// Orders go over relays where there are any.
     uses_relays: bool,
@@ -181,7 +181,7 @@
     /// When orders no longer wait for them.
     relays_due_ms: u64,
     images: Images,
-    interference: Interference,
+    interference: InterferenceModel,
     durations: Durations,
     permits: Permits,
     evacuations: Rc<Evacuations>,
@@ -189,7 +189,7 @@
     holds_starts: bool,
     crashes: Crashes,
     /// Runs that workers have listed and that are no task's own, where they were listed last.
-    strays: HashMap<TaskId, (WorkerKey, u32)>,
+    orphans: HashMap<TaskId, (WorkerKey, u32)>,
     doubtful_starts: DoubtfulStarts,
     writer: Writer,
     /// When the store or most workers last confirmed this owner.
@@ -198,8 +198,8 @@
     are_workers_confirming: bool,
     is_leaving: bool,
     /// Looks that may be sent in this turn, and when that was last counted.
-    looks_left: usize,
-    looked_ms: u64,
+    polls_left: usize,
+    polled_ms: u64,
     must_place: bool,
     next_place_ms: u64,
     /// When the first task that was told to wait may be placed.
@@ -207,11 +207,11 @@
     /// When steps that wait for long are told of next.
     next_waits_ms: u64,
     stepdown: Option<Stepdown>,
-    pub(crate) figures: Figures,
+    pub(crate) stats: OwnerStats,
 }
 
 impl Owner {
-    /// Begins to own what the ledger holds, under a token that the store has accepted. `signs`
+    /// Begins to own what the ledger holds, under a token that the store has accepted. `heartbeats`
     /// are the signs of life that it has given since.
     #[expect(
         clippy::too_many_arguments,
@@ -221,9 +221,9 @@
         host: &str,
         token: u64,
         bounds: &Bounds,
-        ledger: &Ledger,
-        inheritance: Inheritance,
-        signs: Lane,
+        job_table: &JobTable,
+        recovered: RecoveredState,
+        heartbeats: Appender,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Self {
@@ -232,65 +232,65 @@
             host: host.into(),
             bounds: bounds.clone(),
             silent: HashMap::new(),
-            noted_silent: BTreeSet::new(),
+            recorded_silent: BTreeSet::new(),
             jobs: SlotMap::with_key(),
             job_keys: HashMap::new(),
             live: Vec::new(),
             unread: HashMap::new(),
-            is_informed: false,
-            noted_workers: inheritance.workers,
-            unnoted: BTreeSet::new(),
-            over: HashMap::new(),
+            is_caught_up: false,
+            recorded_workers: recovered.workers,
+            unrecorded_workers: BTreeSet::new(),
+            finished_jobs: HashMap::new(),
             workers: Workers::new(),
             worker_keys: HashMap::new(),
             orders: HashMap::new(),
             link: LinkBudget::new(bounds.link_bytes_per_s),
-            answers: AnswerTimes::default(),
+            answers: AnswerLatencies::default(),
             relays: Sessions::new(bounds.descriptors),
             uses_relays: false,
             survey: Survey::default(),
             relays_due_ms: 0,
             images: Images::default(),
-            interference: Interference::default(),
+            interference: InterferenceModel::default(),
             durations: Durations::default(),
             permits: Permits::default(),
             evacuations: Rc::default(),
             holds_starts: false,
             crashes: Crashes::default(),
-            strays: HashMap::new(),
+            orphans: HashMap::new(),
             doubtful_starts: DoubtfulStarts::default(),
-            writer: Writer::new(signs, now.steady_ms),
+            writer: Writer::new(heartbeats, now.steady_ms),
             confirmed_ms: now.steady_ms,
             are_workers_confirming: false,
             is_leaving: false,
-            looks_left: 0,
-            looked_ms: 0,
+            polls_left: 0,
+            polled_ms: 0,
             must_place: true,
             next_place_ms: 0,
             wake_ms: u64::MAX,
             next_waits_ms: 0,
             stepdown: None,
-            figures: Figures::default(),
+            stats: OwnerStats::default(),
         };
         // The time since that record was written is not known, so it is not counted.
-        for silent in &inheritance.learned.silent {
-            let lapsed_ms = now.steady_ms + silent.left_ms;
+        for silent in &recovered.learned.silent {
+            let leases_expired_ms = now.steady_ms + silent.left_ms;
             owner
                 .silent
-                .insert(silent.worker.as_str().into(), lapsed_ms);
-            owner.noted_silent.insert(silent.worker.as_str().into());
+                .insert(silent.worker.as_str().into(), leases_expired_ms);
+            owner.recorded_silent.insert(silent.worker.as_str().into());
         }
         if bounds.policy.inherits_interference {
             owner
                 .interference
-                .resume(&inheritance.learned, &mut owner.images);
+                .resume(&recovered.learned, &mut owner.images);
         }
-        let mut ids: Vec<JobId> = ledger.jobs.keys().copied().collect();
+        let mut ids: Vec<JobId> = job_table.jobs.keys().copied().collect();
         ids.sort_unstable();
-        owner.note_hosts(&ledger.hosts);
-        owner.unread = inheritance.jobs;
+        owner.update_hosts(&job_table.hosts);
+        owner.unread = recovered.jobs;
         for id in ids {
-            owner.adopt(id, ledger, now, actions);
+            owner.adopt(id, job_table, now, actions);
         }
         owner.writer.announce();
         owner
@@ -325,13 +325,13 @@
         let id = job.id;
         self.permits.forget(id);
         self.crashes.forget(id);
-        self.strays.retain(|task, _| task.job != id);
-        self.halt_runs(id);
+        self.orphans.retain(|task, _| task.job != id);
+        self.stop_runs(id);
         self.must_place = true;
     }
 
     /// Has all runs of a job stop, of which no end is awaited any more.
-    fn halt_runs(&mut self, id: JobId) {
+    fn stop_runs(&mut self, id: JobId) {
         let mut holders = Vec::new();
         for (key, worker) in &self.workers {
             if worker.runs_of(id).next().is_some() {
@@ -343,11 +343,11 @@
             worker.has_orders = true;
             let mut unsent = Vec::new();
             for ((task, number), run) in &mut worker.runs {
-                if task.job != id || run.is_stray {
+                if task.job != id || run.is_orphan {
                     continue;
                 }
-                run.is_stray = true;
-                if run.halt() {
+                run.is_orphan = true;
+                if run.request_stop() {
                     unsent.push((*task, *number));
                 }
             }
@@ -360,18 +360,18 @@
     /// Notes that all jobs that stood in the store at the claim are read. Until then runs of
     /// jobs that were not read go on, and ends are kept by their workers: they may be of such
     /// a job.
-    pub(crate) fn inform(&mut self) {
-        if self.is_informed {
+    pub(crate) fn mark_caught_up(&mut self) {
+        if self.is_caught_up {
             return;
         }
-        self.is_informed = true;
+        self.is_caught_up = true;
         // What is left is of jobs whose keys were dropped.
         self.unread.clear();
         for worker in self.workers.values_mut() {
-            worker.handled = worker.recorded;
-            worker.next_look_ms = 0;
+            worker.handled_exit = worker.recorded_exit;
+            worker.next_poll_ms = 0;
             for run in worker.runs.values_mut() {
-                if run.is_stray && matches!(run.phase, RunPhase::Present { .. }) {
+                if run.is_orphan && matches!(run.phase, RunPhase::Present { .. }) {
                     run.phase = RunPhase::Stopping { again_ms: 0 };
                     worker.has_orders = true;
                 }
@@ -388,42 +388,43 @@
     /// Does what is due.
     pub(crate) fn advance(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
         self.link.refill(now.steady_ms);
-        self.keep_relays(now, tickets, actions);
+        self.maintain_relays(now, tickets, actions);
         self.open_due(now);
         self.check_confirmed(now.steady_ms);
         if !self.awaits_relays(now.steady_ms) {
-            self.look_around(now, tickets, actions);
+            self.send_due_polls(now, tickets, actions);
         }
-        self.chase_stragglers(now, actions);
-        self.stop_strays(now.steady_ms, tickets, actions);
+        self.replace_stragglers(now, actions);
+        self.stop_orphans(now.steady_ms, tickets, actions);
         self.must_place |= now.steady_ms >= self.wake_ms;
-        self.workers.settle();
+        self.workers.refresh_changed();
         if self.must_place && now.steady_ms >= self.next_place_ms {
             self.must_place = false;
             self.wake_ms = u64::MAX;
             self.permits.begin_pass();
-            let before = self.workers.weighed();
+            let before = self.workers.evaluated();
             self.place(now, actions);
-            let weighed = self.workers.weighed() - before;
-            self.next_place_ms = now.steady_ms + placing_gap_ms(weighed, self.bounds.cpu_permille);
+            let evaluated = self.workers.evaluated() - before;
+            self.next_place_ms =
+                now.steady_ms + placing_gap_ms(evaluated, self.bounds.cpu_permille);
         }
         self.ask_permits(now, tickets, actions);
-        self.pace(now.steady_ms, tickets, actions);
+        self.send_share_changes(now.steady_ms, tickets, actions);
         self.write(now, tickets, actions);
         self.relays.flush(self.token, now.steady_ms, actions);
-        self.show_link();
-        self.tell_waits(now, actions);
+        self.update_link_stats();
+        self.report_waits(now, actions);
     }
 
     /// Has metrics show how full the link is.
-    fn show_link(&mut self) {
-        self.figures.weighed = self.workers.weighed();
-        self.figures.looked_over = self.workers.looked_over();
-        self.figures.answer_ms = self.answers.usual_ms();
-        self.figures.link_out_ms = self.link.out_ms();
-        self.figures.link_in_ms = self.link.in_ms();
-        for (rank, count) in self.link.put_off() {
-            self.figures.put_off[rank as usize] = count;
+    fn update_link_stats(&mut self) {
+        self.stats.evaluated = self.workers.evaluated();
+        self.stats.workers_refreshed = self.workers.workers_refreshed();
+        self.stats.answer_ms = self.answers.usual_ms();
+        self.stats.link_out_ms = self.link.out_ms();
+        self.stats.link_in_ms = self.link.in_ms();
+        for (priority, count) in self.link.deferred() {
+            self.stats.deferred[priority as usize] = count;
         }
     }
 
@@ -446,7 +447,7 @@
         // While the store confirms, the workers need not be counted.
         let are_confirming = now_ms >= self.confirmed_ms + CONFIRMED_ANEW_MS;
         if are_confirming && !self.are_workers_confirming {
-            self.hasten_looks(now_ms);
+            self.hasten_polls(now_ms);
         }
         self.are_workers_confirming = are_confirming;
         if !are_confirming {
@@ -469,7 +470,7 @@
 
     /// Tells whether this owner may extend leases and start tasks.
     fn is_confirmed(&self, now_ms: u64) -> bool {
-        now_ms < self.confirmed_ms + CONFIRMED_MOST_MS
+        now_ms < self.confirmed_ms + MAX_UNCONFIRMED_MS
     }
 
     pub(crate) fn stepdown(&self) -> Option<Stepdown> {
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -2,7 +2,7 @@
 
 use crate::event::Action;
 use crate::event::Now;
-use crate::event::OrderEnd;
+use crate::event::OrderOutcome;
 use crate::event::Refusal;
 use crate::event::WorkerCall;
 use crate::ids::StepId;
@@ -12,7 +12,7 @@
 use crate::owner::worker::Run;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
-use crate::policy::link::Rank;
+use crate::policy::link::CallPriority;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
@@ -50,11 +50,11 @@
             return self.drop_start(key, task, number, now_ms);
         };
         // Its former run was heard of while this one was put on record.
-        if self.is_astray(task) {
+        if self.has_orphan(task) {
             return self.drop_start(key, task, number, now_ms);
         }
         // An order would extend the lease of a worker that is on record as silent.
-        if self.workers[key].is_noted_silent {
+        if self.workers[key].is_recorded_silent {
             return self.drop_start(key, task, number, now_ms);
         }
         let Some(job) = job.filter(|_| self.is_confirmed(now_ms)) else {
@@ -75,16 +75,16 @@
             .task_mut(task)
             .map_or("".into(), |task| task.checkpoint.clone());
         let worker = &mut self.workers[key];
-        worker.lapsed_ms = worker.lapsed_ms.max(now_ms + span_ms);
+        worker.leases_expired_ms = worker.leases_expired_ms.max(now_ms + span_ms);
         if let Some(run) = worker.runs.get_mut(&(task, number)) {
             run.phase = RunPhase::Sent;
-            run.tries += 1;
+            run.start_attempts += 1;
             run.checkpoint.clone_from(&checkpoint);
-            run.moved_ms = now_ms;
-            run.begun_ms = now_ms;
+            run.progressed_ms = now_ms;
+            run.started_ms = now_ms;
             run.first_ms = now_ms;
         }
-        self.figures.starts += 1;
+        self.stats.starts += 1;
         actions.push(Action::Note(Note::new(
             Code::RunOrdered,
             task.to_string(),
@@ -111,17 +111,17 @@
     fn drop_start(&mut self, key: WorkerKey, task: TaskId, number: u32, now_ms: u64) {
         self.workers[key].has_orders = true;
         let run = self.workers[key].runs.get_mut(&(task, number));
-        if run.is_some_and(Run::halt) {
+        if run.is_some_and(Run::request_stop) {
             self.lose_run(key, task, number, now_ms);
         }
     }
 
-    pub(crate) fn end_start(
+    pub(crate) fn on_start(
         &mut self,
         key: WorkerKey,
         task: TaskId,
         number: u32,
-        end: OrderEnd,
+        outcome: OrderOutcome,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
@@ -131,26 +131,28 @@
             return;
         };
         // It may be told to stop already, and be there all the same.
-        run.was_there |= matches!(end, OrderEnd::Done { .. });
+        run.was_confirmed |= matches!(outcome, OrderOutcome::Done { .. });
         if run.phase != RunPhase::Sent {
             return;
         }
-        let is_first = run.tries <= 1;
+        let is_first = run.start_attempts <= 1;
         worker.has_orders = true;
-        match end {
-            OrderEnd::Done { .. } => run.phase = RunPhase::Present { since_ms: now_ms },
-            OrderEnd::Unknown => {
+        match outcome {
+            OrderOutcome::Done { .. } => run.phase = RunPhase::Present { since_ms: now_ms },
+            OrderOutcome::Unknown => {
                 run.phase = RunPhase::Doubtful { since_ms: now_ms };
                 let id = &worker.entry.id;
                 self.doubtful_starts.note(id, task, number, now_ms);
                 // No further lease is given to a worker that may be dead.
-                self.workers[key].miss(now_ms);
+                self.workers[key].record_missed_answer(now_ms);
+            }
+            OrderOutcome::Refused(Refusal::Old) => {
+                run.phase = RunPhase::Stopped { since_ms: now_ms }
             }
-            OrderEnd::Refused(Refusal::Old) => run.phase = RunPhase::Stopped { since_ms: now_ms },
             // An earlier order for the same run may still be on its way.
             _ if !is_first => run.phase = RunPhase::Stopping { again_ms: now_ms },
-            OrderEnd::NotSent => self.refuse_start(key, task, number, UNWELL_MS, now_ms),
-            OrderEnd::Refused(refusal) => {
+            OrderOutcome::NotSent => self.refuse_start(key, task, number, UNWELL_MS, now_ms),
+            OrderOutcome::Refused(refusal) => {
                 actions.push(Action::Note(Note::new(
                     Code::StartRefused,
                     task.to_string(),
@@ -159,9 +161,9 @@
                         self.workers[key].entry.id
                     ),
                 )));
-                let shun_ms = match refusal {
+                let avoid_ms = match refusal {
                     Refusal::Room => {
-                        self.figures.refused_room += 1;
+                        self.stats.refused_room += 1;
                         NO_ROOM_MS
                     }
                     Refusal::Permit => {
@@ -173,13 +175,13 @@
                     Refusal::Faulty => 0,
                     _ => UNREADY_MS,
                 };
-                self.refuse_start(key, task, number, shun_ms, now_ms);
+                self.refuse_start(key, task, number, avoid_ms, now_ms);
                 if refusal == Refusal::Faulty {
                     self.hold_back(key, task, now_ms);
                 }
             }
         }
-        self.look_soon(key, now_ms);
+        self.poll_soon(key, now_ms);
     }
 
     fn refuse_start(
@@ -187,11 +189,11 @@
         key: WorkerKey,
         task: TaskId,
         number: u32,
-        shun_ms: u64,
+        avoid_ms: u64,
         now_ms: u64,
     ) {
-        self.workers[key].shunned_until_ms = now_ms + shun_ms;
-        self.take_back_start(task);
+        self.workers[key].avoided_until_ms = now_ms + avoid_ms;
+        self.undo_start(task);
         self.lose_run(key, task, number, now_ms);
     }
 
@@ -200,19 +202,19 @@
         let task = job.and_then(|job| self.jobs[job].task_mut(id));
         if let Some(task) = task {
             task.failed_on = Some(worker);
-            task.wait_longer(FAULTY_MS, now_ms);
+            task.back_off(FAULTY_MS, now_ms);
         }
     }
 
     /// Sends the stops that are due.
-    pub(crate) fn stop_strays(
+    pub(crate) fn stop_orphans(
         &mut self,
         now_ms: u64,
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
         let mut due = Vec::new();
-        let patience_ms = 2 * self.answers.patience_ms();
+        let answer_timeout_ms = 2 * self.answers.answer_timeout_ms();
         for key in self.workers.with_orders() {
             let worker = &mut self.workers[key];
             if worker.entry.address.is_empty() {
@@ -222,10 +224,10 @@
                 if let RunPhase::Stopping { again_ms } = &mut run.phase
                     && *again_ms <= now_ms
                 {
-                    if !self.link.admits(Rank::Control) {
+                    if !self.link.admits(CallPriority::Control) {
                         continue;
                     }
-                    *again_ms = now_ms + patience_ms + STOP_AGAIN_MS;
+                    *again_ms = now_ms + answer_timeout_ms + STOP_AGAIN_MS;
                     due.push((key, *task, *number));
                 }
             }
@@ -237,16 +239,16 @@
         }
     }
 
-    pub(crate) fn end_stop(
+    pub(crate) fn on_stop(
         &mut self,
         key: WorkerKey,
         task: TaskId,
         number: u32,
-        end: OrderEnd,
+        outcome: OrderOutcome,
         now: Now,
     ) {
-        let phase = match end {
-            OrderEnd::Done { .. } | OrderEnd::Refused(Refusal::Old) => RunPhase::Stopped {
+        let phase = match outcome {
+            OrderOutcome::Done { .. } | OrderOutcome::Refused(Refusal::Old) => RunPhase::Stopped {
                 since_ms: now.steady_ms,
             },
             _ => RunPhase::Stopping {
--- a/crates/dispatch/src/owner/strays.rs
+++ b/crates/dispatch/src/owner/orphans.rs
@@ -4,10 +4,10 @@
 //! have been given up while their worker could not be heard. No other run of their task begins
 //! beside them.
 
-use crate::event::ListedRun;
+use crate::event::RunReport;
 use crate::ids::TaskId;
 use crate::owner::Owner;
-use crate::owner::task::Placed;
+use crate::owner::task::Placement;
 use crate::owner::worker::Run;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
@@ -17,7 +17,7 @@
 impl Owner {
     /// Takes back a run that was given up and is at work all the same, while its task runs nowhere
     /// else. Stopped, it would still be there while the next one begins. Tells whether it was.
-    pub(super) fn take_back(&mut self, key: WorkerKey, row: &ListedRun, now_ms: u64) -> bool {
+    pub(super) fn take_back(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) -> bool {
         let Some(job_key) = self.job_keys.get(&row.task.job).copied() else {
             return false;
         };
@@ -33,7 +33,7 @@
         if !task.is_waiting() || task.run != row.run {
             return false;
         }
-        task.placed = Some(Placed {
+        task.placement = Some(Placement {
             run: row.run,
             worker: key,
         });
@@ -52,30 +52,30 @@
     /// order of a former owner that was carried out late. It takes its room until it has
     /// ended; without that, a new owner would start too much beside the tasks of a job that
     /// was cancelled just before, where workers start whatever they are told to.
-    pub(super) fn add_stray(&mut self, key: WorkerKey, row: &ListedRun, now_ms: u64) {
+    pub(super) fn add_orphan(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) {
         let phase = match self.unread.contains_key(&row.task.job) {
             true => RunPhase::Present { since_ms: now_ms },
             false => RunPhase::Stopping { again_ms: 0 },
         };
         let mut run = self.make_unknown_run(row.task, phase, key);
-        run.is_stray = true;
+        run.is_orphan = true;
         self.workers[key].has_orders = true;
         self.workers[key].add(row.task, row.run, run);
         if self.job_keys.contains_key(&row.task.job) {
-            self.strays.insert(row.task, (key, row.run));
+            self.orphans.insert(row.task, (key, row.run));
         }
     }
 
     /// Tells whether a run of a task is known to be there that is no more the task's own. The next
     /// one must not begin beside it.
-    pub(super) fn is_astray(&mut self, task: TaskId) -> bool {
-        let Some((worker, run)) = self.strays.get(&task).copied() else {
+    pub(super) fn has_orphan(&mut self, task: TaskId) -> bool {
+        let Some((worker, run)) = self.orphans.get(&task).copied() else {
             return false;
         };
         let worker = self.workers.get(worker);
         let is_there = worker.is_some_and(|worker| worker.runs.contains_key(&(task, run)));
         if !is_there {
-            self.strays.remove(&task);
+            self.orphans.remove(&task);
         }
         is_there
     }
@@ -85,17 +85,17 @@
         if let Some(job) = self.job_keys.get(&task.job).copied() {
             return self.make_run(job, task, phase, 0);
         }
-        let step = self.over_step(task).unwrap_or_else(|| Step {
+        let step = self.finished_step(task).unwrap_or_else(|| Step {
             // Nothing is known of it, so it may fill the worker.
-            cpu_milli: self.workers[at].entry.room.cpu_milli,
+            cpu_milli: self.workers[at].entry.resources.cpu_milli,
             ..Step::default()
         });
         Run::new(&step, ImageKey::default(), phase, 0)
     }
 
     /// Gives the step of a task of a job that is over.
-    fn over_step(&self, task: TaskId) -> Option<Step> {
-        let submission = self.over.get(&task.job)?;
+    fn finished_step(&self, task: TaskId) -> Option<Step> {
+        let submission = self.finished_jobs.get(&task.job)?;
         submission.steps.get(usize::from(task.step)).cloned()
     }
 }
--- a/crates/dispatch/src/owner/permits.rs
+++ b/crates/dispatch/src/owner/permits.rs
@@ -6,19 +6,19 @@
 //! of a worker holds for the step; the permit itself lapses and is asked for again.
 
 use crate::event::Action;
-use crate::event::AdviceEnd;
 use crate::event::Now;
+use crate::event::PermitOutcome;
 use crate::ids::JobId;
 use crate::ids::StepId;
 use crate::owner::Owner;
-use crate::owner::pricing::Wanted;
+use crate::owner::pricing::TaskRequirements;
 use crate::owner::worker::WorkerKey;
 use crate::record::Submission;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 /// Workers named in one call: objectives count one call about as many for a step.
-pub(crate) const ASKED_MOST: usize = 30;
+pub(crate) const MAX_ASKED: usize = 30;
 /// Time before its end at which a permit is no longer used: a run is recorded first, which
 /// takes 20 to 100 ms.
 const SPARE_MS: u64 = 250;
@@ -96,8 +96,8 @@
         self.verdicts.retain(|step, _| step.job != job);
     }
 
-    fn learn(&mut self, flight: Flight, end: AdviceEnd, now_ms: u64, names: &[Box<str>]) {
-        let AdviceEnd::Permitted { rows, validity_ms } = end else {
+    fn learn(&mut self, flight: Flight, outcome: PermitOutcome, now_ms: u64, names: &[Box<str>]) {
+        let PermitOutcome::Permitted { rows, validity_ms } = outcome else {
             self.retry_ms = now_ms + RETRY_MS;
             return;
         };
@@ -146,7 +146,7 @@
         let Some(step) = submission.steps.get(usize::from(step_id.step)) else {
             return;
         };
-        let wanted = Wanted {
+        let requirements = TaskRequirements {
             step,
             service: &submission.service,
             image: self.images.key(&step.image),
@@ -155,9 +155,9 @@
             suspected_at: None,
             is_patient: false,
         };
-        let mut ranked = self.rank(&wanted, now_ms);
+        let mut ranked = self.rank_workers(&requirements, now_ms);
         let mut asked = Vec::new();
-        while asked.len() < ASKED_MOST
+        while asked.len() < MAX_ASKED
             && let Some(Reverse((_, worker))) = ranked.pop()
         {
             if self.permits.is_open(step_id, worker, now_ms) {
@@ -168,7 +168,7 @@
             return;
         }
         *tickets += 1;
-        actions.push(Action::Advise {
+        actions.push(Action::RequestPermits {
             ticket: *tickets,
             step: step_id,
             workers: asked
@@ -185,7 +185,7 @@
     }
 
     /// Takes in the answer to a call about workers, if it is one of this owner.
-    pub(crate) fn take_advice(&mut self, ticket: u64, end: AdviceEnd, now: Now) {
+    pub(crate) fn handle_permit_outcome(&mut self, ticket: u64, outcome: PermitOutcome, now: Now) {
         let is_own = |flight: &mut Flight| flight.ticket == ticket;
         let Some(flight) = self.permits.flight.take_if(is_own) else {
             return;
@@ -195,7 +195,7 @@
             let worker = self.workers.get(*worker);
             names.push(worker.map_or("".into(), |worker| worker.entry.id.clone()));
         }
-        self.permits.learn(flight, end, now.steady_ms, &names);
+        self.permits.learn(flight, outcome, now.steady_ms, &names);
         self.must_place = true;
     }
 }
