--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -6,12 +6,12 @@
 use crate::ids::TaskId;
 use crate::owner::Owner;
 use crate::owner::job::JobKey;
-use crate::owner::pricing::Wanted;
-use crate::owner::task::Placed;
+use crate::owner::pricing::TaskRequirements;
+use crate::owner::task::Placement;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
 use crate::policy::images::ImageKey;
-use crate::policy::link::Rank;
+use crate::policy::link::CallPriority;
 use crate::policy::ordering::Urgency;
 use crate::record::JobPhase;
 use crate::record::Step;
@@ -22,13 +22,13 @@
 
 /// Tasks placed in one go; what is left follows with the next event, so that looks and
 /// stops are not held up by a burst.
-const PLACED_MOST: usize = 400;
+const MAX_PLACED: usize = 400;
 /// Time after which tasks that wait are tried again though nothing has happened.
 const TRIED_AGAIN_MS: u64 = 500;
 /// Part of a service's room, in percent, that lasting tasks which never ran may fill up to.
 /// A lasting task earns a quarter of what quick ones earn in the same room, and never
 /// gives it back.
-const LASTING_MOST_PERCENT: u64 = 85;
+const MAX_LONG_RUNNING_PERCENT: u64 = 85;
 
 /// What one go at placing has come to.
 struct Pass {
@@ -40,20 +40,25 @@
 
 impl Pass {
     /// Tells whether a filler like this one, or a smaller one, has found no worker.
-    fn is_hopeless(&self, wanted: &Wanted<'_>) -> bool {
-        wanted.step.is_filler
+    fn is_hopeless(&self, requirements: &TaskRequirements<'_>) -> bool {
+        requirements.step.is_best_effort
             && self.hopeless.iter().any(|(service, image, cpu_milli)| {
-                **service == *wanted.service
-                    && *image == wanted.image
-                    && *cpu_milli <= wanted.step.cpu_milli
+                **service == *requirements.service
+                    && *image == requirements.image
+                    && *cpu_milli <= requirements.step.cpu_milli
             })
     }
 
-    fn note_hopeless(&mut self, wanted: &Wanted<'_>) {
-        let step = wanted.step;
-        let is_plain = step.label.is_empty() && step.per_worker_most == 0 && !wanted.needs_permits;
-        if step.is_filler && is_plain {
-            let entry = (wanted.service.into(), wanted.image, step.cpu_milli);
+    fn record_hopeless(&mut self, requirements: &TaskRequirements<'_>) {
+        let step = requirements.step;
+        let is_plain =
+            step.label.is_empty() && step.max_per_worker == 0 && !requirements.needs_permits;
+        if step.is_best_effort && is_plain {
+            let entry = (
+                requirements.service.into(),
+                requirements.image,
+                step.cpu_milli,
+            );
             self.hopeless.push(entry);
         }
     }
@@ -63,9 +68,9 @@
     /// Places waiting tasks, the most urgent first.
     pub(crate) fn place(&mut self, now: Now, actions: &mut Vec<Action>) {
         if self.holds_starts {
-            return self.note_waits(now.steady_ms);
+            return self.record_waits(now.steady_ms);
         }
-        if !self.link.admits(Rank::Start) {
+        if !self.link.admits(CallPriority::Start) {
             self.must_place = true;
             return;
         }
@@ -81,7 +86,7 @@
         }
         order.sort_unstable();
         let mut pass = Pass {
-            left: PLACED_MOST,
+            left: MAX_PLACED,
             hopeless: Vec::new(),
         };
         for (_, key) in order {
@@ -100,8 +105,8 @@
         if !self.live.iter().any(|key| self.jobs[*key].has_waiting) {
             return;
         }
-        let shunned = self.workers.values().map(|worker| worker.shunned_until_ms);
-        let opens_ms = shunned.filter(|until_ms| *until_ms > now_ms).min();
+        let avoided = self.workers.values().map(|worker| worker.avoided_until_ms);
+        let opens_ms = avoided.filter(|until_ms| *until_ms > now_ms).min();
         let latest_ms = now_ms + TRIED_AGAIN_MS;
         self.wake_ms = self
             .wake_ms
@@ -131,7 +136,7 @@
                 }
                 still_waits |= waits;
                 if let Some(state) = self.jobs[key].step_mut(first) {
-                    state.note_wait(waits, waited, now.steady_ms);
+                    state.record_wait(waits, waited, now.steady_ms);
                 }
             }
         }
@@ -149,7 +154,7 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let submission = self.jobs[key].submission.clone();
-        let wanted = Wanted {
+        let requirements = TaskRequirements {
             step,
             service: &submission.service,
             image: self.images.key(&step.image),
@@ -162,18 +167,19 @@
             is_patient: false,
         };
         if step.is_gang {
-            return self.place_gang(key, &wanted, now, actions);
+            return self.place_gang(key, &requirements, now, actions);
         }
-        if pass.is_hopeless(&wanted) {
+        if pass.is_hopeless(&requirements) {
             return true;
         }
         // The tasks of a step are alike: workers are ranked once, and only the one that
         // has just got a task is priced again.
-        let mut ranked = self.rank(&wanted, now.steady_ms);
-        let (room_milli, mut lasting_milli) = self.lasting_use(&submission.service, step);
+        let mut ranked = self.rank_workers(&requirements, now.steady_ms);
+        let (resources_milli, mut long_running_milli) =
+            self.long_running_use(&submission.service, step);
         for index in 0..step.count as u16 {
             let id = TaskId { index, ..first };
-            if self.is_astray(id) {
+            if self.has_orphan(id) {
                 continue;
             }
             let Some(task) = self.jobs[key].task_mut(id) else {
@@ -196,12 +202,12 @@
                 continue;
             }
             let is_suspect = task.is_suspect();
-            let is_new = step.is_lasting && task.run == 0;
-            if is_new && Self::is_over_share(room_milli, lasting_milli) {
+            let is_new = step.is_long_running && task.run == 0;
+            if is_new && Self::is_over_share(resources_milli, long_running_milli) {
                 return true;
             }
             let worker = match is_suspect {
-                true => self.find_for_suspect(key, &wanted, id, now.steady_ms),
+                true => self.find_for_suspect(key, &requirements, id, now.steady_ms),
                 false => Self::take_best(&mut ranked, failed_on),
             };
             let Some(worker) = worker else {
@@ -209,17 +215,18 @@
                     // Its siblings may find one.
                     continue;
                 }
-                pass.note_hopeless(&wanted);
+                pass.record_hopeless(&requirements);
                 return true;
             };
             self.assign(key, id, worker, now, actions);
-            lasting_milli += step.cpu_milli;
+            long_running_milli += step.cpu_milli;
             if is_suspect {
-                ranked = self.rank(&wanted, now.steady_ms);
-            } else if let Ok(cost) = self.price(&self.workers[worker], &wanted, now.steady_ms) {
+                ranked = self.rank_workers(&requirements, now.steady_ms);
+            } else if let Ok(cost) = self.price(&self.workers[worker], &requirements, now.steady_ms)
+            {
                 ranked.push(Reverse((cost, worker)));
             }
-            pass.left = match self.link.admits(Rank::Start) {
+            pass.left = match self.link.admits(CallPriority::Start) {
                 true => pass.left.saturating_sub(1),
                 false => 0,
             };
@@ -233,26 +240,26 @@
     }
 
     /// Tells whether lasting tasks have as much of a service's room as new ones may fill up to.
-    pub(super) fn is_over_share(room_milli: u64, lasting_milli: u64) -> bool {
-        lasting_milli * 100 >= room_milli * LASTING_MOST_PERCENT
+    pub(super) fn is_over_share(resources_milli: u64, long_running_milli: u64) -> bool {
+        long_running_milli * 100 >= resources_milli * MAX_LONG_RUNNING_PERCENT
     }
 
     /// Gives the room of a service and what lasting tasks keep of it, which matters to
     /// lasting steps only.
-    pub(super) fn lasting_use(&self, service: &str, step: &Step) -> (u64, u64) {
-        let mut room = 0;
+    pub(super) fn long_running_use(&self, service: &str, step: &Step) -> (u64, u64) {
+        let mut resources = 0;
         let mut lasting = 0;
-        if !step.is_lasting {
-            return (room, lasting);
+        if !step.is_long_running {
+            return (resources, lasting);
         }
         for worker in self.workers.values() {
             let takes_new = worker.is_listed && !self.is_evacuated(worker);
             if takes_new && *worker.entry.service == *service {
-                room += worker.entry.room.cpu_milli;
-                lasting += worker.lasting_milli;
+                resources += worker.entry.resources.cpu_milli;
+                lasting += worker.long_running_milli;
             }
         }
-        (room, lasting)
+        (resources, lasting)
     }
 
     /// Finds the worker on which a task does least harm if it crashes it, and where a crash tells
@@ -260,22 +267,22 @@
     fn find_for_suspect(
         &mut self,
         key: JobKey,
-        wanted: &Wanted<'_>,
+        requirements: &TaskRequirements<'_>,
         id: TaskId,
         now_ms: u64,
     ) -> Option<WorkerKey> {
-        let is_patient = self.task(id)?.may_wait_alone(now_ms);
-        let mut probe = Wanted {
+        let is_patient = self.task(id)?.may_wait_for_isolation(now_ms);
+        let mut probe = TaskRequirements {
             suspected_at: self.suspected_at(id),
             is_patient,
-            ..wanted.clone()
+            ..requirements.clone()
         };
-        if let Some(Reverse((_, worker))) = self.rank(&probe, now_ms).pop() {
+        if let Some(Reverse((_, worker))) = self.rank_workers(&probe, now_ms).pop() {
             return Some(worker);
         }
         probe.is_patient = false;
-        if is_patient && !self.rank(&probe, now_ms).is_empty() {
-            let until_ms = self.jobs[key].task_mut(id)?.wait_alone(now_ms);
+        if is_patient && !self.rank_workers(&probe, now_ms).is_empty() {
+            let until_ms = self.jobs[key].task_mut(id)?.wait_for_isolation(now_ms);
             self.wake_ms = self.wake_ms.min(until_ms);
         }
         None
@@ -312,7 +319,7 @@
         let Some(step) = submission.steps.get(usize::from(id.step)) else {
             return;
         };
-        let wanted = Wanted {
+        let requirements = TaskRequirements {
             step,
             service: &submission.service,
             image: self.images.key(&step.image),
@@ -322,7 +329,7 @@
             is_patient: false,
         };
         let failed_on = self.jobs[key].task_mut(id).and_then(|task| task.failed_on);
-        let mut ranked = self.rank(&wanted, now.steady_ms);
+        let mut ranked = self.rank_workers(&requirements, now.steady_ms);
         if let Some(worker) = Self::take_best(&mut ranked, failed_on)
             && Some(worker) != failed_on
         {
@@ -340,7 +347,7 @@
     ) {
         let mut run = self.make_run(key, id, RunPhase::Recording, now.steady_ms);
         run.is_probe = self.suspected_at(id).is_some();
-        self.note_start(key, id);
+        self.record_start(key, id);
         let job = &mut self.jobs[key];
         job.is_dirty = true;
         if job.phase == JobPhase::Queued {
@@ -355,16 +362,16 @@
             return;
         };
         task.run += 1;
-        task.alone_until_ms = None;
+        task.isolation_until_ms = None;
         let number = task.run;
         let checkpoint_bytes = task.checkpoint.len();
-        let placed = Some(Placed {
+        let placement = Some(Placement {
             run: number,
             worker,
         });
-        match task.placed {
-            None => task.placed = placed,
-            Some(_) => task.copy = placed,
+        match task.placement {
+            None => task.placement = placement,
+            Some(_) => task.copy = placement,
         }
         if let Some(step) = job.step_mut(id) {
             step.recount();
--- a/crates/dispatch/src/owner/looks.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -1,23 +1,23 @@
 //! Looking at workers: keeps leases alive and learns what runs and what has ended.
 
 use crate::event::Action;
-use crate::event::Listed;
-use crate::event::ListedRun;
 use crate::event::Now;
-use crate::event::OrderEnd;
+use crate::event::OrderOutcome;
+use crate::event::RunReport;
 use crate::event::WorkerCall;
+use crate::event::WorkerReport;
 use crate::ids::TaskId;
 use crate::owner::Owner;
 use crate::owner::calls::Purpose;
-use crate::owner::worker::Fate;
+use crate::owner::worker::RemovalReason;
 use crate::owner::worker::Run;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
-use crate::policy::link::Rank;
-use crate::policy::looks::Looks;
-use crate::policy::looks::Work;
-use crate::policy::looks::first_gap_us;
-use crate::policy::suspicion::SOUND_MS;
+use crate::policy::link::CallPriority;
+use crate::policy::polls::Activity;
+use crate::policy::polls::PollIntervals;
+use crate::policy::polls::first_gap_us;
+use crate::policy::suspicion::STABLE_MS;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use std::collections::HashSet;
@@ -27,10 +27,10 @@
 const WAIT_MS: u64 = 700;
 /// The same where fillers work beside a task that is over its target: how that goes on
 /// decides whether they are halted in time.
-const PRESSED_WAIT_MS: u64 = 250;
+const OVER_TARGET_WAIT_MS: u64 = 250;
 /// Looks that are sent in one turn, and in a millisecond where turns are shorter.
-const LOOKS_MOST: usize = 100;
-const LOOKS_A_MS: u64 = 20;
+const MAX_POLLS: usize = 100;
+const POLLS_PER_MS: u64 = 20;
 /// Time over which looks that are hastened are spread.
 const HASTENED_MS: u64 = 700;
 /// Pause between looks while ends wait to be recorded, which a look would repeat.
@@ -44,13 +44,18 @@
 /// Looks in a row without an answer, all of them after its lease was over, at which a worker is
 /// given up though this host's own link is suspected. Its platform lists it, so it is likely
 /// alive, and its list may hold ends of tasks that would run again.
-const SUSPECT_MISSES: u32 = 3;
+const MAX_MISSED_WHILE_SUSPECT: u32 = 3;
 /// Runs of which an order to start may be repeated before the run is given up.
-const START_TRIES: u32 = 2;
+const MAX_START_ATTEMPTS: u32 = 2;
 
 impl Owner {
     /// Sends the looks that are due, and buries workers that can hold nothing any more.
-    pub(crate) fn look_around(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
+    pub(crate) fn send_due_polls(
+        &mut self,
+        now: Now,
+        tickets: &mut u64,
+        actions: &mut Vec<Action>,
+    ) {
         let now_ms = now.steady_ms;
         let is_suspect = self.answers.is_link_suspect();
         let renew_ms = self.lease_span_ms() / 2;
@@ -58,40 +63,47 @@
         let mut dead = Vec::new();
         for key in self.workers.due(now_ms) {
             let worker = &self.workers[key];
-            let is_heard_out =
-                !is_suspect || !worker.is_listed || worker.lapsed_misses >= SUSPECT_MISSES;
-            let has_lapsed = worker.may_be_dead() && now_ms > worker.lapsed_ms && is_heard_out;
-            if worker.is_over() || has_lapsed && worker.holds_up() {
+            let is_heard_out = !is_suspect
+                || !worker.is_listed
+                || worker.misses_after_expiry >= MAX_MISSED_WHILE_SUSPECT;
+            let has_expired =
+                worker.may_be_dead() && now_ms > worker.leases_expired_ms && is_heard_out;
+            if worker.is_over() || has_expired && worker.holds_up() {
                 dead.push(key);
-            } else if worker.awaits_look() && now_ms >= worker.next_look_ms {
-                let rank = match now_ms + renew_ms > worker.lapsed_ms {
-                    true => Rank::Lease,
-                    false => Rank::Look,
+            } else if worker.can_be_polled() && now_ms >= worker.next_poll_ms {
+                let priority = match now_ms + renew_ms > worker.leases_expired_ms {
+                    true => CallPriority::Lease,
+                    false => CallPriority::Poll,
                 };
-                due.push((rank, worker.runs.is_empty(), worker.lapsed_ms, key));
+                due.push((
+                    priority,
+                    worker.runs.is_empty(),
+                    worker.leases_expired_ms,
+                    key,
+                ));
             }
         }
         for key in dead {
-            self.bury(key, Fate::GivenUp, now, actions);
+            self.remove_worker(key, RemovalReason::GivenUp, now, actions);
         }
         // Those on which something runs come first, in the order in which leases end. Should all be
         // due at once, as they are for a new owner, the rest has to wait for the next turns: signs
         // of life go out between them.
         due.sort_unstable();
-        let passed_ms = now_ms.saturating_sub(self.looked_ms);
-        self.looked_ms = now_ms;
-        let refill = (passed_ms * LOOKS_A_MS).min(LOOKS_MOST as u64) as usize;
-        self.looks_left = (self.looks_left + refill).min(LOOKS_MOST);
-        due.truncate(self.looks_left);
-        self.looks_left -= due.len();
-        for (rank, _, _, key) in due {
-            if self.link.admits(rank) {
-                self.look(key, now_ms, tickets, actions);
+        let passed_ms = now_ms.saturating_sub(self.polled_ms);
+        self.polled_ms = now_ms;
+        let refill = (passed_ms * POLLS_PER_MS).min(MAX_POLLS as u64) as usize;
+        self.polls_left = (self.polls_left + refill).min(MAX_POLLS);
+        due.truncate(self.polls_left);
+        self.polls_left -= due.len();
+        for (priority, _, _, key) in due {
+            if self.link.admits(priority) {
+                self.poll(key, now_ms, tickets, actions);
             }
         }
     }
 
-    fn look(&mut self, key: WorkerKey, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
+    fn poll(&mut self, key: WorkerKey, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
         let is_confirmed = self.is_confirmed(now_ms);
         let span_ms = self.lease_span_ms();
         let lease_ms = self.lease_ms();
@@ -100,74 +112,78 @@
         // The lease of a silent worker must run out some day: its tasks are started
         // elsewhere only then. A look whose answer is lost would extend it. While answers are
         // late from all workers, this one is likely alive, and its tasks must not end for that.
-        let is_heard = worker.misses == 0 || is_suspect && worker.misses < SUSPECT_MISSES;
-        let extends = is_confirmed && worker.is_known && is_heard && !worker.is_noted_silent;
+        let is_heard = worker.missed_answers == 0
+            || is_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
+        let extends = is_confirmed && worker.is_known && is_heard && !worker.is_recorded_silent;
         let lease_until_ms = match worker.clock_ms(now_ms) {
             Some(clock_ms) if extends => Some(clock_ms + lease_ms),
             _ => None,
         };
         if lease_until_ms.is_some() {
-            worker.lapsed_ms = worker.lapsed_ms.max(now_ms + span_ms);
+            worker.leases_expired_ms = worker.leases_expired_ms.max(now_ms + span_ms);
         }
-        let has_unrecorded = worker.handled > worker.recorded;
-        let waits =
-            worker.is_known && worker.misses == 0 && !has_unrecorded && worker.clock.is_some();
+        let has_unrecorded = worker.handled_exit > worker.recorded_exit;
+        let waits = worker.is_known
+            && worker.missed_answers == 0
+            && !has_unrecorded
+            && worker.clock.is_some();
         let wait_ms = match waits {
-            true if worker.is_pressed => PRESSED_WAIT_MS,
+            true if worker.is_over_target => OVER_TARGET_WAIT_MS,
             true => WAIT_MS,
             false => 0,
         };
         // A worker that has started again since would take the figure for its own ends, and forget
         // what nobody has read. So it is told one only if there is something to forget, and not
         // after an answer was missing.
-        let seen = match worker.misses == 0 && worker.recorded > worker.forgotten {
-            true => worker.recorded,
-            false => 0,
-        };
-        let call = WorkerCall::Look {
-            seen,
+        let acknowledged_exit =
+            match worker.missed_answers == 0 && worker.recorded_exit > worker.forgotten_exit {
+                true => worker.recorded_exit,
+                false => 0,
+            };
+        let call = WorkerCall::Poll {
+            acknowledged_exit,
             lease_until_ms,
             wait_ms,
         };
-        self.figures.looks += 1;
+        self.stats.polls += 1;
         self.order(
             key,
-            Purpose::Look {
+            Purpose::Poll {
                 sent_ms: now_ms,
-                seen,
+                acknowledged_exit,
             },
             call,
             now_ms,
             tickets,
             actions,
         );
-        self.workers[key].is_looked_at = true;
+        self.workers[key].is_poll_pending = true;
     }
 
-    pub(crate) fn end_look(
+    pub(crate) fn on_poll(
         &mut self,
         key: WorkerKey,
         sent_ms: u64,
-        seen: u64,
-        end: OrderEnd,
+        acknowledged_exit: u64,
+        outcome: OrderOutcome,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
         let now_ms = now.steady_ms;
         let worker = &mut self.workers[key];
-        worker.is_looked_at = false;
-        let OrderEnd::Done {
-            listed: Some(listed),
+        worker.is_poll_pending = false;
+        let OrderOutcome::Done {
+            report: Some(report),
             ..
-        } = end
+        } = outcome
         else {
-            worker.miss(now_ms);
-            worker.lapsed_misses += u32::from(sent_ms > worker.lapsed_ms);
-            worker.next_look_ms = now_ms + MISSED_GAP_MS;
+            worker.record_missed_answer(now_ms);
+            worker.misses_after_expiry += u32::from(sent_ms > worker.leases_expired_ms);
+            worker.next_poll_ms = now_ms + MISSED_GAP_MS;
             if worker.is_silent() {
-                worker.next_look_ms = now_ms + SILENT_GAP_MS;
+                worker.next_poll_ms = now_ms + SILENT_GAP_MS;
             }
-            if worker.misses == SILENT_AT {
+            if worker.missed_answers == SILENT_AT {
                 actions.push(Action::Note(Note::new(
                     Code::WorkerSilent,
                     &*worker.entry.id,
@@ -180,8 +196,8 @@
             }
             return;
         };
-        worker.forgotten = worker.forgotten.max(seen);
-        let key = self.meet_incarnation(key, &listed, now, actions);
+        worker.forgotten_exit = worker.forgotten_exit.max(acknowledged_exit);
+        let key = self.match_incarnation(key, &report, now, actions);
         let worker = &mut self.workers[key];
         if worker.is_silent() {
             self.must_place = true;
@@ -190,99 +206,105 @@
                 &*worker.entry.id,
                 format!(
                     "incarnation={} runs={} ends={} handled={} told_to_forget={}",
-                    listed.incarnation,
-                    listed.runs.len(),
-                    listed.ends.len(),
-                    worker.handled,
-                    worker.forgotten
+                    report.incarnation,
+                    report.runs.len(),
+                    report.exits.len(),
+                    worker.handled_exit,
+                    worker.forgotten_exit
                 ),
             )));
         }
-        worker.misses = 0;
-        worker.missed_ms = None;
-        worker.lapsed_misses = 0;
+        worker.missed_answers = 0;
+        worker.first_missed_ms = None;
+        worker.misses_after_expiry = 0;
         worker.answered_ms = now_ms;
         let was_known = worker.is_known;
         worker.is_known = true;
         self.must_place |= !was_known;
         if !was_known {
-            self.settle_lost(key, now, actions);
+            self.resolve_lost(key, now, actions);
         }
-        self.take_ends(key, &listed, now, actions);
-        self.take_runs(key, sent_ms, &listed, now_ms, actions);
+        self.apply_run_exits(key, &report, now, actions);
+        self.apply_run_reports(key, sent_ms, &report, now_ms, actions);
         if !was_known {
-            self.bar_late_starts(key, &listed, now_ms);
+            self.bar_late_starts(key, &report, now_ms);
         }
-        self.judge_fillers(key, now_ms, actions);
-        let gap_ms = self.look_gap_ms(key);
+        self.adjust_best_effort(key, now_ms, actions);
+        let gap_ms = self.poll_gap_ms(key);
         let worker = &mut self.workers[key];
-        let gap_ms = match worker.handled > worker.recorded {
+        let gap_ms = match worker.handled_exit > worker.recorded_exit {
             true => HELD_GAP_MS,
             false if was_known => gap_ms,
             false => 0,
         };
-        worker.next_look_ms = now_ms + gap_ms;
+        worker.next_poll_ms = now_ms + gap_ms;
     }
 
     /// Gives the pause before the next look at a worker.
-    fn look_gap_ms(&mut self, key: WorkerKey) -> u64 {
+    fn poll_gap_ms(&mut self, key: WorkerKey) -> u64 {
         let ending = self.workers.ending();
-        let looks = Looks {
-            at_rest: (self.workers.len() - ending) as u64,
+        let polls = PollIntervals {
+            idle_workers: (self.workers.len() - ending) as u64,
             cpu_permille: self.bounds.cpu_permille,
             are_confirming: self.are_workers_confirming,
         };
-        let work = self.workers[key].work();
-        let link_gap_ms = match work {
-            Work::Ending => self.link_gap_ms(ending),
-            Work::Lasting | Work::None => self.link_gap_ms(self.workers.len()),
+        let activity = self.workers[key].activity();
+        let link_gap_ms = match activity {
+            Activity::Ending => self.link_gap_ms(ending),
+            Activity::LongRunning | Activity::None => self.link_gap_ms(self.workers.len()),
         };
-        looks.gap_ms(work).max(link_gap_ms)
+        polls.gap_ms(activity).max(link_gap_ms)
     }
 
     /// Has a worker that was at rest looked at like one on which something is about to end.
-    pub(super) fn look_soon(&mut self, key: WorkerKey, now_ms: u64) {
-        let at_ms = now_ms + self.look_gap_ms(key);
+    pub(super) fn poll_soon(&mut self, key: WorkerKey, now_ms: u64) {
+        let at_ms = now_ms + self.poll_gap_ms(key);
         let worker = &mut self.workers[key];
-        worker.next_look_ms = worker.next_look_ms.min(at_ms);
+        worker.next_poll_ms = worker.next_poll_ms.min(at_ms);
     }
 
     /// Spreads the first looks at workers on which nothing runs, by what the owner's processor bears.
     /// Those that run something are looked at first.
-    pub(crate) fn spread_first_looks(&mut self, now_ms: u64) {
+    pub(crate) fn spread_first_polls(&mut self, now_ms: u64) {
         let gap_us = first_gap_us(self.bounds.cpu_permille);
         let mut waits_us = 0;
         for worker in self.workers.values_mut() {
-            let was_looked_at = worker.is_known || worker.next_look_ms > 0;
-            if worker.runs.is_empty() && !was_looked_at {
-                worker.next_look_ms = now_ms + waits_us / 1_000;
+            let was_polled = worker.is_known || worker.next_poll_ms > 0;
+            if worker.runs.is_empty() && !was_polled {
+                worker.next_poll_ms = now_ms + waits_us / 1_000;
                 waits_us += gap_us;
             }
         }
     }
 
     /// Has workers at rest looked at within a second, as they have to confirm this owner.
-    pub(super) fn hasten_looks(&mut self, now_ms: u64) {
+    pub(super) fn hasten_polls(&mut self, now_ms: u64) {
         let mut place = 0;
         for worker in self.workers.values_mut() {
             place += 1;
             let at_ms = now_ms + place % HASTENED_MS;
-            worker.next_look_ms = worker.next_look_ms.min(at_ms);
+            worker.next_poll_ms = worker.next_poll_ms.min(at_ms);
         }
     }
 
-    fn take_ends(&mut self, key: WorkerKey, listed: &Listed, now: Now, actions: &mut Vec<Action>) {
-        for end in &listed.ends {
-            if end.number <= self.workers[key].handled {
+    fn apply_run_exits(
+        &mut self,
+        key: WorkerKey,
+        report: &WorkerReport,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
+        for exit in &report.exits {
+            if exit.number <= self.workers[key].handled_exit {
                 continue;
             }
-            self.workers[key].handled = end.number;
-            self.apply_end(
+            self.workers[key].handled_exit = exit.number;
+            self.apply_run_exit(
                 key,
-                end.task,
-                end.run,
-                end.manner,
-                &end.checkpoint,
+                exit.task,
+                exit.run,
+                exit.exit_reason,
+                &exit.checkpoint,
                 now,
                 actions,
             );
@@ -290,28 +312,28 @@
     }
 
     /// Compares what the worker lists as running with what should be there.
-    fn take_runs(
+    fn apply_run_reports(
         &mut self,
         key: WorkerKey,
         sent_ms: u64,
-        listed: &Listed,
+        report: &WorkerReport,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        let mut present = HashSet::with_capacity(listed.runs.len());
-        for row in &listed.runs {
+        let mut present = HashSet::with_capacity(report.runs.len());
+        for row in &report.runs {
             present.insert((row.task, row.run));
             let is_known = self.workers[key].runs.contains_key(&(row.task, row.run));
             if !is_known && !self.take_back(key, row, now_ms) {
-                self.add_stray(key, row, now_ms);
+                self.add_orphan(key, row, now_ms);
             }
             let Some(run) = self.workers[key].runs.get_mut(&(row.task, row.run)) else {
                 continue;
             };
-            let (was_sound, was_probe) = (run.is_sound, run.is_probe);
-            note_row(run, row, now_ms);
-            if run.is_sound && !was_sound {
-                self.workers[key].take_for_sound(row.task, row.run);
+            let (was_stable, was_probe) = (run.is_stable, run.is_probe);
+            apply_run_report(run, row, now_ms);
+            if run.is_stable && !was_stable {
+                self.workers[key].mark_stable(row.task, row.run);
                 self.clear_suspicion(row.task);
                 self.must_place |= was_probe;
             }
@@ -356,7 +378,7 @@
                 self.retry_start(key, task, number, now_ms);
             }
             RunPhase::Present { since_ms } if sent_ms >= since_ms => {
-                self.note_vanished(key, task, number, now_ms - since_ms, actions);
+                self.report_vanished(key, task, number, now_ms - since_ms, actions);
                 self.set_phase(key, task, number, RunPhase::Stopping { again_ms: 0 });
             }
             _ => {}
@@ -365,7 +387,7 @@
 
     /// Tells of a run that was there and is missing, though its end was not listed. It will run
     /// again, so if it has ended well after all, it runs twice.
-    fn note_vanished(
+    fn report_vanished(
         &self,
         key: WorkerKey,
         task: TaskId,
@@ -385,8 +407,8 @@
                 "run={number} worker={} present_ms={} percent={percent} handled={} told_to_forget={}",
                 worker.entry.id,
                 present_ms,
-                worker.handled,
-                worker.forgotten
+                worker.handled_exit,
+                worker.forgotten_exit
             ),
         )));
     }
@@ -396,7 +418,7 @@
         let Some(run) = self.workers[key].runs.get_mut(&(task, number)) else {
             return;
         };
-        run.phase = match run.tries < START_TRIES && !run.is_stray {
+        run.phase = match run.start_attempts < MAX_START_ATTEMPTS && !run.is_orphan {
             // The same number makes a repeat harmless.
             true => RunPhase::Recording,
             false => RunPhase::Stopping { again_ms: now_ms },
@@ -417,13 +439,13 @@
     }
 }
 
-fn note_row(run: &mut Run, row: &ListedRun, now_ms: u64) {
+fn apply_run_report(run: &mut Run, row: &RunReport, now_ms: u64) {
     // What a former owner started is judged from the first look on.
     if run.phase == RunPhase::Inherited {
-        run.begun_ms = now_ms;
+        run.started_ms = now_ms;
         run.first_ms = now_ms;
         run.first_percent = row.percent;
-        run.moved_ms = now_ms;
+        run.progressed_ms = now_ms;
     }
     // A resumed run begins at the share of the work that its checkpoint holds.
     if run.percent == 0 && !run.checkpoint.is_empty() && run.first_percent == 0 {
@@ -431,16 +453,16 @@
         run.first_ms = now_ms;
     }
     if row.percent > run.percent {
-        run.moved_ms = now_ms;
+        run.progressed_ms = now_ms;
     }
-    run.was_there = true;
+    run.was_confirmed = true;
     run.percent = row.percent;
     run.gauge = row.gauge;
     if !row.checkpoint.is_empty() {
         run.checkpoint.clone_from(&row.checkpoint);
     }
     match run.phase {
-        RunPhase::Present { since_ms } => run.is_sound |= now_ms >= since_ms + SOUND_MS,
+        RunPhase::Present { since_ms } => run.is_stable |= now_ms >= since_ms + STABLE_MS,
         RunPhase::Inherited | RunPhase::Doubtful { .. } => {
             run.phase = RunPhase::Present { since_ms: now_ms };
         }
--- a/crates/dispatch/src/owner/pricing.rs
+++ b/crates/dispatch/src/owner/pricing.rs
@@ -7,26 +7,26 @@
 use crate::owner::worker::Worker;
 use crate::owner::worker::WorkerKey;
 use crate::policy::images::ImageKey;
-use crate::policy::interference::Use;
-use crate::policy::pacing::Patience;
+use crate::policy::interference::ImageUsage;
+use crate::policy::shares::SuspendDelays;
 use crate::record::Step;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 /// Part of its room that a lasting task uses, in percent. Workers leave the rest to
 /// fillers; measured on calm days as 42.
-const LASTING_USE_PERCENT: u64 = 50;
+const LONG_RUNNING_USE_PERCENT: u64 = 50;
 /// Ease that fillers must leave to a serving task: at 1 it misses its target, and its own
 /// load takes a third at its peak.
-const EASE_LEAST: f64 = 1.9;
+const MIN_HEADROOM: f64 = 1.9;
 /// Pressure on a serving task that fillers may add up to.
-const PRESSURE_MOST: f64 = 0.40;
+const MAX_HEADROOM_LOSS: f64 = 0.40;
 /// Cost, in thousandths of a core, of taking one whole of a serving task's ease.
-const PRESSURE_COST: f64 = 40_000.0;
+const HEADROOM_LOSS_COST: f64 = 40_000.0;
 /// Pressure that matters to a task that is over its target already.
-const PRESSURE_SLIGHT: f64 = 0.01;
+const SLIGHT_HEADROOM_LOSS: f64 = 0.01;
 /// Pressure that is no matter.
-const PRESSURE_LEAST: f64 = 0.04;
+const MIN_HEADROOM_LOSS: f64 = 0.04;
 /// Gain of a worker that serves the same image already: a filler that gets on with one
 /// gets on with all of them.
 const SAME_IMAGE_GAIN: i64 = 14_000;
@@ -44,7 +44,7 @@
 
 /// What a step asks of the worker for one of its tasks.
 #[derive(Clone)]
-pub(crate) struct Wanted<'a> {
+pub(crate) struct TaskRequirements<'a> {
     pub(crate) step: &'a Step,
     pub(crate) service: &'a str,
     pub(crate) image: ImageKey,
@@ -60,14 +60,14 @@
 
 impl Owner {
     /// Lists the workers that can take a task of a step, the least cost first.
-    pub(crate) fn rank(
+    pub(crate) fn rank_workers(
         &self,
-        wanted: &Wanted<'_>,
+        requirements: &TaskRequirements<'_>,
         now_ms: u64,
     ) -> BinaryHeap<Reverse<(i64, WorkerKey)>> {
         let mut ranked = BinaryHeap::new();
         for (key, worker) in self.workers.open() {
-            if let Ok(cost) = self.price_at(key, worker, wanted, now_ms) {
+            if let Ok(cost) = self.price_at(key, worker, requirements, now_ms) {
                 ranked.push(Reverse((cost, key)));
             }
         }
@@ -79,35 +79,35 @@
         &self,
         key: WorkerKey,
         worker: &Worker,
-        wanted: &Wanted<'_>,
+        requirements: &TaskRequirements<'_>,
         now_ms: u64,
     ) -> Result<i64, Exclusion> {
-        let step = StepId::of(wanted.task);
-        if wanted.needs_permits && self.permits.permit(step, key, now_ms).is_none() {
+        let step = StepId::of(requirements.task);
+        if requirements.needs_permits && self.permits.permit(step, key, now_ms).is_none() {
             return Err(Exclusion::Permit);
         }
-        self.price(worker, wanted, now_ms)
+        self.price(worker, requirements, now_ms)
     }
 
     /// The same without a look at permits.
     pub(super) fn price(
         &self,
         worker: &Worker,
-        wanted: &Wanted<'_>,
+        requirements: &TaskRequirements<'_>,
         now_ms: u64,
     ) -> Result<i64, Exclusion> {
-        if *worker.entry.service != *wanted.service {
+        if *worker.entry.service != *requirements.service {
             return Err(Exclusion::Service);
         }
         if let Some(exclusion) = worker.exclusion(now_ms) {
             return Err(exclusion);
         }
-        check_fit(worker, wanted)?;
+        check_fit(worker, requirements)?;
         let disturbance = self
-            .disturbance(worker, wanted, now_ms)
+            .disturbance(worker, requirements, now_ms)
             .ok_or(Exclusion::Disturbed)?;
-        let cost = cost(worker, wanted).ok_or(Exclusion::Crowded)?;
-        let risk = risk(worker, wanted).ok_or(Exclusion::Suspects)?;
+        let cost = cost(worker, requirements).ok_or(Exclusion::Crowded)?;
+        let risk = risk(worker, requirements).ok_or(Exclusion::Suspects)?;
         // Asked last, so that it is told only where nothing else keeps the task from there.
         if self.is_evacuated(worker) {
             return Err(Exclusion::Evacuated);
@@ -117,23 +117,30 @@
 
     /// Gives the cost of what a task would do to those that serve on a worker, or what
     /// fillers there would do to it; `None` if that is too much.
-    fn disturbance(&self, worker: &Worker, wanted: &Wanted<'_>, now_ms: u64) -> Option<i64> {
-        let step = wanted.step;
-        if step.is_filler {
-            let own = (wanted.image, step.cpu_milli as f64 / 1_000.0);
-            return self.pressure_cost(worker, own, now_ms);
+    fn disturbance(
+        &self,
+        worker: &Worker,
+        requirements: &TaskRequirements<'_>,
+        now_ms: u64,
+    ) -> Option<i64> {
+        let step = requirements.step;
+        if step.is_best_effort {
+            let own = (requirements.image, step.cpu_milli as f64 / 1_000.0);
+            return self.headroom_loss_cost(worker, own, now_ms);
         }
-        if step.tail_target_ms == 0 {
+        if step.tail_latency_target_ms == 0 {
             return Some(0);
         }
-        let pressure = self.interference.pressure(wanted.image, &demands(worker));
-        let mut cost = (pressure * PRESSURE_COST) as i64;
+        let headroom_loss = self
+            .interference
+            .headroom_loss(requirements.image, &demands(worker));
+        let mut cost = (headroom_loss * HEADROOM_LOSS_COST) as i64;
         if !self.bounds.policy.keeps_images_together {
             return Some(cost);
         }
         for run in worker.runs.values() {
-            if run.tail_target_ms > 0 {
-                cost += if run.image == wanted.image {
+            if run.tail_latency_target_ms > 0 {
+                cost += if run.image == requirements.image {
                     -SAME_IMAGE_GAIN
                 } else {
                     SAME_IMAGE_GAIN
@@ -145,58 +152,59 @@
 
     /// Gives the cost of a filler for those that serve on a worker; `None` if it would
     /// take more ease than a task there can spare.
-    fn pressure_cost(&self, worker: &Worker, own: Use, now_ms: u64) -> Option<i64> {
+    fn headroom_loss_cost(&self, worker: &Worker, own: ImageUsage, now_ms: u64) -> Option<i64> {
         let mut others = None;
         let mut most: f64 = 0.0;
         for run in worker.runs.values() {
-            if run.tail_target_ms == 0 {
+            if run.tail_latency_target_ms == 0 {
                 continue;
             }
-            let pressure = self.interference.pressure(run.image, &[own]);
+            let headroom_loss = self.interference.headroom_loss(run.image, &[own]);
             // A task over its target gets no further filler that may be the cause, and none
             // at all when it has been so for long.
             if let Some(since_ms) = run.over_since_ms {
-                let is_long = now_ms >= since_ms + Patience::new(self.bounds.harm_ms).suspects_ms;
-                if is_long || pressure >= PRESSURE_SLIGHT {
+                let is_long =
+                    now_ms >= since_ms + SuspendDelays::new(self.bounds.harm_ms).suspects_ms;
+                if is_long || headroom_loss >= SLIGHT_HEADROOM_LOSS {
                     return None;
                 }
             }
-            if pressure < PRESSURE_LEAST {
+            if headroom_loss < MIN_HEADROOM_LOSS {
                 continue;
             }
             let others = others.get_or_insert_with(|| demands(worker));
-            let taken = pressure + self.interference.pressure(run.image, others);
-            let is_tight = self.interference.alone(run.image) - taken < EASE_LEAST;
-            if is_tight || taken > PRESSURE_MOST {
+            let taken = headroom_loss + self.interference.headroom_loss(run.image, others);
+            let is_tight = self.interference.solo_headroom(run.image) - taken < MIN_HEADROOM;
+            if is_tight || taken > MAX_HEADROOM_LOSS {
                 return None;
             }
             most = most.max(taken);
         }
-        Some((most * PRESSURE_COST) as i64)
+        Some((most * HEADROOM_LOSS_COST) as i64)
     }
 }
 
 /// Tells what keeps a task from a worker that is open, if anything does.
-fn check_fit(worker: &Worker, wanted: &Wanted<'_>) -> Result<(), Exclusion> {
-    let step = wanted.step;
-    if !worker.free().holds(step.room()) {
+fn check_fit(worker: &Worker, requirements: &TaskRequirements<'_>) -> Result<(), Exclusion> {
+    let step = requirements.step;
+    if !worker.free().can_fit(step.resources()) {
         return Err(Exclusion::Room);
     }
     let mut labels = worker.entry.labels.iter();
     if !step.label.is_empty() && !labels.any(|label| **label == *step.label) {
         return Err(Exclusion::Label);
     }
-    if step.per_worker_most == 0 {
+    if step.max_per_worker == 0 {
         return Ok(());
     }
     let mut count = 0;
     for (other, _) in worker.runs.keys() {
-        let is_same = other.job == wanted.task.job
-            && other.occurrence == wanted.task.occurrence
-            && other.step == wanted.task.step;
+        let is_same = other.job == requirements.task.job
+            && other.occurrence == requirements.task.occurrence
+            && other.step == requirements.task.step;
         count += u32::from(is_same);
     }
-    match count < step.per_worker_most {
+    match count < step.max_per_worker {
         true => Ok(()),
         false => Err(Exclusion::Spread),
     }
@@ -209,16 +217,17 @@
 /// than the one that it may have crashed, and there where least is lost. All others keep away from
 /// it until it has shown that it is sound. None is kept from its turn for long: it waits for two
 /// seconds at most, and all else are costs.
-fn risk(worker: &Worker, wanted: &Wanted<'_>) -> Option<i64> {
+fn risk(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
     let probes_cost = i64::from(worker.probes) * BLURRED_COST;
-    let Some(suspected_at) = &wanted.suspected_at else {
+    let Some(suspected_at) = &requirements.suspected_at else {
         return Some(probes_cost);
     };
-    if worker.probes > 0 && wanted.is_patient {
+    if worker.probes > 0 && requirements.is_patient {
         return None;
     }
     let suspects = worker.runs.values().filter(|run| run.is_suspect()).count();
-    let at_stake_milli = worker.used.cpu_milli + worker.filler_milli + worker.lasting_milli;
+    let at_stake_milli =
+        worker.used.cpu_milli + worker.best_effort_milli + worker.long_running_milli;
     let same_host_cost = match **suspected_at == *worker.entry.address {
         true => BLURRED_COST / 2,
         false => 0,
@@ -227,10 +236,10 @@
 }
 
 /// Lists what the fillers on a worker would like to use.
-fn demands(worker: &Worker) -> Vec<Use> {
+fn demands(worker: &Worker) -> Vec<ImageUsage> {
     let mut demands = Vec::new();
     for run in worker.runs.values() {
-        if run.is_filler {
+        if run.is_best_effort {
             demands.push((run.image, run.cpu_milli as f64 / 1_000.0));
         }
     }
@@ -239,21 +248,21 @@
 
 /// Gives the cost of putting a task on a worker; `None` if it would only slow down what
 /// is there.
-fn cost(worker: &Worker, wanted: &Wanted<'_>) -> Option<i64> {
-    let step = wanted.step;
+fn cost(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
+    let step = requirements.step;
     let spare = spare_milli(worker);
     let mut cost = -spare;
-    if !step.is_filler && !step.is_lasting {
+    if !step.is_best_effort && !step.is_long_running {
         // The tightest fit leaves large holes whole.
         cost = worker.free().cpu_milli as i64;
     }
-    if step.is_filler {
+    if step.is_best_effort {
         // Fillers share what is unused: one too many slows all of them.
-        if spare < step.cpu_milli as i64 && worker.filler_milli > 0 {
+        if spare < step.cpu_milli as i64 && worker.best_effort_milli > 0 {
             return None;
         }
     }
-    if worker.failures_in_row > 0 {
+    if worker.consecutive_failures > 0 {
         cost += SUSPECT_COST;
     }
     if worker.entry.cold_ms > 0 {
@@ -273,7 +282,8 @@
 
 /// Gives the processor time that is expected to be unused on a worker.
 fn spare_milli(worker: &Worker) -> i64 {
-    let unused_by_lasting = worker.lasting_milli * (100 - LASTING_USE_PERCENT) / 100;
-    worker.entry.room.cpu_milli as i64 - worker.used.cpu_milli as i64 + unused_by_lasting as i64
-        - worker.filler_milli as i64
+    let unused_by_long_running = worker.long_running_milli * (100 - LONG_RUNNING_USE_PERCENT) / 100;
+    worker.entry.resources.cpu_milli as i64 - worker.used.cpu_milli as i64
+        + unused_by_long_running as i64
+        - worker.best_effort_milli as i64
 }
--- a/crates/dispatch/src/owner/progress.rs
+++ b/crates/dispatch/src/owner/progress.rs
@@ -1,8 +1,8 @@
 //! Steps of jobs as they are put on record, and taken up from there.
 
 use crate::owner::job::StepState;
-use crate::owner::task::Loss;
-use crate::owner::task::Placed;
+use crate::owner::task::LostRun;
+use crate::owner::task::Placement;
 use crate::owner::worker::WorkerKey;
 use crate::policy::suspicion::Suspicion;
 use crate::record::StepProgress;
@@ -29,15 +29,15 @@
             run: past.crashed_run,
             address: past.crashed_address.as_str().into(),
         };
-        task.losses = past.losses.iter().map(Loss::new).collect();
+        task.lost_runs = past.lost_runs.iter().map(LostRun::new).collect();
         if past.phase() == TaskPhase::Assigned {
-            task.placed = Some(Placed {
+            task.placement = Some(Placement {
                 run: past.run,
                 worker: worker(&past.worker),
             });
         }
         if !past.copy_worker.is_empty() {
-            task.copy = Some(Placed {
+            task.copy = Some(Placement {
                 run: past.copy_run,
                 worker: worker(&past.copy_worker),
             });
@@ -62,18 +62,18 @@
         if is_untouched {
             break;
         }
-        let phase = match (task.is_done, task.placed) {
+        let phase = match (task.is_done, task.placement) {
             (true, _) => TaskPhase::Done,
             (false, Some(_)) => TaskPhase::Assigned,
             (false, None) => TaskPhase::Waiting,
         };
         tasks.push(TaskProgress {
             phase: phase as i32,
-            run: task.placed.map_or(task.run, |placed| placed.run),
+            run: task.placement.map_or(task.run, |placement| placement.run),
             failures: task.failures,
             worker: task
-                .placed
-                .map_or(String::new(), |placed| name(placed.worker)),
+                .placement
+                .map_or(String::new(), |placement| name(placement.worker)),
             checkpoint: task.checkpoint.to_string(),
             copy_run: task.copy.map_or(0, |copy| copy.run),
             copy_worker: task.copy.map_or(String::new(), |copy| name(copy.worker)),
@@ -82,7 +82,7 @@
             suspect_starts: task.suspicion.starts,
             crashed_run: task.suspicion.run,
             crashed_address: task.suspicion.address.to_string(),
-            losses: task.losses.iter().map(Loss::record).collect(),
+            lost_runs: task.lost_runs.iter().map(LostRun::record).collect(),
         });
     }
     StepProgress {
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -15,7 +15,7 @@
 use crate::relay::CHOICES;
 use crate::relay::Inquiry;
 use crate::relay::RelayedOrder;
-use crate::relay::TicketEnd;
+use crate::relay::RelayedOutcome;
 use std::collections::HashMap;
 
 /// Time for which an owner that needs relays gives no orders while it connects to them. Without
@@ -28,14 +28,19 @@
 
 impl Owner {
     /// Takes in which hosts there are.
-    pub(crate) fn note_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
+    pub(crate) fn update_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
         self.survey = Survey::of(hosts);
-        self.relays.note_hosts(&self.host, hosts);
+        self.relays.update_hosts(&self.host, hosts);
     }
 
     /// Keeps connections to relays if there are too many workers for this host, and gives up
     /// what is overdue.
-    pub(super) fn keep_relays(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
+    pub(super) fn maintain_relays(
+        &mut self,
+        now: Now,
+        tickets: &mut u64,
+        actions: &mut Vec<Action>,
+    ) {
         let means = Means {
             link_bytes_per_s: self.bounds.link_bytes_per_s,
             cpu_permille: self.bounds.cpu_permille,
@@ -49,10 +54,10 @@
             return;
         }
         self.relays.connect(now.steady_ms, tickets, actions);
-        let ends = self.relays.expire(now.steady_ms, actions);
-        self.take_ends_of_orders(ends, now, actions);
-        self.figures.relays = self.relays.usable() as u64;
-        self.figures.selected = self.relays.selected();
+        let outcomes = self.relays.expire(now.steady_ms, actions);
+        self.handle_order_outcomes(outcomes, now, actions);
+        self.stats.relays = self.relays.usable() as u64;
+        self.stats.selected = self.relays.selected();
     }
 
     /// Tells whether orders are to wait until there are relays.
@@ -88,7 +93,7 @@
         let Some(bytes) = self.relays.relay(&order, now_ms) else {
             return false;
         };
-        self.figures.relayed += 1;
+        self.stats.relayed += 1;
         self.charge_relayed(key, call, bytes);
         true
     }
@@ -108,30 +113,37 @@
         worker.relay_until_ms = now_ms + PASSED_OVER_MS;
     }
 
-    pub(crate) fn note_relay(&mut self, link: LinkId, now: Now) {
-        self.relays.note_opened(link, now.steady_ms);
+    pub(crate) fn handle_relay_opened(&mut self, link: LinkId, now: Now) {
+        self.relays.handle_opened(link, now.steady_ms);
     }
 
     pub(crate) fn lose_relay(&mut self, link: LinkId, now: Now, actions: &mut Vec<Action>) {
-        let ends = self.relays.lose(link, now.steady_ms, actions);
-        self.take_ends_of_orders(ends, now, actions);
+        let outcomes = self.relays.lose(link, now.steady_ms, actions);
+        self.handle_order_outcomes(outcomes, now, actions);
     }
 
     /// Takes in what came of relayed orders.
-    pub(crate) fn take_relayed(
+    pub(crate) fn handle_relay_frame(
         &mut self,
         link: LinkId,
         bytes: &[u8],
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        let ends = self.relays.take_frame(link, bytes, now.steady_ms, actions);
-        self.take_ends_of_orders(ends, now, actions);
+        let outcomes = self
+            .relays
+            .handle_frame(link, bytes, now.steady_ms, actions);
+        self.handle_order_outcomes(outcomes, now, actions);
     }
 
-    fn take_ends_of_orders(&mut self, ends: Vec<TicketEnd>, now: Now, actions: &mut Vec<Action>) {
-        for TicketEnd { ticket, end } in ends {
-            self.take_order(ticket, end, now, actions);
+    fn handle_order_outcomes(
+        &mut self,
+        outcomes: Vec<RelayedOutcome>,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
+        for RelayedOutcome { ticket, outcome } in outcomes {
+            self.handle_order_outcome(ticket, outcome, now, actions);
         }
     }
 
--- a/crates/dispatch/src/owner/pacing.rs
+++ b/crates/dispatch/src/owner/shares.rs
@@ -7,7 +7,7 @@
 //! the same has every filler beside it halted, whatever was learned.
 
 use crate::event::Action;
-use crate::event::OrderEnd;
+use crate::event::OrderOutcome;
 use crate::event::WorkerCall;
 use crate::ids::TaskId;
 use crate::owner::Owner;
@@ -16,14 +16,14 @@
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::Worker;
 use crate::owner::worker::WorkerKey;
-use crate::policy::interference::Interference;
-use crate::policy::interference::Use;
-use crate::policy::interference::add_use;
-use crate::policy::interference::ease;
-use crate::policy::pacing::Beside;
-use crate::policy::pacing::Patience;
-use crate::policy::pacing::WELL_EASE;
-use crate::policy::pacing::choose_share;
+use crate::policy::interference::ImageUsage;
+use crate::policy::interference::InterferenceModel;
+use crate::policy::interference::add_usage;
+use crate::policy::interference::headroom;
+use crate::policy::shares::ColocatedService;
+use crate::policy::shares::HEALTHY_HEADROOM;
+use crate::policy::shares::SuspendDelays;
+use crate::policy::shares::choose_share;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
@@ -31,22 +31,27 @@
 /// an order takes a tenth of a second to have its effect.
 const PAUSE_MS: u64 = 700;
 /// Smallest change that is worth an order.
-const CHANGE_LEAST_PERCENT: u32 = 5;
+const MIN_CHANGE_PERCENT: u32 = 5;
 
 /// What a decision on the fillers of a worker has changed.
 #[derive(Debug, Default)]
 struct Shift {
-    halted: u32,
+    suspended: u32,
     slowed: u32,
     raised: u32,
 }
 
 impl Owner {
     /// Learns from what a worker has just listed, and decides on its fillers.
-    pub(crate) fn judge_fillers(&mut self, key: WorkerKey, now_ms: u64, actions: &mut Vec<Action>) {
-        let patience = Patience::new(self.bounds.harm_ms);
+    pub(crate) fn adjust_best_effort(
+        &mut self,
+        key: WorkerKey,
+        now_ms: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        let suspend_delays = SuspendDelays::new(self.bounds.harm_ms);
         let worker = &mut self.workers[key];
-        worker.is_pressed = false;
+        worker.is_over_target = false;
         let is_new = has_new_gauges(worker) && self.bounds.policy.learns_interference;
         let mut uses = uses(worker);
         if is_new {
@@ -57,30 +62,36 @@
                 run.over_since_ms = None;
                 continue;
             }
-            let ease = ease(run.tail_target_ms, run.gauge);
+            let headroom = headroom(run.tail_latency_target_ms, run.gauge);
             if is_new {
                 self.interference
-                    .learn(run.image, &mut run.baseline, ease, &uses);
+                    .learn(run.image, &mut run.baseline, headroom, &uses);
             }
-            if ease < 1.0 {
+            if headroom < 1.0 {
                 run.over_since_ms.get_or_insert(now_ms);
-                worker.is_pressed = true;
-            } else if ease >= WELL_EASE {
+                worker.is_over_target = true;
+            } else if headroom >= HEALTHY_HEADROOM {
                 run.over_since_ms = None;
             }
         }
-        if worker.filler_milli == 0 {
-            worker.is_pressed = false;
+        if worker.best_effort_milli == 0 {
+            worker.is_over_target = false;
             return;
         }
-        let paces = self.bounds.policy.paces;
-        if let Some(shift) = decide(worker, &self.interference, patience, paces, now_ms) {
+        let throttles = self.bounds.policy.throttles;
+        if let Some(shift) = decide(
+            worker,
+            &self.interference,
+            suspend_delays,
+            throttles,
+            now_ms,
+        ) {
             actions.push(Action::Note(Note::new(
                 Code::FillersPaced,
                 &*worker.entry.id,
                 format!(
                     "halted={} slowed={} raised={} {}",
-                    shift.halted,
+                    shift.suspended,
                     shift.slowed,
                     shift.raised,
                     worst_served(worker, now_ms)
@@ -90,7 +101,12 @@
     }
 
     /// Sends the changes of share that are due.
-    pub(crate) fn pace(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
+    pub(crate) fn send_share_changes(
+        &mut self,
+        now_ms: u64,
+        tickets: &mut u64,
+        actions: &mut Vec<Action>,
+    ) {
         let mut due = Vec::new();
         for key in self.workers.with_orders() {
             let worker = &mut self.workers[key];
@@ -100,48 +116,53 @@
             let mut has_more = false;
             for ((task, number), run) in &mut worker.runs {
                 let is_stopping = matches!(run.phase, RunPhase::Stopping { .. });
-                let differs = run.pace_percent.abs_diff(run.share_percent) >= CHANGE_LEAST_PERCENT;
+                let differs = run.applied_share_percent.abs_diff(run.target_share_percent)
+                    >= MIN_CHANGE_PERCENT;
                 has_more |= is_stopping || differs;
                 let is_there = matches!(run.phase, RunPhase::Present { .. });
-                if !differs || !is_there || run.is_pacing || now_ms < run.pace_again_ms {
+                if !differs
+                    || !is_there
+                    || run.is_share_change_pending
+                    || now_ms < run.share_retry_ms
+                {
                     continue;
                 }
-                run.is_pacing = true;
-                due.push((key, *task, *number, run.share_percent));
+                run.is_share_change_pending = true;
+                due.push((key, *task, *number, run.target_share_percent));
             }
             worker.has_orders = has_more;
         }
         for (key, task, run, percent) in due {
-            self.figures.paces += 1;
-            let call = WorkerCall::Pace { task, run, percent };
-            let purpose = Purpose::Pace { task, run, percent };
+            self.stats.share_changes += 1;
+            let call = WorkerCall::SetShare { task, run, percent };
+            let purpose = Purpose::SetShare { task, run, percent };
             self.order(key, purpose, call, now_ms, tickets, actions);
         }
     }
 
-    pub(crate) fn end_pace(
+    pub(crate) fn on_share_change(
         &mut self,
         key: WorkerKey,
         task: TaskId,
         number: u32,
         percent: u32,
-        end: &OrderEnd,
+        outcome: &OrderOutcome,
         now_ms: u64,
     ) {
         let Some(run) = self.workers[key].runs.get_mut(&(task, number)) else {
             return;
         };
-        run.is_pacing = false;
-        match end {
-            OrderEnd::Done { .. } => run.pace_percent = percent,
-            _ => run.pace_again_ms = now_ms + PAUSE_MS,
+        run.is_share_change_pending = false;
+        match outcome {
+            OrderOutcome::Done { .. } => run.applied_share_percent = percent,
+            _ => run.share_retry_ms = now_ms + PAUSE_MS,
         }
     }
 }
 
 /// Tells whether a run serves users whose wait is known.
 fn is_serving(run: &Run) -> bool {
-    run.is_lasting && run.tail_target_ms > 0 && run.percent >= 100 && run.gauge > 0
+    run.is_long_running && run.tail_latency_target_ms > 0 && run.percent >= 100 && run.gauge > 0
 }
 
 /// Tells whether the figures of a look are new, and notes them. Workers tell the same ones
@@ -149,21 +170,21 @@
 fn has_new_gauges(worker: &mut Worker) -> bool {
     let mut is_new = false;
     for run in worker.runs.values_mut() {
-        is_new |= run.gauge != run.former_gauge;
-        run.former_gauge = run.gauge;
+        is_new |= run.gauge != run.previous_gauge;
+        run.previous_gauge = run.gauge;
     }
     is_new
 }
 
 /// Adds up what the fillers on a worker use, by image and by the latest look.
-fn uses(worker: &Worker) -> Vec<Use> {
-    let mut uses: Vec<Use> = Vec::new();
+fn uses(worker: &Worker) -> Vec<ImageUsage> {
+    let mut uses: Vec<ImageUsage> = Vec::new();
     for run in worker.runs.values() {
-        if !run.is_filler || run.gauge == 0 {
+        if !run.is_best_effort || run.gauge == 0 {
             continue;
         }
         let cores = run.gauge as f64 / 1_000.0;
-        add_use(&mut uses, run.image, cores);
+        add_usage(&mut uses, run.image, cores);
     }
     uses
 }
@@ -175,14 +196,14 @@
         if !is_serving(run) {
             continue;
         }
-        let ease = ease(run.tail_target_ms, run.gauge);
-        if worst.as_ref().is_none_or(|(least, _)| ease < *least) {
+        let headroom = headroom(run.tail_latency_target_ms, run.gauge);
+        if worst.as_ref().is_none_or(|(least, _)| headroom < *least) {
             let over_ms = run.over_since_ms.map_or(0, |since_ms| now_ms - since_ms);
             let text = format!(
                 "task={task} tail_ms={} target_ms={} over_ms={over_ms}",
-                run.gauge, run.tail_target_ms
+                run.gauge, run.tail_latency_target_ms
             );
-            worst = Some((ease, text));
+            worst = Some((headroom, text));
         }
     }
     worst.map_or("served=0".into(), |(_, text)| text)
@@ -193,42 +214,46 @@
 /// the time after which a wait counts as harm runs on.
 fn decide(
     worker: &mut Worker,
-    interference: &Interference,
-    patience: Patience,
-    paces: bool,
+    interference: &InterferenceModel,
+    suspend_delays: SuspendDelays,
+    throttles: bool,
     now_ms: u64,
 ) -> Option<Shift> {
-    let may_shift = now_ms >= worker.pace_ms;
+    let may_shift = now_ms >= worker.next_share_change_ms;
     let mut served = Vec::new();
     for run in worker.runs.values() {
         if is_serving(run) {
             let over_ms = run.over_since_ms.map_or(0, |since_ms| now_ms - since_ms);
-            let ease = ease(run.tail_target_ms, run.gauge);
-            served.push((run.image, ease, over_ms));
+            let headroom = headroom(run.tail_latency_target_ms, run.gauge);
+            served.push((run.image, headroom, over_ms));
         }
     }
     let mut shift = Shift::default();
     for run in worker.runs.values_mut() {
-        if !run.is_filler {
+        if !run.is_best_effort {
             continue;
         }
-        let before = run.share_percent;
+        let before = run.target_share_percent;
         let cores = run.cpu_milli as f64 / 1_000.0;
-        let services = served.iter().map(|(serving, ease, over_ms)| Beside {
-            ease: *ease,
-            over_ms: *over_ms,
-            pressure: interference.press(*serving, run.image) * cores,
-        });
-        let services: Vec<Beside> = services.collect();
-        run.share_percent = choose_share(before, &services, patience, may_shift, paces);
-        shift.halted += u32::from(run.share_percent == 0 && before > 0);
-        shift.slowed += u32::from(run.share_percent > 0 && before > run.share_percent);
-        shift.raised += u32::from(before < run.share_percent);
+        let services = served
+            .iter()
+            .map(|(serving, headroom, over_ms)| ColocatedService {
+                headroom: *headroom,
+                over_ms: *over_ms,
+                headroom_loss: interference.coefficient(*serving, run.image) * cores,
+            });
+        let services: Vec<ColocatedService> = services.collect();
+        run.target_share_percent =
+            choose_share(before, &services, suspend_delays, may_shift, throttles);
+        shift.suspended += u32::from(run.target_share_percent == 0 && before > 0);
+        shift.slowed +=
+            u32::from(run.target_share_percent > 0 && before > run.target_share_percent);
+        shift.raised += u32::from(before < run.target_share_percent);
     }
-    if shift.halted + shift.slowed + shift.raised == 0 {
+    if shift.suspended + shift.slowed + shift.raised == 0 {
         return None;
     }
     worker.has_orders = true;
-    worker.pace_ms = now_ms + PAUSE_MS;
+    worker.next_share_change_ms = now_ms + PAUSE_MS;
     Some(shift)
 }
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -16,7 +16,7 @@
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::Worker;
 use crate::owner::worker::WorkerKey;
-use crate::policy::stragglers::Pace;
+use crate::policy::stragglers::Speed;
 use crate::policy::stragglers::is_slow;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -41,14 +41,14 @@
 const LEFT_PERCENT: u64 = 160;
 /// Ends by which a worker is judged beside what runs there, and for how long each counts: until
 /// what began after it has shown its own pace.
-const ENDED_MOST: usize = 6;
+const MAX_ENDED: usize = 6;
 const ENDED_MS: u64 = 1_500;
 /// Time that stopping and starting again take.
 const MOVE_MS: u64 = 300;
 /// Time for which a worker with a straggler gets nothing new.
-const SHUN_MS: u64 = 1_500;
+const AVOID_MS: u64 = 1_500;
 /// Runs after which a task is left where it is: it may just be longer than its siblings.
-const RUNS_MOST: u32 = 6;
+const MAX_RUNS: u32 = 6;
 /// Weight of a new duration in the mean of its queue, in percent.
 const MEAN_PERCENT: u64 = 5;
 /// How much longer than the mean of its queue a task may take of which nothing else is
@@ -56,7 +56,7 @@
 const UNKNOWN_FACTOR: u64 = 3;
 
 /// Siblings whose pace must be known before one of them is held against the others.
-const PACES_LEAST: usize = 3;
+const MIN_SPEEDS: usize = 3;
 /// Time that a task takes if its queue has ended none yet.
 const UNKNOWN_MS: u64 = 1_000;
 
@@ -94,40 +94,40 @@
 
 impl Durations {
     /// Notes how long a run took that ended well.
-    pub(crate) fn note(&mut self, queue: &str, is_filler: bool, took_ms: u64) {
+    pub(crate) fn note(&mut self, queue: &str, is_best_effort: bool, took_ms: u64) {
         let mean_ms = self
             .mean_ms
-            .entry((queue.into(), is_filler))
+            .entry((queue.into(), is_best_effort))
             .or_insert(took_ms);
         *mean_ms = (*mean_ms * (100 - MEAN_PERCENT) + took_ms * MEAN_PERCENT) / 100;
     }
 
-    fn usual_ms(&self, queue: &str, is_filler: bool) -> Option<u64> {
-        self.mean_ms.get(&(queue.into(), is_filler)).copied()
+    fn usual_ms(&self, queue: &str, is_best_effort: bool) -> Option<u64> {
+        self.mean_ms.get(&(queue.into(), is_best_effort)).copied()
     }
 }
 
 impl Worker {
     /// Notes how long a run took there that ended well.
-    pub(crate) fn note_pace(&mut self, pace: Pace, now_ms: u64) {
-        self.ended_paces.push_back((now_ms, pace));
-        if self.ended_paces.len() > ENDED_MOST {
-            self.ended_paces.pop_front();
+    pub(crate) fn record_speed(&mut self, speed: Speed, now_ms: u64) {
+        self.ended_speeds.push_back((now_ms, speed));
+        if self.ended_speeds.len() > MAX_ENDED {
+            self.ended_speeds.pop_front();
         }
     }
 
     /// Gives the paces of runs that ended there of late. The longer ones go on, and would be taken
     /// for slow without them.
-    fn recent_paces(&self, now_ms: u64) -> impl Iterator<Item = Pace> {
-        let paces = self.ended_paces.iter();
-        let recent = paces.filter(move |(at_ms, _)| now_ms < at_ms + ENDED_MS);
-        recent.map(|(_, pace)| *pace)
+    fn recent_speeds(&self, now_ms: u64) -> impl Iterator<Item = Speed> {
+        let speeds = self.ended_speeds.iter();
+        let recent = speeds.filter(move |(at_ms, _)| now_ms < at_ms + ENDED_MS);
+        recent.map(|(_, speed)| *speed)
     }
 }
 
 impl Owner {
     /// Looks for stragglers and starts them elsewhere.
-    pub(crate) fn chase_stragglers(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(crate) fn replace_stragglers(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_due = now.steady_ms >= self.durations.next_search_ms && !self.holds_starts;
         if !is_due || !self.bounds.policy.replaces_stragglers {
             return;
@@ -153,10 +153,10 @@
 
     /// Gives for each step how long its tasks should take.
     fn expect_all(&self, suspects: &[Straggler]) -> HashMap<StepKey, Expected> {
-        let mut paces: HashMap<StepKey, Vec<u64>> = HashMap::new();
+        let mut speeds: HashMap<StepKey, Vec<u64>> = HashMap::new();
         for suspect in suspects {
             let projected_ms = projected_ms(self.run(suspect));
-            paces
+            speeds
                 .entry(suspect.step())
                 .or_default()
                 .extend(projected_ms);
@@ -164,8 +164,8 @@
         let mut expected = HashMap::new();
         for suspect in suspects {
             expected.entry(suspect.step()).or_insert_with(|| {
-                let paces = paces.get_mut(&suspect.step());
-                self.expect(suspect, paces.map_or(&mut [], |paces| paces))
+                let speeds = speeds.get_mut(&suspect.step());
+                self.expect(suspect, speeds.map_or(&mut [], |speeds| speeds))
             });
         }
         expected
@@ -178,21 +178,21 @@
         expected: &HashMap<StepKey, Expected>,
         now_ms: u64,
     ) -> HashSet<WorkerKey> {
-        let mut paces: HashMap<WorkerKey, Vec<Pace>> = HashMap::new();
+        let mut speeds: HashMap<WorkerKey, Vec<Speed>> = HashMap::new();
         for suspect in suspects {
             let expected = expected[&suspect.step()];
             let projected_ms = projected_ms(self.run(suspect));
             if let Some(projected_ms) = projected_ms.filter(|_| expected.is_known) {
-                paces.entry(suspect.worker).or_default().push(Pace {
+                speeds.entry(suspect.worker).or_default().push(Speed {
                     projected_ms,
                     usual_ms: expected.whole_ms,
                 });
             }
         }
         let mut slow = HashSet::new();
-        for (key, mut paces) in paces {
-            paces.extend(self.workers[key].recent_paces(now_ms));
-            if is_slow(&paces) {
+        for (key, mut speeds) in speeds {
+            speeds.extend(self.workers[key].recent_speeds(now_ms));
+            if is_slow(&speeds) {
                 slow.insert(key);
             }
         }
@@ -204,13 +204,13 @@
         let mut list = Vec::new();
         for (worker, state) in &self.workers {
             // What was not looked at of late says nothing about its tasks.
-            if state.misses > 0 || now_ms > state.answered_ms + FRESH_MS {
+            if state.missed_answers > 0 || now_ms > state.answered_ms + FRESH_MS {
                 continue;
             }
             for ((task, number), run) in &state.runs {
                 let is_present = matches!(run.phase, RunPhase::Present { .. });
-                let is_slowed = run.share_percent < 100 || run.pace_percent < 100;
-                if !is_present || run.is_lasting || run.is_stray || is_slowed {
+                let is_slowed = run.target_share_percent < 100 || run.applied_share_percent < 100;
+                if !is_present || run.is_long_running || run.is_orphan || is_slowed {
                     continue;
                 }
                 let Some(job) = self.job_keys.get(&task.job).copied() else {
@@ -230,7 +230,7 @@
     /// Gives the time that a task of this step should take: by the siblings that have
     /// ended, else by the pace of those that run. A job whose tasks all take long has no
     /// stragglers.
-    fn expect(&self, suspect: &Straggler, paces: &mut [u64]) -> Expected {
+    fn expect(&self, suspect: &Straggler, speeds: &mut [u64]) -> Expected {
         let job = &self.jobs[suspect.job];
         let task = suspect.task;
         let state = job
@@ -247,15 +247,17 @@
                 is_known: true,
             };
         }
-        if paces.len() >= PACES_LEAST {
-            paces.sort_unstable();
+        if speeds.len() >= MIN_SPEEDS {
+            speeds.sort_unstable();
             return Expected {
-                whole_ms: paces[(paces.len() - 1) / 2],
+                whole_ms: speeds[(speeds.len() - 1) / 2],
                 is_known: true,
             };
         }
-        let is_filler = job.step(task).is_some_and(|step| step.is_filler);
-        let usual_ms = self.durations.usual_ms(&job.submission.queue, is_filler);
+        let is_best_effort = job.step(task).is_some_and(|step| step.is_best_effort);
+        let usual_ms = self
+            .durations
+            .usual_ms(&job.submission.queue, is_best_effort);
         Expected {
             whole_ms: usual_ms.unwrap_or(UNKNOWN_MS) * UNKNOWN_FACTOR,
             is_known: false,
@@ -275,13 +277,16 @@
         let Some(task) = self.jobs[job].task_mut(id) else {
             return;
         };
-        let is_only = task.copy.is_none() && task.placed.is_some_and(|placed| placed.run == number);
+        let is_only = task.copy.is_none()
+            && task
+                .placement
+                .is_some_and(|placement| placement.run == number);
         // A second run would blur what the first one is to tell.
-        if !is_only || task.run >= RUNS_MOST || task.is_suspect() {
+        if !is_only || task.run >= MAX_RUNS || task.is_suspect() {
             return;
         }
         task.failed_on = Some(worker);
-        self.workers[worker].shunned_until_ms = now.steady_ms + SHUN_MS;
+        self.workers[worker].avoided_until_ms = now.steady_ms + AVOID_MS;
         let run = &self.workers[worker].runs[&(id, number)];
         actions.push(Action::Note(Note::new(
             Code::RunLagging,
@@ -290,8 +295,8 @@
                 "run={number} worker={} percent={} still_ms={} age_ms={} copy={is_speculative}",
                 self.workers[worker].entry.id,
                 run.percent,
-                now.steady_ms - run.moved_ms,
-                now.steady_ms - run.begun_ms
+                now.steady_ms - run.progressed_ms,
+                now.steady_ms - run.started_ms
             ),
         )));
         if is_speculative {
@@ -305,7 +310,7 @@
 /// Gives the time that a run takes in all at the pace that it has shown so far.
 fn projected_ms(run: &Run) -> Option<u64> {
     // Progress is known as of the latest look that told of some.
-    let worked_ms = run.moved_ms.saturating_sub(run.first_ms);
+    let worked_ms = run.progressed_ms.saturating_sub(run.first_ms);
     let done = u64::from(run.percent.saturating_sub(run.first_percent));
     if worked_ms < JUDGE_MS || done == 0 {
         return None;
@@ -316,7 +321,7 @@
 /// Tells whether a run has made no progress for so long that it stands still, as of the look at
 /// `seen_ms`.
 fn stands_still(run: &Run, expected: Expected, seen_ms: u64) -> bool {
-    let still_ms = seen_ms.saturating_sub(run.moved_ms);
+    let still_ms = seen_ms.saturating_sub(run.progressed_ms);
     still_ms >= STILL_MS.max(expected.whole_ms * STILL_PERCENT / 100)
 }
 
@@ -324,8 +329,8 @@
 /// `seen_ms`.
 fn lags(run: &Run, expected: Expected, seen_ms: u64) -> bool {
     let whole_ms = expected.whole_ms;
-    let still_ms = seen_ms.saturating_sub(run.moved_ms);
-    let worked_ms = run.moved_ms.saturating_sub(run.first_ms);
+    let still_ms = seen_ms.saturating_sub(run.progressed_ms);
+    let worked_ms = run.progressed_ms.saturating_sub(run.first_ms);
     if !expected.is_known || worked_ms < whole_ms * JUDGE_PERCENT / 100 {
         return false;
     }
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -3,31 +3,31 @@
 use crate::incarnation::Incarnation;
 use crate::owner::worker::WorkerKey;
 use crate::policy::suspicion::Suspicion;
-use crate::record::LossRecord;
+use crate::record::LostRunRecord;
 use std::collections::BTreeSet;
 
 /// A run of a task that is on record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Placed {
+pub(crate) struct Placement {
     pub(crate) run: u32,
     pub(crate) worker: WorkerKey,
 }
 
 /// Times that the wait before the next run of a task doubles: from 30 ms to 1 s after a bad end.
 /// Tasks that last must run again within seconds where they can.
-const DOUBLINGS_MOST: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Time for which a task that is suspected waits for a worker on which nothing else is. A job that
 /// could run and does not for three seconds counts as lost.
 const ALONE_WAIT_MS: u64 = 2_000;
 /// Losses of a task that are kept until it is known what became of their workers.
-const LOSSES_MOST: usize = 4;
+const MAX_LOST_RUNS: usize = 4;
 /// Time for which a task that may have had its last starts waits until it is known whether workers
 /// have crashed. Those that crash are back within twice a lease, mostly.
 const SETTLE_MS: u64 = 6_000;
 
 /// A run that went with a worker that was given up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Loss {
+pub(crate) struct LostRun {
     pub(crate) worker: Box<str>,
     pub(crate) address: Box<str>,
     pub(crate) incarnation: Incarnation,
@@ -35,38 +35,38 @@
     /// The run may be the cause if the worker has crashed.
     pub(crate) is_suspect: bool,
     /// Nothing else there may be.
-    pub(crate) is_alone: bool,
+    pub(crate) is_sole_suspect: bool,
     /// The worker has answered that the run is there.
     pub(crate) is_confirmed: bool,
 }
 
-impl Loss {
+impl LostRun {
     /// Tells whether the run was there for certain and may have crashed the worker. What a new owner
     /// has never seen there is not suspected: after an outage that would be all tasks of a domain.
     pub(crate) fn may_be_cause(&self) -> bool {
         self.is_suspect && self.is_confirmed
     }
 
-    pub(super) fn new(record: &LossRecord) -> Self {
+    pub(super) fn new(record: &LostRunRecord) -> Self {
         Self {
             worker: record.worker.as_str().into(),
             address: record.address.as_str().into(),
             incarnation: record.started_wall_ms.into(),
             run: record.run,
             is_suspect: record.is_suspect,
-            is_alone: record.is_alone,
+            is_sole_suspect: record.is_sole_suspect,
             is_confirmed: record.is_confirmed,
         }
     }
 
-    pub(super) fn record(&self) -> LossRecord {
-        LossRecord {
+    pub(super) fn record(&self) -> LostRunRecord {
+        LostRunRecord {
             worker: self.worker.to_string(),
             address: self.address.to_string(),
             started_wall_ms: self.incarnation.started_wall_ms(),
             run: self.run,
             is_suspect: self.is_suspect,
-            is_alone: self.is_alone,
+            is_sole_suspect: self.is_sole_suspect,
             is_confirmed: self.is_confirmed,
         }
     }
@@ -80,22 +80,22 @@
     pub(crate) run: u32,
     pub(crate) failures: u32,
     /// Its run, if one may be on a worker.
-    pub(crate) placed: Option<Placed>,
+    pub(crate) placement: Option<Placement>,
     /// A second run beside it, of a step that allows copies.
-    pub(crate) copy: Option<Placed>,
+    pub(crate) copy: Option<Placement>,
     pub(crate) checkpoint: Box<str>,
     /// Earliest time of the next run.
     pub(crate) not_before_ms: u64,
     /// Runs in a row that ended badly, or were refused, before they had worked for a while.
-    pub(crate) mishaps: u32,
+    pub(crate) failed_starts: u32,
     /// Worker on which it failed last; another one is tried first.
     pub(crate) failed_on: Option<WorkerKey>,
     /// Until when its next run waits for a worker on which nothing else is suspected, if it does.
-    pub(crate) alone_until_ms: Option<u64>,
+    pub(crate) isolation_until_ms: Option<u64>,
     /// What speaks against it when its workers crash.
     pub(crate) suspicion: Suspicion,
     /// Runs that went with workers of which it is not known whether they have crashed.
-    pub(crate) losses: Vec<Loss>,
+    pub(crate) lost_runs: Vec<LostRun>,
     /// When the newest of them was.
     pub(crate) lost_ms: u64,
 }
@@ -103,9 +103,9 @@
 impl Task {
     /// Lets go of a run that is over; its copy, if there is one, takes its place. Tells
     /// whether the run was the task's at all.
-    pub(crate) fn let_go(&mut self, run: Placed) -> bool {
-        if self.placed == Some(run) {
-            self.placed = self.copy.take();
+    pub(crate) fn release_run(&mut self, run: Placement) -> bool {
+        if self.placement == Some(run) {
+            self.placement = self.copy.take();
             return true;
         }
         self.copy.take_if(|copy| *copy == run).is_some()
@@ -114,46 +114,49 @@
     /// Has it wait before its next run: at first for as long as given, and twice as long with each
     /// mishap in a row, so that a task which can't run anywhere does not keep store and workers
     /// busy.
-    pub(crate) fn wait_longer(&mut self, first_ms: u64, now_ms: u64) {
-        let doublings = self.mishaps.min(DOUBLINGS_MOST);
+    pub(crate) fn back_off(&mut self, first_ms: u64, now_ms: u64) {
+        let doublings = self.failed_starts.min(MAX_DOUBLINGS);
         self.not_before_ms = now_ms + (first_ms << doublings);
-        self.mishaps += 1;
+        self.failed_starts += 1;
     }
 
     pub(crate) fn is_waiting(&self) -> bool {
-        !self.is_done && self.placed.is_none()
+        !self.is_done && self.placement.is_none()
     }
 
     /// Tells whether it may have crashed a worker.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.suspicion.is_open() || self.losses.iter().any(Loss::may_be_cause)
+        self.suspicion.is_open() || self.lost_runs.iter().any(LostRun::may_be_cause)
     }
 
     /// Begins, or goes on, to wait for a worker on which nothing else is suspected, as there are
     /// only others. Gives until when it waits.
-    pub(crate) fn wait_alone(&mut self, now_ms: u64) -> u64 {
-        *self.alone_until_ms.get_or_insert(now_ms + ALONE_WAIT_MS)
+    pub(crate) fn wait_for_isolation(&mut self, now_ms: u64) -> u64 {
+        *self
+            .isolation_until_ms
+            .get_or_insert(now_ms + ALONE_WAIT_MS)
     }
 
     /// Tells whether it may still wait for such a worker.
-    pub(crate) fn may_wait_alone(&self, now_ms: u64) -> bool {
-        self.alone_until_ms.is_none_or(|until_ms| now_ms < until_ms)
+    pub(crate) fn may_wait_for_isolation(&self, now_ms: u64) -> bool {
+        self.isolation_until_ms
+            .is_none_or(|until_ms| now_ms < until_ms)
     }
 
     /// Keeps a loss until it is known what became of its worker.
-    pub(crate) fn note_loss(&mut self, loss: Loss, now_ms: u64) {
+    pub(crate) fn record_lost_run(&mut self, lost_run: LostRun, now_ms: u64) {
         self.lost_ms = now_ms;
-        if self.losses.len() == LOSSES_MOST {
-            self.losses.remove(0);
+        if self.lost_runs.len() == MAX_LOST_RUNS {
+            self.lost_runs.remove(0);
         }
-        self.losses.push(loss);
+        self.lost_runs.push(lost_run);
     }
 
     /// Gives under how many of its runs workers may have crashed, where that is not known yet. A
     /// gang may lose several in one run, which counts once.
     pub(crate) fn unsettled(&self) -> u32 {
-        let suspects = self.losses.iter().filter(|loss| loss.is_suspect);
-        let runs: BTreeSet<u32> = suspects.map(|loss| loss.run).collect();
+        let suspects = self.lost_runs.iter().filter(|lost_run| lost_run.is_suspect);
+        let runs: BTreeSet<u32> = suspects.map(|lost_run| lost_run.run).collect();
         runs.len() as u32
     }
 
@@ -164,9 +167,9 @@
     }
 
     /// Takes what was lost with a worker.
-    pub(crate) fn take_losses(&mut self, worker: &str) -> Vec<Loss> {
-        self.losses
-            .extract_if(.., |loss| *loss.worker == *worker)
+    pub(crate) fn take_lost_runs(&mut self, worker: &str) -> Vec<LostRun> {
+        self.lost_runs
+            .extract_if(.., |lost_run| *lost_run.worker == *worker)
             .collect()
     }
 }
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -8,9 +8,9 @@
 use crate::ids::TaskId;
 use crate::owner::Owner;
 use crate::owner::job::JobKey;
-use crate::owner::pricing::Wanted;
+use crate::owner::pricing::TaskRequirements;
 use crate::owner::worker::Exclusion;
-use crate::policy::link::Rank;
+use crate::policy::link::CallPriority;
 use crate::record::Step;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -23,11 +23,11 @@
 /// Time after which a step that waits is told of.
 const LONG_MS: u64 = 2_000;
 /// Steps that are told of in one search, those that have waited for longest.
-const TOLD_MOST: usize = 10;
+const MAX_REPORTED: usize = 10;
 
 /// What a task waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wait {
+pub enum WaitReason {
     /// The operator's rules, which this host has not read for too long.
     Rules,
     /// Room on this host's own link.
@@ -51,34 +51,34 @@
     Worker,
 }
 
-impl Wait {
+impl WaitReason {
     /// All of them, in order.
-    pub const ALL: [Wait; 10] = [
-        Wait::Rules,
-        Wait::Link,
-        Wait::Pause,
-        Wait::Members,
-        Wait::Stray,
-        Wait::Fate,
-        Wait::Alone,
-        Wait::Share,
-        Wait::Evacuation,
-        Wait::Worker,
+    pub const ALL: [WaitReason; 10] = [
+        WaitReason::Rules,
+        WaitReason::Link,
+        WaitReason::Pause,
+        WaitReason::Members,
+        WaitReason::Stray,
+        WaitReason::Fate,
+        WaitReason::Alone,
+        WaitReason::Share,
+        WaitReason::Evacuation,
+        WaitReason::Worker,
     ];
 
     /// Gives the name that metrics show.
     pub fn name(self) -> &'static str {
         match self {
-            Wait::Rules => "rules",
-            Wait::Link => "link",
-            Wait::Pause => "pause",
-            Wait::Members => "members",
-            Wait::Stray => "stray",
-            Wait::Fate => "fate",
-            Wait::Alone => "alone",
-            Wait::Share => "share",
-            Wait::Evacuation => "evacuation",
-            Wait::Worker => "worker",
+            WaitReason::Rules => "rules",
+            WaitReason::Link => "link",
+            WaitReason::Pause => "pause",
+            WaitReason::Members => "members",
+            WaitReason::Stray => "stray",
+            WaitReason::Fate => "fate",
+            WaitReason::Alone => "alone",
+            WaitReason::Share => "share",
+            WaitReason::Evacuation => "evacuation",
+            WaitReason::Worker => "worker",
         }
     }
 }
@@ -92,12 +92,12 @@
 
 impl Owner {
     /// Tells of the steps that have waited for long, and what for.
-    pub(super) fn tell_waits(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn report_waits(&mut self, now: Now, actions: &mut Vec<Action>) {
         if now.steady_ms < self.next_waits_ms {
             return;
         }
         self.next_waits_ms = now.steady_ms + SEARCH_MS;
-        self.figures.waits = [0; Wait::ALL.len()];
+        self.stats.waits = [0; WaitReason::ALL.len()];
         let mut waiting = self.list_waiting(now.steady_ms);
         waiting.sort_by_key(|step| step.since_ms);
         for (place, step) in waiting.iter().enumerate() {
@@ -105,17 +105,20 @@
             let Some(asked) = submission.steps.get(usize::from(step.first.step)) else {
                 continue;
             };
-            let (task, wait) = self.find_wait(step, asked, now.steady_ms);
-            self.figures.waits[wait as usize] += 1;
-            if place >= TOLD_MOST {
+            let (task, reason) = self.find_wait_reason(step, asked, now.steady_ms);
+            self.stats.waits[reason as usize] += 1;
+            if place >= MAX_REPORTED {
                 continue;
             }
             let mut detail = format!(
-                "why={wait:?} since_ms={} tasks={}",
+                "why={reason:?} since_ms={} tasks={}",
                 now.steady_ms - step.since_ms,
                 asked.count
             );
-            if matches!(wait, Wait::Worker | Wait::Alone | Wait::Evacuation) {
+            if matches!(
+                reason,
+                WaitReason::Worker | WaitReason::Alone | WaitReason::Evacuation
+            ) {
                 let counts = self.count_exclusions(step, asked, now.steady_ms);
                 detail.push_str(&counts.to_string());
             }
@@ -128,7 +131,7 @@
     }
 
     /// Notes that all tasks whose turn has come wait, as nothing is placed.
-    pub(super) fn note_waits(&mut self, now_ms: u64) {
+    pub(super) fn record_waits(&mut self, now_ms: u64) {
         for key in &self.live {
             let job = &mut self.jobs[*key];
             let submission = job.submission.clone();
@@ -137,7 +140,7 @@
                     let is_open = occurrence.is_open(step);
                     let state = &mut occurrence.steps[number];
                     if is_open && state.waiting > 0 {
-                        state.note_wait(true, state.waiting, now_ms);
+                        state.record_wait(true, state.waiting, now_ms);
                     }
                 }
             }
@@ -174,7 +177,12 @@
     }
 
     /// Gives the first task of a step that waits, and what for.
-    fn find_wait(&self, waiting: &Waiting, step: &Step, now_ms: u64) -> (TaskId, Wait) {
+    fn find_wait_reason(
+        &self,
+        waiting: &Waiting,
+        step: &Step,
+        now_ms: u64,
+    ) -> (TaskId, WaitReason) {
         let tasks = (0..step.count as u16).map(|index| TaskId {
             index,
             ..waiting.first
@@ -182,40 +190,43 @@
         let is_waiting = |id: &TaskId| self.task(*id).is_some_and(|task| task.is_waiting());
         let id = tasks.clone().find(is_waiting).unwrap_or(waiting.first);
         if self.holds_starts {
-            return (id, Wait::Rules);
+            return (id, WaitReason::Rules);
         }
-        if !self.link.has_room(Rank::Start) {
-            return (id, Wait::Link);
+        if !self.link.has_room(CallPriority::Start) {
+            return (id, WaitReason::Link);
         }
         if step.is_gang && !tasks.clone().all(|id| is_waiting(&id)) {
-            return (id, Wait::Members);
+            return (id, WaitReason::Members);
         }
         let Some(task) = self.task(id) else {
-            return (id, Wait::Worker);
+            return (id, WaitReason::Worker);
         };
-        let wait = match () {
-            () if task.not_before_ms > now_ms => Wait::Pause,
-            () if self.strays.contains_key(&id) => Wait::Stray,
-            () if self.settles_ms(id, now_ms).is_some() => Wait::Fate,
+        let reason = match () {
+            () if task.not_before_ms > now_ms => WaitReason::Pause,
+            () if self.orphans.contains_key(&id) => WaitReason::Stray,
+            () if self.settles_ms(id, now_ms).is_some() => WaitReason::Fate,
             () if task
-                .alone_until_ms
+                .isolation_until_ms
                 .is_some_and(|until_ms| now_ms < until_ms) =>
             {
-                Wait::Alone
+                WaitReason::Alone
             }
-            () if step.is_lasting && task.run == 0 && self.is_share_full(waiting.job, step) => {
-                Wait::Share
+            () if step.is_long_running
+                && task.run == 0
+                && self.is_share_full(waiting.job, step) =>
+            {
+                WaitReason::Share
             }
-            () if self.is_evacuation_in_the_way(waiting, step, now_ms) => Wait::Evacuation,
-            () => Wait::Worker,
+            () if self.is_evacuation_in_the_way(waiting, step, now_ms) => WaitReason::Evacuation,
+            () => WaitReason::Worker,
         };
-        (id, wait)
+        (id, reason)
     }
 
     fn is_share_full(&self, job: JobKey, step: &Step) -> bool {
-        let (room_milli, lasting_milli) =
-            self.lasting_use(&self.jobs[job].submission.service, step);
-        Self::is_over_share(room_milli, lasting_milli)
+        let (resources_milli, long_running_milli) =
+            self.long_running_use(&self.jobs[job].submission.service, step);
+        Self::is_over_share(resources_milli, long_running_milli)
     }
 
     /// Tells whether only evacuated failure domains have workers that could take a step.
@@ -230,7 +241,7 @@
     /// Counts the workers of the service by what keeps the task from them.
     fn count_exclusions(&self, waiting: &Waiting, step: &Step, now_ms: u64) -> WorkerCounts {
         let submission = &self.jobs[waiting.job].submission;
-        let wanted = Wanted {
+        let requirements = TaskRequirements {
             step,
             service: &submission.service,
             image: self.images.find(&step.image),
@@ -241,10 +252,10 @@
         };
         let mut counts = WorkerCounts::default();
         for (key, worker) in &self.workers {
-            match self.price_at(key, worker, &wanted, now_ms) {
+            match self.price_at(key, worker, &requirements, now_ms) {
                 Ok(_) => {
                     counts.open += 1;
-                    counts.room += worker.holds_of(step);
+                    counts.resources += worker.holds_of(step);
                 }
                 Err(Exclusion::Service) => {}
                 Err(exclusion) => *counts.excluded.entry(exclusion).or_default() += 1,
@@ -260,14 +271,14 @@
     /// Those that could take it.
     open: u32,
     /// Tasks of the step that fit there.
-    room: u32,
+    resources: u32,
     excluded: BTreeMap<Exclusion, u32>,
 }
 
 impl Display for WorkerCounts {
     // A gang waits for room for all of its members.
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, " open={} room_for={}", self.open, self.room)?;
+        write!(formatter, " open={} room_for={}", self.open, self.resources)?;
         for (exclusion, count) in &self.excluded {
             write!(formatter, " {exclusion:?}={count}")?;
         }
--- a/crates/dispatch/src/owner/burials.rs
+++ b/crates/dispatch/src/owner/worker_removal.rs
@@ -4,7 +4,7 @@
 use crate::event::Now;
 use crate::ids::TaskId;
 use crate::owner::Owner;
-use crate::owner::worker::Fate;
+use crate::owner::worker::RemovalReason;
 use crate::owner::worker::WorkerKey;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -14,10 +14,16 @@
 
 impl Owner {
     /// Gives up a worker: nothing that was there can be alive.
-    pub(crate) fn bury(&mut self, key: WorkerKey, fate: Fate, now: Now, actions: &mut Vec<Action>) {
-        self.note_burial(key, fate, now.steady_ms, actions);
-        let fall = self.describe_fall(key, fate, now.steady_ms);
-        self.note_unanswered(key, now.steady_ms);
+    pub(crate) fn remove_worker(
+        &mut self,
+        key: WorkerKey,
+        removal_reason: RemovalReason,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_removal(key, removal_reason, now.steady_ms, actions);
+        let fall = self.describe_fall(key, removal_reason, now.steady_ms);
+        self.record_unanswered(key, now.steady_ms);
         let runs: Vec<(TaskId, u32)> = self.workers[key].runs.keys().copied().collect();
         for (task, run) in runs {
             self.lose_run(key, task, run, now.steady_ms);
@@ -28,16 +34,16 @@
         self.worker_keys.remove(&worker.entry.id);
         self.relays.forget_worker(&worker.entry.id);
         if !worker.entry.address.is_empty() {
-            actions.push(Action::Forget {
+            actions.push(Action::Disconnect {
                 address: worker.entry.address.clone(),
             });
         }
         // It may be alive and cut off; then it is met again as one that runs nothing.
         if worker.is_listed {
             let id = worker.entry.id.clone();
-            let mut again = self.meet(worker.entry, now.steady_ms);
+            let mut again = self.make_worker(worker.entry, now.steady_ms);
             again.incarnation = worker.incarnation;
-            again.next_look_ms = now.steady_ms + AGAIN_MS;
+            again.next_poll_ms = now.steady_ms + AGAIN_MS;
             let key = self.workers.insert(again);
             self.worker_keys.insert(id, key);
         }
@@ -49,10 +55,10 @@
 impl Owner {
     /// Tells why a worker is given up and what goes with it, so that a task which takes its
     /// workers down can be told from tasks that are merely there, and a crash from a cut.
-    pub(super) fn note_burial(
+    pub(super) fn record_removal(
         &mut self,
         key: WorkerKey,
-        fate: Fate,
+        removal_reason: RemovalReason,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) {
@@ -61,7 +67,7 @@
             Code::WorkerGone,
             &*worker.entry.id,
             format!(
-                "why={fate:?} incarnation={} address={} leaving={} listed={} answer_age_ms={} runs={} now_ms={now_ms}",
+                "why={removal_reason:?} incarnation={} address={} leaving={} listed={} answer_age_ms={} runs={} now_ms={now_ms}",
                 worker.incarnation,
                 worker.entry.address,
                 worker.was_leaving,
@@ -70,21 +76,21 @@
                 worker.runs.len()
             ),
         )));
-        self.figures.workers_gone += 1;
-        self.figures.workers_replaced += u64::from(fate.is_replaced());
-        self.figures.lost += worker.runs.len() as u64;
+        self.stats.workers_removed += 1;
+        self.stats.workers_replaced += u64::from(removal_reason.is_replaced());
+        self.stats.lost += worker.runs.len() as u64;
         for ((task, number), run) in &worker.runs {
             actions.push(Action::Note(Note::new(
                 Code::RunLost,
                 task.to_string(),
                 format!(
-                    "run={number} worker={} why={fate:?} age_ms={} order_to_answer_ms={} phase={:?} percent={} stray={}",
+                    "run={number} worker={} why={removal_reason:?} age_ms={} order_to_answer_ms={} phase={:?} percent={} stray={}",
                     worker.entry.id,
-                    now_ms.saturating_sub(run.begun_ms),
-                    worker.answered_ms as i64 - run.begun_ms as i64,
+                    now_ms.saturating_sub(run.started_ms),
+                    worker.answered_ms as i64 - run.started_ms as i64,
                     run.phase,
                     run.percent,
-                    run.is_stray
+                    run.is_orphan
                 ),
             )));
         }
--- a/crates/dispatch/src/owner/workers.rs
+++ b/crates/dispatch/src/owner/workers.rs
@@ -7,7 +7,7 @@
 
 use crate::owner::worker::Worker;
 use crate::owner::worker::WorkerKey;
-use crate::policy::looks::Work;
+use crate::policy::polls::Activity;
 use slotmap::SlotMap;
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -19,9 +19,9 @@
 pub(crate) struct Workers {
     slots: SlotMap<WorkerKey, Worker>,
     /// Those that may have changed since they were last looked over, each once.
-    marked: Vec<WorkerKey>,
+    changed: Vec<WorkerKey>,
     /// When each needs attention next.
-    agenda: BTreeSet<(u64, WorkerKey)>,
+    due_queue: BTreeSet<(u64, WorkerKey)>,
     /// Those to which orders may be due.
     with_orders: BTreeSet<WorkerKey>,
     /// Those whose newest ends are not on record.
@@ -29,28 +29,28 @@
     /// Those on which something may run that the owner can't see.
     in_doubt: BTreeSet<WorkerKey>,
     /// How often a worker was looked over.
-    looked_over: u64,
+    workers_refreshed: u64,
     /// Those on which something is about to end.
     ending: BTreeSet<WorkerKey>,
     /// Those that may get new work.
     open: BTreeSet<WorkerKey>,
     /// How often one of them was weighed for some task.
-    weighed: Cell<u64>,
+    evaluated: Cell<u64>,
 }
 
 impl Workers {
     pub(crate) fn new() -> Self {
         Self {
             slots: SlotMap::with_key(),
-            marked: Vec::new(),
-            agenda: BTreeSet::new(),
+            changed: Vec::new(),
+            due_queue: BTreeSet::new(),
             with_orders: BTreeSet::new(),
             unrecorded: BTreeSet::new(),
             in_doubt: BTreeSet::new(),
-            looked_over: 0,
+            workers_refreshed: 0,
             ending: BTreeSet::new(),
             open: BTreeSet::new(),
-            weighed: Cell::new(0),
+            evaluated: Cell::new(0),
         }
     }
 
@@ -60,14 +60,14 @@
 
     pub(crate) fn insert(&mut self, worker: Worker) -> WorkerKey {
         let key = self.slots.insert(worker);
-        self.mark(key);
+        self.mark_changed(key);
         key
     }
 
     pub(crate) fn remove(&mut self, key: WorkerKey) -> Option<Worker> {
         let worker = self.slots.remove(key)?;
-        if let Some(due_ms) = worker.agenda_ms {
-            self.agenda.remove(&(due_ms, key));
+        if let Some(due_ms) = worker.queued_due_ms {
+            self.due_queue.remove(&(due_ms, key));
         }
         self.with_orders.remove(&key);
         self.unrecorded.remove(&key);
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn get_mut(&mut self, key: WorkerKey) -> Option<&mut Worker> {
-        self.mark(key);
+        self.mark_changed(key);
         self.slots.get_mut(key)
     }
 
@@ -98,33 +98,36 @@
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         let keys: Vec<WorkerKey> = self.slots.keys().collect();
         for key in keys {
-            self.mark(key);
+            self.mark_changed(key);
         }
         self.slots.values_mut()
     }
 
-    fn mark(&mut self, key: WorkerKey) {
+    fn mark_changed(&mut self, key: WorkerKey) {
         if let Some(worker) = self.slots.get_mut(key)
-            && !worker.is_marked
+            && !worker.is_changed
         {
-            worker.is_marked = true;
-            self.marked.push(key);
+            worker.is_changed = true;
+            self.changed.push(key);
         }
     }
 
     /// Looks over the workers that may have changed.
-    pub(crate) fn settle(&mut self) {
-        for key in std::mem::take(&mut self.marked) {
+    pub(crate) fn refresh_changed(&mut self) {
+        for key in std::mem::take(&mut self.changed) {
             let Some(worker) = self.slots.get_mut(key) else {
                 continue;
             };
-            worker.is_marked = false;
-            self.looked_over += 1;
-            let due_ms = worker.attention_ms();
-            let (orders, unrecorded) = (worker.has_orders, worker.handled > worker.recorded);
+            worker.is_changed = false;
+            self.workers_refreshed += 1;
+            let due_ms = worker.next_due_ms();
+            let (orders, unrecorded) = (
+                worker.has_orders,
+                worker.handled_exit > worker.recorded_exit,
+            );
             let in_doubt = worker.is_in_doubt();
-            let ending = worker.work() == Work::Ending;
-            let open = worker.lasting_exclusion().is_none();
+            let ending = worker.activity() == Activity::Ending;
+            let open = worker.untimed_exclusion().is_none();
             self.schedule(key, due_ms);
             keep(&mut self.with_orders, key, orders);
             keep(&mut self.unrecorded, key, unrecorded);
@@ -136,60 +139,60 @@
 
     fn schedule(&mut self, key: WorkerKey, due_ms: Option<u64>) {
         let worker = &mut self.slots[key];
-        let former_ms = std::mem::replace(&mut worker.agenda_ms, due_ms);
-        if former_ms == due_ms {
+        let previous_ms = std::mem::replace(&mut worker.queued_due_ms, due_ms);
+        if previous_ms == due_ms {
             return;
         }
-        if let Some(former_ms) = former_ms {
-            self.agenda.remove(&(former_ms, key));
+        if let Some(previous_ms) = previous_ms {
+            self.due_queue.remove(&(previous_ms, key));
         }
         if let Some(due_ms) = due_ms {
-            self.agenda.insert((due_ms, key));
+            self.due_queue.insert((due_ms, key));
         }
     }
 
     /// Lists the workers that need attention by now. Each is on the list again in the next turn,
     /// unless that has changed.
     pub(crate) fn due(&mut self, now_ms: u64) -> Vec<WorkerKey> {
-        self.settle();
+        self.refresh_changed();
         let mut due = Vec::new();
-        for (due_ms, key) in &self.agenda {
+        for (due_ms, key) in &self.due_queue {
             if *due_ms > now_ms {
                 break;
             }
             due.push(*key);
         }
-        self.looked_over += due.len() as u64;
+        self.workers_refreshed += due.len() as u64;
         due
     }
 
     /// Gives how often a worker was looked over.
-    pub(crate) fn looked_over(&self) -> u64 {
-        self.looked_over
+    pub(crate) fn workers_refreshed(&self) -> u64 {
+        self.workers_refreshed
     }
 
     /// Lists the workers to which orders may be due.
     pub(crate) fn with_orders(&mut self) -> Vec<WorkerKey> {
-        self.settle();
+        self.refresh_changed();
         self.with_orders.iter().copied().collect()
     }
 
     /// Lists the workers whose newest ends are not on record.
     pub(crate) fn unrecorded(&mut self) -> Vec<WorkerKey> {
-        self.settle();
+        self.refresh_changed();
         self.unrecorded.iter().copied().collect()
     }
 
     /// Lists the workers that might get new work as of when they were last looked over.
     pub(crate) fn open(&self) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         let count = self.open.len() as u64;
-        self.weighed.set(self.weighed.get() + count);
+        self.evaluated.set(self.evaluated.get() + count);
         self.open.iter().map(|key| (*key, &self.slots[*key]))
     }
 
     /// Gives how often a worker was weighed for some task.
-    pub(crate) fn weighed(&self) -> u64 {
-        self.weighed.get()
+    pub(crate) fn evaluated(&self) -> u64 {
+        self.evaluated.get()
     }
 
     /// Gives on how many workers something is about to end.
@@ -199,7 +202,7 @@
 
     /// Lists the workers on which something may run that the owner can't see.
     pub(crate) fn in_doubt(&mut self) -> Vec<WorkerKey> {
-        self.settle();
+        self.refresh_changed();
         self.in_doubt.iter().copied().collect()
     }
 }
@@ -221,7 +224,7 @@
 
 impl IndexMut<WorkerKey> for Workers {
     fn index_mut(&mut self, key: WorkerKey) -> &mut Worker {
-        self.mark(key);
+        self.mark_changed(key);
         &mut self.slots[key]
     }
 }
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -4,16 +4,16 @@
 //! bytes that all hosts need, states of jobs and signs of life, follow in a stream of
 //! their own: hosts on thin links could not keep up with the first one.
 
+use crate::appender::Appender;
+use crate::appender::HEARTBEAT_MS;
+use crate::appender::Records;
 use crate::config::WorkerEntry;
 use crate::event::Action;
-use crate::event::AppendEnd;
+use crate::event::AppendOutcome;
 use crate::event::Now;
 use crate::event::Stream;
 use crate::ids::JobId;
 use crate::ids::TaskId;
-use crate::lane::BEAT_MS;
-use crate::lane::Lane;
-use crate::lane::Records;
 use crate::owner::Owner;
 use crate::owner::Stepdown;
 use crate::owner::job::JobKey;
@@ -41,13 +41,13 @@
 /// themselves.
 const SLOW_FACTOR: u64 = 3;
 /// Bytes of records in one append, well under what the store takes at once.
-const BATCH_MOST_BYTES: usize = 200_000;
+const MAX_BATCH_BYTES: usize = 200_000;
 
 /// What follows once an append of progress is stored.
 #[derive(Debug, Default)]
 struct Effects {
     starts: Vec<(WorkerKey, TaskId, u32)>,
-    seen: Vec<(WorkerKey, u64)>,
+    acknowledged_exit: Vec<(WorkerKey, u64)>,
     states: Vec<(JobId, StateRecord)>,
     /// Workers that the records no longer name as silent.
     answering: Vec<Box<str>>,
@@ -56,10 +56,10 @@
 /// Appends of the owner.
 #[derive(Debug)]
 pub(crate) struct Writer {
-    progress: Lane,
-    states: Lane,
+    progress: Appender,
+    states: Appender,
     effects: Effects,
-    beat: u64,
+    heartbeat: u64,
     must_announce: bool,
     learned_ms: u64,
     /// Runs whose records are in no append yet.
@@ -68,24 +68,24 @@
     retired: Vec<JobId>,
     retired_states: Vec<JobId>,
     /// States that are true by the stored progress and not told yet.
-    untold: Vec<(JobId, StateRecord)>,
+    unpublished: Vec<(JobId, StateRecord)>,
 }
 
 impl Writer {
     /// Goes on in the stream of states where the claim has given its signs of life.
-    pub(crate) fn new(states: Lane, now_ms: u64) -> Self {
+    pub(crate) fn new(states: Appender, now_ms: u64) -> Self {
         Self {
             // The claim was number 0.
-            progress: Lane::new(Stream::Progress, 1, now_ms),
+            progress: Appender::new(Stream::Progress, 1, now_ms),
             states,
             effects: Effects::default(),
-            beat: 0,
+            heartbeat: 0,
             must_announce: false,
             learned_ms: now_ms,
             starts: Vec::new(),
             retired: Vec::new(),
             retired_states: Vec::new(),
-            untold: Vec::new(),
+            unpublished: Vec::new(),
         }
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Tells the state of a job whose progress is stored.
-    pub(crate) fn tell(&mut self, job: JobId, state: StateRecord) {
-        self.untold.push((job, state));
+    pub(crate) fn publish(&mut self, job: JobId, state: StateRecord) {
+        self.unpublished.push((job, state));
     }
 }
 
@@ -124,7 +124,7 @@
         } = &mut self.writer;
         progress.send(self.token, slow_ms, now_ms, tickets, actions);
         states.send(self.token, slow_ms, now_ms, tickets, actions);
-        self.figures.appends += (actions.len() - before) as u64;
+        self.stats.appends += (actions.len() - before) as u64;
     }
 
     fn fill_progress(&mut self, now_ms: u64) {
@@ -133,7 +133,7 @@
         let mut written = Vec::new();
         for key in &self.live {
             let job = &self.jobs[*key];
-            if !job.is_dirty || bytes > BATCH_MOST_BYTES {
+            if !job.is_dirty || bytes > MAX_BATCH_BYTES {
                 continue;
             }
             let workers = &self.workers;
@@ -143,7 +143,7 @@
                     .map_or(String::new(), |worker| worker.entry.id.to_string())
             });
             // The store would refuse it for good, and whatever comes after it.
-            if progress.encoded_len() as u64 > self.bounds.record_most_bytes {
+            if progress.encoded_len() as u64 > self.bounds.max_record_bytes {
                 progress.shorten();
             }
             let value = progress.encode_to_vec();
@@ -157,13 +157,13 @@
         for job in self.writer.retired.drain(..) {
             records.push((Key::Progress(job).text(), Box::default()));
         }
-        self.note_workers(&mut records);
+        self.record_workers(&mut records);
         let mut answering = Vec::new();
         if self.must_tell_learned(now_ms) {
             self.writer.learned_ms = now_ms;
             let mut learned = self.learned(now_ms, &mut answering);
             // Callers name the images, and may name very many.
-            if learned.encoded_len() as u64 > self.bounds.record_most_bytes {
+            if learned.encoded_len() as u64 > self.bounds.max_record_bytes {
                 learned.images.clear();
             }
             records.push((Key::Learned.text(), learned.encode_to_vec().into()));
@@ -177,8 +177,8 @@
 
     /// Records which workers are listed, where that has changed. A successor needs their
     /// addresses at once, to extend leases, and the platform's list may be away just then.
-    fn note_workers(&mut self, records: &mut Records) {
-        for id in std::mem::take(&mut self.unnoted) {
+    fn record_workers(&mut self, records: &mut Records) {
+        for id in std::mem::take(&mut self.unrecorded_workers) {
             let known = self.worker_keys.get(&id);
             match known.map(|key| &self.workers[*key]) {
                 Some(worker) if worker.is_listed => {
@@ -188,17 +188,17 @@
                         incarnation: worker.incarnation,
                         ..worker.entry.clone()
                     };
-                    if self.noted_workers.get(&id) != Some(&entry) {
+                    if self.recorded_workers.get(&id) != Some(&entry) {
                         let value = WorkerRecord::new(&entry).encode_to_vec();
                         records.push((Key::Worker(id.clone()).text(), value.into()));
-                        self.noted_workers.insert(id, entry);
+                        self.recorded_workers.insert(id, entry);
                     }
                 }
                 // A successor finds out at its address what became of one on which runs are on
                 // record.
-                Some(worker) if !worker.runs.is_empty() => drop(self.unnoted.insert(id)),
+                Some(worker) if !worker.runs.is_empty() => drop(self.unrecorded_workers.insert(id)),
                 _ => {
-                    if self.noted_workers.remove(&id).is_some() {
+                    if self.recorded_workers.remove(&id).is_some() {
                         records.push((Key::Worker(id).text(), Box::default()));
                     }
                 }
@@ -210,7 +210,7 @@
     /// workers are silent, at once when one is no longer.
     fn must_tell_learned(&mut self, now_ms: u64) -> bool {
         let mut pause_ms = LEARNED_MS;
-        for id in &self.noted_silent {
+        for id in &self.recorded_silent {
             let key = self.worker_keys.get(id);
             if !key.is_some_and(|key| self.workers[*key].is_in_doubt()) {
                 return true;
@@ -224,15 +224,15 @@
 
     fn learned(&mut self, now_ms: u64, answering: &mut Vec<Box<str>>) -> Learned {
         let mut silent = Vec::new();
-        answering.extend(self.noted_silent.iter().cloned());
+        answering.extend(self.recorded_silent.iter().cloned());
         for key in self.workers.in_doubt() {
             let worker = &mut self.workers[key];
             answering.retain(|id| *id != worker.entry.id);
-            self.noted_silent.insert(worker.entry.id.clone());
-            worker.is_noted_silent = true;
+            self.recorded_silent.insert(worker.entry.id.clone());
+            worker.is_recorded_silent = true;
             silent.push(SilentWorker {
                 worker: worker.entry.id.to_string(),
-                left_ms: worker.lapsed_ms.saturating_sub(now_ms),
+                left_ms: worker.leases_expired_ms.saturating_sub(now_ms),
             });
         }
         Learned {
@@ -243,13 +243,13 @@
 
     /// Ends that changed nothing need no record before workers forget them.
     fn forget_ends_without_effect(&mut self) {
-        if !self.is_informed {
+        if !self.is_caught_up {
             return;
         }
         for key in self.workers.unrecorded() {
             let worker = &mut self.workers[key];
-            worker.recorded = worker.handled;
-            worker.next_look_ms = 0;
+            worker.recorded_exit = worker.handled_exit;
+            worker.next_poll_ms = 0;
         }
     }
 
@@ -259,8 +259,8 @@
         for key in written {
             let job = &mut self.jobs[*key];
             job.is_dirty = false;
-            if job.told != job.phase {
-                job.told = job.phase;
+            if job.published != job.phase {
+                job.published = job.phase;
                 effects.states.push((job.id, job.state()));
             }
         }
@@ -275,17 +275,21 @@
             !is_written
         });
         let is_all_written = self.live.iter().all(|key| !self.jobs[*key].is_dirty);
-        if self.is_informed && is_all_written {
+        if self.is_caught_up && is_all_written {
             for key in self.workers.unrecorded() {
-                effects.seen.push((key, self.workers[key].handled));
+                effects
+                    .acknowledged_exit
+                    .push((key, self.workers[key].handled_exit));
             }
         }
         effects
     }
 
     fn fill_states(&mut self, now_ms: u64) {
-        let is_quiet = now_ms < self.writer.states.last_ms + BEAT_MS && !self.writer.must_announce;
-        let has_news = !self.writer.untold.is_empty() || !self.writer.retired_states.is_empty();
+        let is_quiet =
+            now_ms < self.writer.states.last_ms + HEARTBEAT_MS && !self.writer.must_announce;
+        let has_news =
+            !self.writer.unpublished.is_empty() || !self.writer.retired_states.is_empty();
         if !has_news && is_quiet {
             return;
         }
@@ -293,7 +297,7 @@
         for job in self.writer.retired_states.drain(..) {
             records.push((Key::State(job).text(), Box::default()));
         }
-        for (job, state) in self.writer.untold.drain(..) {
+        for (job, state) in self.writer.unpublished.drain(..) {
             records.push((Key::State(job).text(), state.encode_to_vec().into()));
         }
         if records.is_empty() || self.writer.must_announce {
@@ -304,12 +308,12 @@
     }
 
     fn owner_record(&mut self) -> (Box<str>, Box<[u8]>) {
-        self.writer.beat += 1;
+        self.writer.heartbeat += 1;
         let record = OwnerRecord {
             token: self.token,
             host: self.host.to_string(),
             is_leaving: self.is_leaving,
-            beat: self.writer.beat,
+            heartbeat: self.writer.heartbeat,
             informs_hosts: self.uses_relays,
             strongest_permille: self.survey.strongest_permille,
             strong_hosts: self.survey.strong_hosts,
@@ -319,48 +323,48 @@
 
     /// Takes in the end of the append with this ticket, if it is one of this owner. Gives
     /// the states that may be told from now on.
-    pub(crate) fn take_append(
+    pub(crate) fn handle_append(
         &mut self,
         ticket: u64,
-        end: AppendEnd,
+        outcome: AppendOutcome,
         now: Now,
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) -> Option<Vec<(JobId, StateRecord)>> {
         let now_ms = now.steady_ms;
-        let is_progress = match self.writer.progress.take(ticket, end, now_ms) {
+        let is_progress = match self.writer.progress.take(ticket, outcome, now_ms) {
             Some(is_stored) => is_stored,
             None => {
-                let is_stored = self.writer.states.take(ticket, end, now_ms)?;
-                self.note_end(end, is_stored, self.writer.states.sent_ms);
+                let is_stored = self.writer.states.take(ticket, outcome, now_ms)?;
+                self.apply_append_outcome(outcome, is_stored, self.writer.states.sent_ms);
                 return Some(Vec::new());
             }
         };
-        self.note_end(end, is_progress, self.writer.progress.sent_ms);
+        self.apply_append_outcome(outcome, is_progress, self.writer.progress.sent_ms);
         if !is_progress {
             return Some(Vec::new());
         }
         let effects = std::mem::take(&mut self.writer.effects);
         for id in effects.answering {
-            self.noted_silent.remove(&id);
+            self.recorded_silent.remove(&id);
             if let Some(key) = self.worker_keys.get(&id) {
-                self.workers[*key].is_noted_silent = false;
+                self.workers[*key].is_recorded_silent = false;
                 self.must_place = true;
             }
         }
-        for (worker, number) in effects.seen {
-            self.confirm_seen(worker, number, now_ms);
+        for (worker, number) in effects.acknowledged_exit {
+            self.record_acknowledged_exit(worker, number, now_ms);
         }
         for (worker, task, run) in effects.starts {
             self.send_start(worker, task, run, now, tickets, actions);
         }
-        self.writer.untold.extend_from_slice(&effects.states);
+        self.writer.unpublished.extend_from_slice(&effects.states);
         self.drop_final();
         Some(effects.states)
     }
 
-    fn note_end(&mut self, end: AppendEnd, is_stored: bool, sent_ms: u64) {
-        if end == AppendEnd::Fenced {
+    fn apply_append_outcome(&mut self, outcome: AppendOutcome, is_stored: bool, sent_ms: u64) {
+        if outcome == AppendOutcome::Fenced {
             self.stepdown = Some(Stepdown::Fenced);
         }
         if is_stored {
@@ -368,22 +372,23 @@
         }
     }
 
-    fn confirm_seen(&mut self, key: WorkerKey, number: u64, now_ms: u64) {
+    fn record_acknowledged_exit(&mut self, key: WorkerKey, number: u64, now_ms: u64) {
         if let Some(worker) = self.workers.get_mut(key) {
-            worker.recorded = worker.recorded.max(number);
-            worker.next_look_ms = worker.next_look_ms.min(now_ms);
+            worker.recorded_exit = worker.recorded_exit.max(number);
+            worker.next_poll_ms = worker.next_poll_ms.min(now_ms);
         }
     }
 
     /// Lets go of jobs whose end is on record and of which nothing runs.
     fn drop_final(&mut self) {
-        let (jobs, keys, over) = (&mut self.jobs, &mut self.job_keys, &mut self.over);
+        let (jobs, keys, finished_jobs) =
+            (&mut self.jobs, &mut self.job_keys, &mut self.finished_jobs);
         self.live.retain(|key| {
             let job = &jobs[*key];
             let stays = !job.phase.is_final() || job.is_dirty;
             if !stays {
                 keys.remove(&job.id);
-                over.insert(job.id, job.submission.clone());
+                finished_jobs.insert(job.id, job.submission.clone());
                 jobs.remove(*key);
             }
             stays
@@ -392,14 +397,14 @@
 
     /// Drops all that is on record of a job that nobody need be told about any more.
     pub(crate) fn retire(&mut self, job: JobId) {
-        self.over.remove(&job);
+        self.finished_jobs.remove(&job);
         self.writer.retired.push(job);
         self.writer.retired_states.push(job);
     }
 
     /// Lists the states that a former owner has recorded and did not tell.
-    pub(crate) fn untold(&self) -> &[(JobId, StateRecord)] {
-        &self.writer.untold
+    pub(crate) fn unpublished(&self) -> &[(JobId, StateRecord)] {
+        &self.writer.unpublished
     }
 
     /// Tells whether a run still awaits its order.
--- a/crates/dispatch/src/policy/patience.rs
+++ b/crates/dispatch/src/policy/answer_timeouts.rs
@@ -20,12 +20,12 @@
 /// then, as the late ones were given up.
 const MISSING_FACTOR: u64 = 4;
 /// Longest time. Two such looks fit in a lease.
-const MOST_MS: u64 = 2_000;
+const MAX_MS: u64 = 2_000;
 /// Outcomes by which the time is judged, and how old they may be.
-const KEPT_MOST: usize = 256;
+const MAX_KEPT: usize = 256;
 const KEPT_MS: u64 = 1_500;
 /// Outcomes below which nothing is concluded from missing answers.
-const JUDGED_LEAST: usize = 8;
+const MIN_JUDGED: usize = 8;
 /// Outcomes between two judgements.
 const JUDGED_EACH: usize = 16;
 /// Of the answers, the part in percent that must come faster than what counts as usual. Workers
@@ -44,28 +44,28 @@
 
 /// What calls to workers came to of late.
 #[derive(Debug, Default)]
-pub struct AnswerTimes {
+pub struct AnswerLatencies {
     outcomes: VecDeque<Outcome>,
     unjudged: usize,
     usual_ms: u64,
     is_mostly_missing: bool,
 }
 
-impl AnswerTimes {
+impl AnswerLatencies {
     /// Notes an answer that came so long after the worker could have given it.
-    pub fn note_answer(&mut self, late_ms: u64, now_ms: u64) {
+    pub fn record_answer(&mut self, late_ms: u64, now_ms: u64) {
         self.note(Some(late_ms), now_ms);
     }
 
     /// Notes that an answer was given up.
-    pub fn note_missing(&mut self, now_ms: u64) {
+    pub fn record_missing(&mut self, now_ms: u64) {
         self.note(None, now_ms);
     }
 
     fn note(&mut self, late_ms: Option<u64>, now_ms: u64) {
         let at_ms = now_ms;
         self.outcomes.push_back(Outcome { at_ms, late_ms });
-        if self.outcomes.len() > KEPT_MOST {
+        if self.outcomes.len() > MAX_KEPT {
             self.outcomes.pop_front();
         }
         self.unjudged += 1;
@@ -84,7 +84,7 @@
         let mut late_ms: Vec<u64> = Vec::with_capacity(self.outcomes.len());
         late_ms.extend(self.outcomes.iter().filter_map(|outcome| outcome.late_ms));
         let count = self.outcomes.len();
-        self.is_mostly_missing = count >= JUDGED_LEAST && late_ms.len() * 2 < count;
+        self.is_mostly_missing = count >= MIN_JUDGED && late_ms.len() * 2 < count;
         if late_ms.is_empty() {
             return;
         }
@@ -93,13 +93,13 @@
     }
 
     /// Gives how long an answer is awaited that a worker could give at once.
-    pub fn patience_ms(&self) -> u64 {
+    pub fn answer_timeout_ms(&self) -> u64 {
         let factor = if self.is_mostly_missing {
             MISSING_FACTOR
         } else {
             1
         };
-        (BASE_MS * factor + LATE_FACTOR * self.usual_ms).min(MOST_MS)
+        (BASE_MS * factor + LATE_FACTOR * self.usual_ms).min(MAX_MS)
     }
 
     /// Tells whether answers are late or missing from most workers, so that the cause is
--- a/crates/dispatch/src/policy/interference.rs
+++ b/crates/dispatch/src/policy/interference.rs
@@ -20,8 +20,8 @@
 use crate::policy::images::ImageKey;
 use crate::policy::images::Images;
 use crate::record::Learned;
+use crate::record::LearnedCoefficient;
 use crate::record::LearnedImage;
-use crate::record::LearnedPress;
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
@@ -34,56 +34,56 @@
 /// load swings within ten; a baseline of a second follows it and is less rough than one look.
 const BASELINE_WEIGHT: f64 = 0.5;
 /// Weight of a sample in the mean ease alone of an image, of hundreds of samples.
-const ALONE_WEIGHT: f64 = 0.005;
+const SOLO_WEIGHT: f64 = 0.005;
 /// Press of a pair of which nothing is known: enough to spread unknown fillers, too little
 /// to keep them from being tried.
-const UNKNOWN_PRESS: f64 = 0.06;
+const UNKNOWN_COEFFICIENT: f64 = 0.06;
 /// Weight of that assumption, in samples of a filler that uses one core.
 const UNKNOWN_WEIGHT: f64 = 4.0;
 /// Weight of what a former owner has learned: it counts until a second or two of looks
 /// say otherwise.
 const LEARNED_WEIGHT: f64 = 60.0;
 /// An ease above this says no more than that the task is well.
-const EASE_MOST: f64 = 4.0;
+const MAX_HEADROOM: f64 = 4.0;
 /// Ease of an image of which nothing is known.
-const UNKNOWN_EASE: f64 = 2.2;
+const UNKNOWN_HEADROOM: f64 = 2.2;
 
 /// Processor time in use by a filler, in cores.
-pub type Use = (ImageKey, f64);
+pub type ImageUsage = (ImageKey, f64);
 
 /// What a task's ease, and the use of fillers beside it, were of late.
 #[derive(Debug, Clone, Default)]
 pub struct Baseline {
-    ease: f64,
-    uses: Vec<Use>,
+    headroom: f64,
+    uses: Vec<ImageUsage>,
     has_sample: bool,
 }
 
 /// How far a look departs from the baseline.
 #[derive(Debug, Default)]
 struct Departure {
-    ease: f64,
-    uses: Vec<Use>,
+    headroom: f64,
+    uses: Vec<ImageUsage>,
 }
 
 impl Baseline {
     /// Gives how far a sample departs from what was of late, and takes it in.
-    fn take(&mut self, ease: f64, fillers: &[Use]) -> Option<Departure> {
+    fn take(&mut self, headroom: f64, best_effort_uses: &[ImageUsage]) -> Option<Departure> {
         let mut departure = Departure {
-            ease: ease - self.ease,
-            uses: fillers.to_vec(),
+            headroom: headroom - self.headroom,
+            uses: best_effort_uses.to_vec(),
         };
         for (image, cores) in &self.uses {
-            add_use(&mut departure.uses, *image, -cores);
+            add_usage(&mut departure.uses, *image, -cores);
         }
         let weight = if self.has_sample {
             BASELINE_WEIGHT
         } else {
             1.0
         };
-        self.ease += departure.ease * weight;
+        self.headroom += departure.headroom * weight;
         for (image, cores) in &departure.uses {
-            add_use(&mut self.uses, *image, cores * weight);
+            add_usage(&mut self.uses, *image, cores * weight);
         }
         std::mem::replace(&mut self.has_sample, true).then_some(departure)
     }
@@ -95,26 +95,26 @@
 /// out, its effect was put down to chance: presses were learned at half of what they are,
 /// and twice as many tasks were let in as a service can bear.
 #[derive(Debug, Default)]
-pub struct Window {
-    ended: Vec<Use>,
+pub struct UsageWindow {
+    ended: Vec<ImageUsage>,
 }
 
-impl Window {
+impl UsageWindow {
     /// Notes that a filler has ended which used so much of late.
-    pub fn note_end(&mut self, image: ImageKey, cores: f64) {
-        add_use(&mut self.ended, image, cores * ENDED_PART);
+    pub fn record_end(&mut self, image: ImageKey, cores: f64) {
+        add_usage(&mut self.ended, image, cores * ENDED_PART);
     }
 
     /// Adds what has ended to what is listed with new figures, and begins the next window.
-    pub fn close(&mut self, uses: &mut Vec<Use>) {
+    pub fn close(&mut self, uses: &mut Vec<ImageUsage>) {
         for (image, cores) in self.ended.drain(..) {
-            add_use(uses, image, cores);
+            add_usage(uses, image, cores);
         }
     }
 }
 
 /// Adds to the use of an image in a list that names each image once.
-pub fn add_use(uses: &mut Vec<Use>, image: ImageKey, cores: f64) {
+pub fn add_usage(uses: &mut Vec<ImageUsage>, image: ImageKey, cores: f64) {
     match uses.iter_mut().find(|(other, _)| *other == image) {
         Some((_, sum)) => *sum += cores,
         None => uses.push((image, cores)),
@@ -124,15 +124,15 @@
 /// Sums over the looks at one serving image, and what follows from them.
 #[derive(Debug)]
 struct Fit {
-    alone: f64,
-    press: BTreeMap<ImageKey, Press>,
+    solo_headroom: f64,
+    coefficient: BTreeMap<ImageKey, Coefficient>,
     /// Sums of products of the uses of two fillers, the lower number first.
     products: HashMap<(ImageKey, ImageKey), f64>,
 }
 
 /// Sums over the looks at which a filler was beside a serving image.
 #[derive(Debug)]
-struct Press {
+struct Coefficient {
     value: f64,
     /// What was assumed before any sample, and its weight in samples of one core.
     assumed: f64,
@@ -142,11 +142,11 @@
     use_loss_sum: f64,
 }
 
-impl Default for Press {
+impl Default for Coefficient {
     fn default() -> Self {
         Self {
-            value: UNKNOWN_PRESS,
-            assumed: UNKNOWN_PRESS,
+            value: UNKNOWN_COEFFICIENT,
+            assumed: UNKNOWN_COEFFICIENT,
             assumed_weight: UNKNOWN_WEIGHT,
             square_sum: 0.0,
             use_loss_sum: 0.0,
@@ -157,8 +157,8 @@
 impl Default for Fit {
     fn default() -> Self {
         Self {
-            alone: UNKNOWN_EASE,
-            press: BTreeMap::new(),
+            solo_headroom: UNKNOWN_HEADROOM,
+            coefficient: BTreeMap::new(),
             products: HashMap::new(),
         }
     }
@@ -166,7 +166,7 @@
 
 /// What was learned.
 #[derive(Debug, Default)]
-pub struct Interference {
+pub struct InterferenceModel {
     fits: HashMap<ImageKey, Fit>,
     /// Presses by served image and filler, which placement reads many times for each
     /// that is learned.
@@ -174,35 +174,39 @@
 }
 
 /// Gives the ease of a task with this tail.
-pub fn ease(target_ms: u64, tail_ms: u64) -> f64 {
-    (target_ms as f64 / tail_ms.max(1) as f64).min(EASE_MOST)
+pub fn headroom(target_ms: u64, tail_ms: u64) -> f64 {
+    (target_ms as f64 / tail_ms.max(1) as f64).min(MAX_HEADROOM)
 }
 
-impl Interference {
+impl InterferenceModel {
     /// Learns from the ease of a serving task and what fillers beside it used meanwhile.
-    /// `fillers` names each image once.
+    /// `best_effort_uses` names each image once.
     pub fn learn(
         &mut self,
         serving: ImageKey,
         baseline: &mut Baseline,
-        ease: f64,
-        fillers: &[Use],
+        headroom: f64,
+        best_effort_uses: &[ImageUsage],
     ) {
         let fit = self.fits.entry(serving).or_default();
         let mut taken = 0.0;
-        for (filler, cores) in fillers {
-            taken += fit.press.entry(*filler).or_default().value * cores;
+        for (best_effort_image, cores) in best_effort_uses {
+            taken += fit.coefficient.entry(*best_effort_image).or_default().value * cores;
         }
-        fit.alone += (ease + taken - fit.alone) * ALONE_WEIGHT;
-        let Some(departure) = baseline.take(ease, fillers) else {
+        fit.solo_headroom += (headroom + taken - fit.solo_headroom) * SOLO_WEIGHT;
+        let Some(departure) = baseline.take(headroom, best_effort_uses) else {
             return;
         };
         fit.fade();
         fit.add(&departure);
         fit.solve(&departure.uses);
         let row = row(&mut self.table, serving);
-        for (filler, _) in &departure.uses {
-            set(row, *filler, fit.press[filler].value);
+        for (best_effort_image, _) in &departure.uses {
+            set(
+                row,
+                *best_effort_image,
+                fit.coefficient[best_effort_image].value,
+            );
         }
     }
 
@@ -210,21 +214,21 @@
     pub(crate) fn resume(&mut self, learned: &Learned, images: &mut Images) {
         for image in &learned.images {
             let fit = self.fits.entry(images.key(&image.image)).or_default();
-            fit.alone = image.alone;
-            for pair in &image.presses {
-                let press = Press {
-                    value: pair.press,
-                    assumed: pair.press,
+            fit.solo_headroom = image.solo_headroom;
+            for pair in &image.coefficients {
+                let coefficient = Coefficient {
+                    value: pair.coefficient,
+                    assumed: pair.coefficient,
                     assumed_weight: LEARNED_WEIGHT,
-                    ..Press::default()
+                    ..Coefficient::default()
                 };
-                let filler = images.key(&pair.filler);
+                let best_effort_image = images.key(&pair.best_effort_image);
                 set(
                     row(&mut self.table, images.key(&image.image)),
-                    filler,
-                    pair.press,
+                    best_effort_image,
+                    pair.coefficient,
                 );
-                fit.press.insert(filler, press);
+                fit.coefficient.insert(best_effort_image, coefficient);
             }
         }
     }
@@ -233,43 +237,43 @@
     pub(crate) fn learned(&self, images: &Images) -> Vec<LearnedImage> {
         let mut list = Vec::new();
         for (serving, fit) in &self.fits {
-            let mut presses = Vec::new();
-            for (filler, press) in &fit.press {
-                presses.push(LearnedPress {
-                    filler: images.name(*filler).into(),
-                    press: press.value,
+            let mut coefficients = Vec::new();
+            for (best_effort_image, coefficient) in &fit.coefficient {
+                coefficients.push(LearnedCoefficient {
+                    best_effort_image: images.name(*best_effort_image).into(),
+                    coefficient: coefficient.value,
                 });
             }
             list.push(LearnedImage {
                 image: images.name(*serving).into(),
-                alone: fit.alone,
-                presses,
+                solo_headroom: fit.solo_headroom,
+                coefficients,
             });
         }
         list
     }
 
     /// Gives the ease that a serving image has by itself.
-    pub fn alone(&self, serving: ImageKey) -> f64 {
+    pub fn solo_headroom(&self, serving: ImageKey) -> f64 {
         self.fits
             .get(&serving)
-            .map_or(UNKNOWN_EASE, |fit| fit.alone)
+            .map_or(UNKNOWN_HEADROOM, |fit| fit.solo_headroom)
     }
 
     /// Gives the press of a pair for each core that the filler uses.
-    pub fn press(&self, serving: ImageKey, filler: ImageKey) -> f64 {
+    pub fn coefficient(&self, serving: ImageKey, best_effort_image: ImageKey) -> f64 {
         self.table
             .get(usize::from(serving.0))
-            .and_then(|row| row.get(usize::from(filler.0)))
+            .and_then(|row| row.get(usize::from(best_effort_image.0)))
             .copied()
-            .unwrap_or(UNKNOWN_PRESS)
+            .unwrap_or(UNKNOWN_COEFFICIENT)
     }
 
     /// Gives by how much fillers lower the ease of a serving task.
-    pub fn pressure(&self, serving: ImageKey, fillers: &[Use]) -> f64 {
+    pub fn headroom_loss(&self, serving: ImageKey, best_effort_uses: &[ImageUsage]) -> f64 {
         let mut sum = 0.0;
-        for (filler, cores) in fillers {
-            sum += self.press(serving, *filler) * cores;
+        for (best_effort_image, cores) in best_effort_uses {
+            sum += self.coefficient(serving, *best_effort_image) * cores;
         }
         sum
     }
@@ -283,12 +287,12 @@
     &mut table[at]
 }
 
-fn set(row: &mut Vec<f64>, filler: ImageKey, press: f64) {
-    let at = usize::from(filler.0);
+fn set(row: &mut Vec<f64>, best_effort_image: ImageKey, coefficient: f64) {
+    let at = usize::from(best_effort_image.0);
     if row.len() <= at {
-        row.resize(at + 1, UNKNOWN_PRESS);
+        row.resize(at + 1, UNKNOWN_COEFFICIENT);
     }
-    row[at] = press;
+    row[at] = coefficient;
 }
 
 fn pair(left: ImageKey, right: ImageKey) -> (ImageKey, ImageKey) {
@@ -297,9 +301,9 @@
 
 impl Fit {
     fn fade(&mut self) {
-        for press in self.press.values_mut() {
-            press.square_sum *= KEPT;
-            press.use_loss_sum *= KEPT;
+        for coefficient in self.coefficient.values_mut() {
+            coefficient.square_sum *= KEPT;
+            coefficient.use_loss_sum *= KEPT;
         }
         for product in self.products.values_mut() {
             *product *= KEPT;
@@ -307,33 +311,37 @@
     }
 
     fn add(&mut self, departure: &Departure) {
-        for (number, (filler, cores)) in departure.uses.iter().enumerate() {
-            let press = self.press.entry(*filler).or_default();
-            press.square_sum += cores * cores;
-            press.use_loss_sum -= cores * departure.ease;
+        for (number, (best_effort_image, cores)) in departure.uses.iter().enumerate() {
+            let coefficient = self.coefficient.entry(*best_effort_image).or_default();
+            coefficient.square_sum += cores * cores;
+            coefficient.use_loss_sum -= cores * departure.headroom;
             for (other, other_cores) in &departure.uses[number + 1..] {
-                *self.products.entry(pair(*filler, *other)).or_default() += cores * other_cores;
+                *self
+                    .products
+                    .entry(pair(*best_effort_image, *other))
+                    .or_default() += cores * other_cores;
             }
         }
     }
 
     /// Improves the presses of the given fillers, one after the other, with all else as it
     /// is. The sums change little from look to look, so one pass each time is enough.
-    fn solve(&mut self, fillers: &[Use]) {
-        for (filler, _) in fillers {
+    fn solve(&mut self, best_effort_uses: &[ImageUsage]) {
+        for (best_effort_image, _) in best_effort_uses {
             let mut by_others = 0.0;
-            for (other, press) in &self.press {
-                if other != filler {
-                    let product = self.products.get(&pair(*filler, *other));
-                    by_others += press.value * product.copied().unwrap_or(0.0);
+            for (other, coefficient) in &self.coefficient {
+                if other != best_effort_image {
+                    let product = self.products.get(&pair(*best_effort_image, *other));
+                    by_others += coefficient.value * product.copied().unwrap_or(0.0);
                 }
             }
-            let Some(press) = self.press.get_mut(filler) else {
+            let Some(coefficient) = self.coefficient.get_mut(best_effort_image) else {
                 continue;
             };
-            let loss = press.use_loss_sum - by_others;
-            let weight = press.square_sum + press.assumed_weight;
-            press.value = ((loss + press.assumed_weight * press.assumed) / weight).max(0.0);
+            let loss = coefficient.use_loss_sum - by_others;
+            let weight = coefficient.square_sum + coefficient.assumed_weight;
+            coefficient.value =
+                ((loss + coefficient.assumed_weight * coefficient.assumed) / weight).max(0.0);
         }
     }
 }
--- a/crates/dispatch/src/policy/link.rs
+++ b/crates/dispatch/src/policy/link.rs
@@ -12,40 +12,45 @@
 
 /// What a call is for, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum CallPriority {
     /// It keeps a lease that is half over, or the claim to own.
     Lease,
     /// It stops a run, or changes its share.
     Control,
     /// It asks what runs at a worker and what has ended there.
-    Look,
+    Poll,
     /// It starts a run.
     Start,
 }
 
-impl Rank {
+impl CallPriority {
     /// All ranks.
-    pub const ALL: [Rank; 4] = [Rank::Lease, Rank::Control, Rank::Look, Rank::Start];
+    pub const ALL: [CallPriority; 4] = [
+        CallPriority::Lease,
+        CallPriority::Control,
+        CallPriority::Poll,
+        CallPriority::Start,
+    ];
 
     /// Gives its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Rank::Lease => "lease",
-            Rank::Control => "control",
-            Rank::Look => "look",
-            Rank::Start => "start",
+            CallPriority::Lease => "lease",
+            CallPriority::Control => "control",
+            CallPriority::Poll => "look",
+            CallPriority::Start => "start",
         }
     }
 
     /// Gives the part of what may be under way at once, in percent, that calls of this rank
     /// leave to more important ones. Leases go out whatever is under way: a few hundred bytes
     /// each, and work is lost without them.
-    fn left_percent(self) -> i64 {
+    fn reserved_percent(self) -> i64 {
         match self {
-            Rank::Lease => -100,
-            Rank::Control => 0,
-            Rank::Look => 15,
-            Rank::Start => 40,
+            CallPriority::Lease => -100,
+            CallPriority::Control => 0,
+            CallPriority::Poll => 15,
+            CallPriority::Start => 40,
         }
     }
 }
@@ -58,13 +63,13 @@
 /// Bytes that each message takes beside its own.
 pub(crate) const PACKET_BYTES: u64 = 60;
 /// Part of the link, in percent, that looks at all workers in turn may take.
-const LOOKS_PERCENT: u64 = 25;
+const POLLS_PERCENT: u64 = 25;
 /// Part of the link, in percent, that records of progress may take.
 const RECORDS_PERCENT: u64 = 45;
 
 /// Longest and shortest pause between two reads of the list of workers.
-pub(crate) const LIST_PAUSE_MOST_MS: u64 = 400;
-const LIST_PAUSE_LEAST_MS: u64 = 100;
+pub(crate) const MAX_LIST_PAUSE_MS: u64 = 400;
+const MIN_LIST_PAUSE_MS: u64 = 100;
 /// Time that the link may take for what one such read brings, as all else waits behind it.
 const LIST_BURST_MS: u64 = 20;
 
@@ -73,7 +78,7 @@
 pub fn list_pause_ms(pause_ms: u64, bytes: u64, link_bytes_per_s: u64) -> u64 {
     let burst_bytes = link_bytes_per_s * LIST_BURST_MS / 1_000;
     let fitting_ms = pause_ms * burst_bytes / bytes.max(1);
-    fitting_ms.clamp(LIST_PAUSE_LEAST_MS, LIST_PAUSE_MOST_MS)
+    fitting_ms.clamp(MIN_LIST_PAUSE_MS, MAX_LIST_PAUSE_MS)
 }
 
 /// One way of a link.
@@ -92,11 +97,11 @@
             left_bytes: 0,
             refilled_ms: 0,
         };
-        way.left_bytes = way.most_bytes();
+        way.left_bytes = way.max_bytes();
         way
     }
 
-    fn most_bytes(&self) -> i64 {
+    fn max_bytes(&self) -> i64 {
         (self.bytes_per_s * UNDER_WAY_MS / 1_000) as i64
     }
 
@@ -104,16 +109,16 @@
         let passed_ms = now_ms.saturating_sub(self.refilled_ms);
         self.refilled_ms = now_ms;
         let came_bytes = (self.bytes_per_s * passed_ms / 1_000) as i64;
-        self.left_bytes = (self.left_bytes + came_bytes).min(self.most_bytes());
+        self.left_bytes = (self.left_bytes + came_bytes).min(self.max_bytes());
     }
 
     fn under_way_ms(&self) -> u64 {
-        let bytes = (self.most_bytes() - self.left_bytes).max(0) as u64;
+        let bytes = (self.max_bytes() - self.left_bytes).max(0) as u64;
         bytes * 1_000 / self.bytes_per_s.max(1)
     }
 
-    fn has_room(&self, rank: Rank) -> bool {
-        self.left_bytes > self.most_bytes() * rank.left_percent() / 100
+    fn has_room(&self, priority: CallPriority) -> bool {
+        self.left_bytes > self.max_bytes() * priority.reserved_percent() / 100
     }
 }
 
@@ -122,7 +127,7 @@
 pub struct LinkBudget {
     out: Way,
     into: Way,
-    put_off: [u64; Rank::ALL.len()],
+    deferred: [u64; CallPriority::ALL.len()],
 }
 
 impl LinkBudget {
@@ -132,7 +137,7 @@
         Self {
             out: Way::new(used),
             into: Way::new(used),
-            put_off: [0; Rank::ALL.len()],
+            deferred: [0; CallPriority::ALL.len()],
         }
     }
 
@@ -143,15 +148,15 @@
     }
 
     /// Tells whether a call of this rank may go out now, and counts it if not.
-    pub fn admits(&mut self, rank: Rank) -> bool {
-        let has_room = self.has_room(rank);
-        self.put_off[rank as usize] += u64::from(!has_room);
+    pub fn admits(&mut self, priority: CallPriority) -> bool {
+        let has_room = self.has_room(priority);
+        self.deferred[priority as usize] += u64::from(!has_room);
         has_room
     }
 
     /// Tells whether a call of this rank may go out now.
-    pub fn has_room(&self, rank: Rank) -> bool {
-        self.out.has_room(rank) && self.into.has_room(rank)
+    pub fn has_room(&self, priority: CallPriority) -> bool {
+        self.out.has_room(priority) && self.into.has_room(priority)
     }
 
     /// Notes a message that goes out, and one that comes in or will come in answer.
@@ -171,15 +176,15 @@
 
     /// Gives the pause between looks at one of so many workers that keeps them within their
     /// part of the link, if each takes so many bytes.
-    pub fn looks_gap_ms(&self, workers: u64, look_bytes: u64) -> u64 {
-        let most_per_s = self.out.bytes_per_s * LOOKS_PERCENT / 100;
-        workers * look_bytes * 1_000 / most_per_s.max(1)
+    pub fn polls_gap_ms(&self, workers: u64, poll_bytes: u64) -> u64 {
+        let max_per_s = self.out.bytes_per_s * POLLS_PERCENT / 100;
+        workers * poll_bytes * 1_000 / max_per_s.max(1)
     }
 
     /// Gives the pause after an append of records that keeps them within their part.
     pub fn records_gap_ms(&self, bytes: u64) -> u64 {
-        let most_per_s = self.out.bytes_per_s * RECORDS_PERCENT / 100;
-        bytes * 1_000 / most_per_s.max(1)
+        let max_per_s = self.out.bytes_per_s * RECORDS_PERCENT / 100;
+        bytes * 1_000 / max_per_s.max(1)
     }
 
     /// Gives how long the link takes for so many bytes.
@@ -198,7 +203,7 @@
     }
 
     /// Gives how many times calls of each rank were put off.
-    pub fn put_off(&self) -> impl Iterator<Item = (Rank, u64)> + use<> {
-        Rank::ALL.into_iter().zip(self.put_off)
+    pub fn deferred(&self) -> impl Iterator<Item = (CallPriority, u64)> + use<> {
+        CallPriority::ALL.into_iter().zip(self.deferred)
     }
 }
--- a/crates/dispatch/src/policy/ordering.rs
+++ b/crates/dispatch/src/policy/ordering.rs
@@ -21,9 +21,9 @@
     /// Priority of its queue; 0 comes first.
     pub priority: u32,
     /// It has tasks that last until it is cancelled.
-    pub is_lasting: bool,
+    pub is_long_running: bool,
     /// Some task of it has started.
-    pub has_begun: bool,
+    pub has_started: bool,
     /// Time by which its caller would like it done.
     pub due_ms: u64,
     /// Time after which its end is worth nothing to its caller.
@@ -43,7 +43,7 @@
     priority: u32,
     is_finite: bool,
     is_late: bool,
-    has_not_begun: bool,
+    has_not_started: bool,
     due_ms: u64,
 }
 
@@ -52,11 +52,11 @@
     pub fn new(job: &Waiting, policy: &Policy, now_ms: u64) -> Self {
         let fits = now_ms + job.left_ms <= job.due_ms;
         Self {
-            is_worthless: now_ms > job.worthless_ms && !job.is_lasting,
+            is_worthless: now_ms > job.worthless_ms && !job.is_long_running,
             priority: job.priority,
-            is_finite: !job.is_lasting,
-            is_late: !fits && !job.is_lasting && policy.feasible_first,
-            has_not_begun: !job.has_begun && policy.begun_first,
+            is_finite: !job.is_long_running,
+            is_late: !fits && !job.is_long_running && policy.feasible_first,
+            has_not_started: !job.has_started && policy.begun_first,
             due_ms: job.due_ms,
         }
     }
--- a/crates/dispatch/src/policy/placing.rs
+++ b/crates/dispatch/src/policy/placing.rs
@@ -9,8 +9,8 @@
 //! Limits: whoever waits is tried again within a few seconds, whatever is there.
 
 /// Shortest pause between two tries, half of that between appends.
-const GAP_LEAST_MS: u64 = 10;
-const GAP_MOST_MS: u64 = 2_000;
+const MIN_GAP_MS: u64 = 10;
+const MAX_GAP_MS: u64 = 2_000;
 /// What weighing one worker for one step takes.
 const WEIGHING_NS: u64 = 40;
 /// Part of the owner's processor, in percent, that weighing may take.
@@ -18,8 +18,8 @@
 
 /// Gives the pause after a try in which workers were weighed so often, on a host with so many
 /// thousandths of a core.
-pub fn placing_gap_ms(weighed: u64, cpu_permille: u64) -> u64 {
+pub fn placing_gap_ms(evaluated: u64, cpu_permille: u64) -> u64 {
     let ns_per_ms = (cpu_permille * 1_000 * PERCENT / 100).max(1);
-    let gap_ms = weighed * WEIGHING_NS / ns_per_ms;
-    gap_ms.clamp(GAP_LEAST_MS, GAP_MOST_MS)
+    let gap_ms = evaluated * WEIGHING_NS / ns_per_ms;
+    gap_ms.clamp(MIN_GAP_MS, MAX_GAP_MS)
 }
--- a/crates/dispatch/src/policy/looks.rs
+++ b/crates/dispatch/src/policy/polls.rs
@@ -15,13 +15,13 @@
 /// together are told together.
 const BUSY_GAP_MS: u64 = 60;
 /// The same at any other worker, if the owner's processor bears it.
-const IDLE_GAP_LEAST_MS: u64 = 60;
-const IDLE_GAP_MOST_MS: u64 = 10_000;
+const MIN_IDLE_GAP_MS: u64 = 60;
+const MAX_IDLE_GAP_MS: u64 = 10_000;
 /// Longest pause where tasks that serve are to be kept alive: with the look's own wait it is less
 /// than half of a lease.
-const LASTING_GAP_MOST_MS: u64 = 1_500;
+const MAX_LONG_RUNNING_GAP_MS: u64 = 1_500;
 /// What a look takes of the owner's processor.
-const LOOK_US: u64 = 40;
+const POLL_US: u64 = 40;
 /// Part of the owner's processor, in percent, that looks at workers at rest may take.
 const IDLE_PERCENT: u64 = 10;
 /// The same while a new owner looks at them for the first time. Nothing new starts on those that it
@@ -29,53 +29,53 @@
 const FIRST_PERCENT: u64 = 30;
 /// Longest pause while the workers are what confirms the owner: most of them must have answered
 /// within two seconds.
-const CONFIRMING_GAP_MOST_MS: u64 = 1_000;
+const MAX_CONFIRMING_GAP_MS: u64 = 1_000;
 
 /// Gives the time, in microseconds, between the first looks of a new owner at workers at rest.
 pub fn first_gap_us(cpu_permille: u64) -> u64 {
-    LOOK_US * 1_000 * 100 / (cpu_permille * FIRST_PERCENT).max(1)
+    POLL_US * 1_000 * 100 / (cpu_permille * FIRST_PERCENT).max(1)
 }
 
 /// What a worker is about, as far as looks go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Work {
+pub enum Activity {
     /// Something there is about to end, or to be told to.
     Ending,
     /// All that runs there serves until it is told to stop.
-    Lasting,
+    LongRunning,
     /// Nothing runs there.
     None,
 }
 
 /// What looks at workers are to be paused by.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Looks {
+pub struct PollIntervals {
     /// Workers on which nothing is about to end.
-    pub at_rest: u64,
+    pub idle_workers: u64,
     /// The owner's share of a core, in thousandths.
     pub cpu_permille: u64,
     /// The store does not confirm the owner, so that workers have to.
     pub are_confirming: bool,
 }
 
-impl Looks {
+impl PollIntervals {
     /// Gives the pause before the next look at a worker that has answered.
-    pub fn gap_ms(&self, work: Work) -> u64 {
-        match work {
-            Work::Ending => BUSY_GAP_MS,
-            Work::Lasting => self.idle_gap_ms().min(LASTING_GAP_MOST_MS),
-            Work::None => self.idle_gap_ms(),
+    pub fn gap_ms(&self, activity: Activity) -> u64 {
+        match activity {
+            Activity::Ending => BUSY_GAP_MS,
+            Activity::LongRunning => self.idle_gap_ms().min(MAX_LONG_RUNNING_GAP_MS),
+            Activity::None => self.idle_gap_ms(),
         }
     }
 
     fn idle_gap_ms(&self) -> u64 {
         // A thousandth of a core is as many microseconds a millisecond.
         let us_per_s = (self.cpu_permille * 1_000 * IDLE_PERCENT / 100).max(1);
-        let gap_ms = self.at_rest * LOOK_US * 1_000 / us_per_s;
-        let most_ms = match self.are_confirming {
-            true => CONFIRMING_GAP_MOST_MS,
-            false => IDLE_GAP_MOST_MS,
+        let gap_ms = self.idle_workers * POLL_US * 1_000 / us_per_s;
+        let max_ms = match self.are_confirming {
+            true => MAX_CONFIRMING_GAP_MS,
+            false => MAX_IDLE_GAP_MS,
         };
-        gap_ms.clamp(IDLE_GAP_LEAST_MS, most_ms)
+        gap_ms.clamp(MIN_IDLE_GAP_MS, max_ms)
     }
 }
--- a/crates/dispatch/src/policy/pacing.rs
+++ b/crates/dispatch/src/policy/shares.rs
@@ -12,78 +12,79 @@
 //! best-effort task beside it suspended, whatever was learned.
 
 /// Ease below which best-effort tasks that press a service are slowed; at 1 its target is missed.
-const CUT_EASE: f64 = 1.05;
+const CUT_HEADROOM: f64 = 1.05;
 /// Ease at which a service that was over its target is taken for well again. What looks tell is
 /// rough by a tenth and more, so one figure just below the target proves nothing.
-pub const WELL_EASE: f64 = 1.08;
+pub const HEALTHY_HEADROOM: f64 = 1.08;
 /// Ease below which such tasks get nothing back.
-const RAISE_EASE: f64 = 1.43;
+const RAISE_HEADROOM: f64 = 1.43;
 /// Part of the time after which a wait counts as harm, in percent, after which tasks that may be a
 /// cause are suspended. Of the rest, a tail that is half a second old, the pause between looks, an
 /// order and its effect take 1.5 s.
-const SUSPECTS_HALT_PERCENT: u64 = 30;
+const SUSPECTS_SUSPEND_PERCENT: u64 = 30;
 /// The same for every best-effort task: several that press by less than can be told apart may do
 /// so together.
-const ALL_HALT_PERCENT: u64 = 45;
+const ALL_SUSPEND_PERCENT: u64 = 45;
 /// What slowed tasks get more after each pause.
 const RAISE_STEP_PERCENT: u32 = 25;
 /// Below this share a task is suspended, so that it does no harm at all.
-const HALT_PERCENT: u32 = 20;
+const SUSPEND_BELOW_PERCENT: u32 = 20;
 /// Pressure of one task at its full share that makes it a cause, or a suspect.
-const CAUSE_PRESSURE: f64 = 0.12;
-const SUSPECT_PRESSURE: f64 = 0.04;
+const CAUSE_HEADROOM_LOSS: f64 = 0.12;
+const SUSPECT_HEADROOM_LOSS: f64 = 0.04;
 
 /// Times over its target after which best-effort tasks beside a service are suspended.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct SuspendDelays {
     /// For those that may be a cause.
     pub suspects_ms: u64,
     /// For all of them.
     pub all_ms: u64,
 }
 
-impl Patience {
+impl SuspendDelays {
     /// Divides the time after which a wait counts as harm.
     pub fn new(harm_ms: u64) -> Self {
         Self {
-            suspects_ms: harm_ms * SUSPECTS_HALT_PERCENT / 100,
-            all_ms: harm_ms * ALL_HALT_PERCENT / 100,
+            suspects_ms: harm_ms * SUSPECTS_SUSPEND_PERCENT / 100,
+            all_ms: harm_ms * ALL_SUSPEND_PERCENT / 100,
         }
     }
 }
 
 /// How a service stands, and what a best-effort task does to it.
 #[derive(Debug, Clone, Copy)]
-pub struct Beside {
+pub struct ColocatedService {
     /// The service's target over the tail of its latency.
-    pub ease: f64,
+    pub headroom: f64,
     /// Time for which it has been over its target; 0 if it is not.
     pub over_ms: u64,
     /// What the task takes of its ease at full share, as learned.
-    pub pressure: f64,
+    pub headroom_loss: f64,
 }
 
 /// What a service wishes for a best-effort task beside it; the strictest wish counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Wish {
-    Halt,
+    Suspend,
     Cut,
     Keep,
     Raise,
 }
 
-fn wish(beside: &Beside, patience: Patience) -> Wish {
-    let Beside {
-        ease,
+fn wish(service: &ColocatedService, suspend_delays: SuspendDelays) -> Wish {
+    let ColocatedService {
+        headroom,
         over_ms,
-        pressure,
-    } = *beside;
-    let may_be_cause = over_ms >= patience.suspects_ms && pressure >= SUSPECT_PRESSURE;
-    if may_be_cause || over_ms >= patience.all_ms {
-        Wish::Halt
-    } else if ease < CUT_EASE && pressure >= CAUSE_PRESSURE {
+        headroom_loss,
+    } = *service;
+    let may_be_cause =
+        over_ms >= suspend_delays.suspects_ms && headroom_loss >= SUSPECT_HEADROOM_LOSS;
+    if may_be_cause || over_ms >= suspend_delays.all_ms {
+        Wish::Suspend
+    } else if headroom < CUT_HEADROOM && headroom_loss >= CAUSE_HEADROOM_LOSS {
         Wish::Cut
-    } else if ease < RAISE_EASE && pressure >= CAUSE_PRESSURE {
+    } else if headroom < RAISE_HEADROOM && headroom_loss >= CAUSE_HEADROOM_LOSS {
         Wish::Keep
     } else {
         Wish::Raise
@@ -95,17 +96,17 @@
 /// changes wait until `may_shift`.
 pub fn choose_share(
     before: u32,
-    services: &[Beside],
-    patience: Patience,
+    services: &[ColocatedService],
+    suspend_delays: SuspendDelays,
     may_shift: bool,
-    paces: bool,
+    throttles: bool,
 ) -> u32 {
-    let wishes = services.iter().map(|beside| wish(beside, patience));
+    let wishes = services.iter().map(|service| wish(service, suspend_delays));
     match wishes.min().unwrap_or(Wish::Raise) {
-        Wish::Halt => 0,
+        Wish::Suspend => 0,
         _ if !may_shift => before,
-        _ if !paces => 100,
-        Wish::Cut if before / 2 < HALT_PERCENT => 0,
+        _ if !throttles => 100,
+        Wish::Cut if before / 2 < SUSPEND_BELOW_PERCENT => 0,
         Wish::Cut => before / 2,
         Wish::Keep => before,
         Wish::Raise => (before + RAISE_STEP_PERCENT).min(100),
--- a/crates/dispatch/src/policy/size.rs
+++ b/crates/dispatch/src/policy/size.rs
@@ -16,6 +16,6 @@
 const TASK_BYTES: u64 = 64;
 
 /// Gives how many tasks of one job may be under way.
-pub fn tasks_most(record_most_bytes: u64) -> u64 {
-    record_most_bytes / TASK_BYTES
+pub fn max_tasks(max_record_bytes: u64) -> u64 {
+    max_record_bytes / TASK_BYTES
 }
--- a/crates/dispatch/src/policy/stragglers.rs
+++ b/crates/dispatch/src/policy/stragglers.rs
@@ -19,14 +19,14 @@
 
 /// How long a run takes at its pace so far, and how long its siblings take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pace {
+pub struct Speed {
     /// Time that the whole run takes at this pace.
     pub projected_ms: u64,
     /// Time that its siblings take.
     pub usual_ms: u64,
 }
 
-impl Pace {
+impl Speed {
     /// Gives the time that it takes in percent of that of its siblings.
     fn percent(self) -> u64 {
         self.projected_ms * 100 / self.usual_ms.max(1)
@@ -34,8 +34,8 @@
 }
 
 /// Tells whether a worker slows down what runs there, by the paces of its runs.
-pub fn is_slow(paces: &[Pace]) -> bool {
-    let mut percents: Vec<u64> = paces.iter().map(|pace| pace.percent()).collect();
+pub fn is_slow(speeds: &[Speed]) -> bool {
+    let mut percents: Vec<u64> = speeds.iter().map(|speed| speed.percent()).collect();
     percents.sort_unstable();
     match *percents {
         [] => false,
--- a/crates/dispatch/src/policy/suspicion.rs
+++ b/crates/dispatch/src/policy/suspicion.rs
@@ -24,20 +24,20 @@
 
 /// Time for which a run must have been at work before a crash of its worker no longer speaks
 /// against it.
-pub const SOUND_MS: u64 = 1_000;
+pub const STABLE_MS: u64 = 1_000;
 /// Crashes under runs that were there for certain at which a task is to blame if nothing else may
 /// have caused the last one, on another host than the one before.
-const ALONE_MOST: u32 = 2;
+const MAX_CRASHES_ALONE: u32 = 2;
 /// The same on the same host, which may be the cause.
-const ALONE_THERE_MOST: u32 = 3;
+const MAX_CRASHES_ALONE_SAME_HOST: u32 = 3;
 /// Crashes, whatever the cause, after which the starts of a task are counted, and starts that it has
 /// left then unless a run of it is sound.
 const PROBATION_AT: u32 = 3;
 const STARTS_MORE: u32 = 2;
 /// Workers that may crash under a task, whatever the cause.
-const CRASHES_MOST: u32 = 5;
+const MAX_CRASHES: u32 = 5;
 /// Crashes, whatever the cause, from which on a task is kept apart from others.
-const UNLUCKY_LEAST: u32 = 2;
+const MIN_UNLUCKY: u32 = 2;
 
 /// A worker that has crashed, as it concerns one task.
 #[derive(Debug, Clone, Copy)]
@@ -51,11 +51,11 @@
     /// The worker has answered that the run is there.
     pub is_confirmed: bool,
     /// Nothing else there may have been the cause.
-    pub is_alone: bool,
+    pub is_sole_suspect: bool,
     /// Other workers crashed at the same time, and nothing there explains it.
     pub is_excused: bool,
     /// The task lasts until its job is cancelled.
-    pub is_lasting: bool,
+    pub is_long_running: bool,
 }
 
 /// What speaks against a task, or against a gang, whose members crash as one.
@@ -80,7 +80,7 @@
     /// Tells whether its next run is to be kept apart from others: it is suspected, or has more bad
     /// luck than most.
     pub fn is_open(&self) -> bool {
-        self.confirmed > 0 || self.crashes >= UNLUCKY_LEAST
+        self.confirmed > 0 || self.crashes >= MIN_UNLUCKY
     }
 
     /// Tells whether a crash under this run is counted already. Older ones are not: what became of
@@ -92,12 +92,12 @@
     /// Notes that the task is about to start, after so many losses of which it is not known yet
     /// whether they were crashes. They count here as if they were: workers that crash may be back
     /// only long after their tasks run elsewhere.
-    pub fn note_start(&mut self, unsettled: u32) {
+    pub fn record_start(&mut self, unsettled: u32) {
         self.starts += u32::from(self.crashes + unsettled >= PROBATION_AT);
     }
 
     /// Takes in that a start was refused.
-    pub fn take_back_start(&mut self) {
+    pub fn undo_start(&mut self) {
         self.starts = self.starts.saturating_sub(1);
     }
 
@@ -120,8 +120,8 @@
             return false;
         }
         self.run = self.run.max(crash.run);
-        self.crashes += u32::from(crash.is_suspect || !crash.is_lasting);
-        let is_beyond_luck = self.crashes >= CRASHES_MOST || self.is_used_up();
+        self.crashes += u32::from(crash.is_suspect || !crash.is_long_running);
+        let is_beyond_luck = self.crashes >= MAX_CRASHES || self.is_used_up();
         is_beyond_luck || self.convicts(crash)
     }
 
@@ -132,20 +132,20 @@
             return false;
         }
         self.confirmed += 1;
-        let confirmed_most = match *self.address == *crash.address {
-            true => ALONE_THERE_MOST,
-            false => ALONE_MOST,
+        let max_confirmed = match *self.address == *crash.address {
+            true => MAX_CRASHES_ALONE_SAME_HOST,
+            false => MAX_CRASHES_ALONE,
         };
         self.address = crash.address.into();
-        crash.is_alone && self.confirmed >= confirmed_most
+        crash.is_sole_suspect && self.confirmed >= max_confirmed
     }
 
     /// Takes in that a run has been at work for long enough: it crashes nobody by starting.
-    pub fn clear(&mut self, is_lasting: bool) {
+    pub fn clear(&mut self, is_long_running: bool) {
         self.confirmed = 0;
         self.starts = 0;
         self.address = Box::default();
-        if is_lasting {
+        if is_long_running {
             self.crashes = 0;
         }
     }
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -3,7 +3,7 @@
 //! The newest record of each key is kept for good, so a record holds the whole state
 //! of what its key names, and history may be dropped at any time.
 
-use crate::config::Room;
+use crate::config::Resources;
 use crate::ids::JobId;
 use prost::Message;
 
@@ -38,7 +38,7 @@
     pub after: Vec<u32>,
     /// Tasks write checkpoints.
     #[prost(bool, tag = "7")]
-    pub saves_progress: bool,
+    pub writes_checkpoints: bool,
     /// Tasks work only together.
     #[prost(bool, tag = "8")]
     pub is_gang: bool,
@@ -53,32 +53,36 @@
     pub data_rack: String,
     /// Tasks of one occurrence that may share a worker; 0 for any number.
     #[prost(uint32, tag = "12")]
-    pub per_worker_most: u32,
+    pub max_per_worker: u32,
     /// Copies of a task may run at once.
     #[prost(bool, tag = "13")]
     pub is_speculative: bool,
     /// Tasks serve until the job is cancelled and are restarted whenever they end.
     #[prost(bool, tag = "14")]
-    pub is_lasting: bool,
+    pub is_long_running: bool,
     /// What the tasks run; tasks of one image behave alike.
     #[prost(string, tag = "15")]
     pub image: String,
     /// Tail latency that a serving task must stay below; 0 for none.
     #[prost(uint64, tag = "16")]
-    pub tail_target_ms: u64,
+    pub tail_latency_target_ms: u64,
     /// Tasks take processor time that others leave unused, and no share of their own.
     #[prost(bool, tag = "17")]
-    pub is_filler: bool,
+    pub is_best_effort: bool,
     /// Tasks that may be away at once through acts of the system.
     #[prost(uint32, tag = "18")]
-    pub away_most: u32,
+    pub max_unavailable: u32,
 }
 
 impl Step {
     /// Gives the room that a task takes on a worker.
-    pub fn room(&self) -> Room {
-        Room {
-            cpu_milli: if self.is_filler { 0 } else { self.cpu_milli },
+    pub fn resources(&self) -> Resources {
+        Resources {
+            cpu_milli: if self.is_best_effort {
+                0
+            } else {
+                self.cpu_milli
+            },
             memory_mb: self.memory_mb,
             accelerators: self.accelerators,
         }
@@ -99,7 +103,7 @@
     pub priority: u32,
     /// Runs of a task that may fail, as of its acceptance.
     #[prost(uint32, tag = "4")]
-    pub attempts_most: u32,
+    pub max_attempts: u32,
     /// Text that workers get with each task.
     #[prost(string, tag = "5")]
     pub specification: String,
@@ -196,12 +200,12 @@
     pub(crate) crashed_address: String,
     /// Runs that went with workers of which it is not known whether they have crashed.
     #[prost(message, repeated, tag = "12")]
-    pub(crate) losses: Vec<LossRecord>,
+    pub(crate) lost_runs: Vec<LostRunRecord>,
 }
 
 /// A run that went with its worker.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(crate) struct LossRecord {
+pub(crate) struct LostRunRecord {
     #[prost(string, tag = "1")]
     pub(crate) worker: String,
     #[prost(string, tag = "2")]
@@ -213,7 +217,7 @@
     pub(crate) is_suspect: bool,
     /// Nothing else there may be.
     #[prost(bool, tag = "5")]
-    pub(crate) is_alone: bool,
+    pub(crate) is_sole_suspect: bool,
     /// The worker has answered that the run is there.
     #[prost(bool, tag = "6")]
     pub(crate) is_confirmed: bool,
@@ -259,7 +263,7 @@
 
 impl JobPhase {
     /// Gives how far a job has come; it never goes back.
-    pub(crate) fn rank(self) -> u8 {
+    pub(crate) fn stage(self) -> u8 {
         match self {
             JobPhase::Queued => 0,
             JobPhase::Running => 1,
@@ -299,7 +303,7 @@
         for occurrence in &mut self.occurrences {
             for task in occurrence.steps.iter_mut().flat_map(|step| &mut step.tasks) {
                 task.checkpoint.clear();
-                task.losses.clear();
+                task.lost_runs.clear();
                 task.crashed_address.clear();
             }
         }
@@ -334,19 +338,19 @@
     pub(crate) image: String,
     /// Ease by itself.
     #[prost(double, tag = "2")]
-    pub(crate) alone: f64,
+    pub(crate) solo_headroom: f64,
     #[prost(message, repeated, tag = "3")]
-    pub(crate) presses: Vec<LearnedPress>,
+    pub(crate) coefficients: Vec<LearnedCoefficient>,
 }
 
 /// What was learned of one pair.
 #[derive(Clone, PartialEq, Message)]
-pub(crate) struct LearnedPress {
+pub(crate) struct LearnedCoefficient {
     #[prost(string, tag = "1")]
-    pub(crate) filler: String,
+    pub(crate) best_effort_image: String,
     /// Ease taken by each core.
     #[prost(double, tag = "2")]
-    pub(crate) press: f64,
+    pub(crate) coefficient: f64,
 }
 
 /// The state of a job as callers are told it.
@@ -373,7 +377,7 @@
     pub(crate) is_leaving: bool,
     /// Counts its signs of life.
     #[prost(uint64, tag = "4")]
-    pub(crate) beat: u64,
+    pub(crate) heartbeat: u64,
     /// It keeps connections to the other hosts and answers what they ask, so that they need not
     /// read all jobs.
     #[prost(bool, tag = "5")]
--- a/crates/dispatch/src/relay/frames.rs
+++ b/crates/dispatch/src/relay/frames.rs
@@ -97,10 +97,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(super) enum OrderKind {
-    Look = 0,
+    Poll = 0,
     Start = 1,
     Stop = 2,
-    Pace = 3,
+    SetShare = 3,
 }
 
 /// One order.
@@ -126,7 +126,7 @@
     pub(super) lease_until_ms: u64,
     /// Newest end that the worker may forget.
     #[prost(uint64, tag = "8")]
-    pub(super) seen: u64,
+    pub(super) acknowledged_exit: u64,
     #[prost(uint32, tag = "9")]
     pub(super) wait_ms: u32,
     #[prost(uint32, tag = "10")]
@@ -152,9 +152,9 @@
 
 /// What came of orders.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct EndsFrame {
+pub(super) struct OutcomesFrame {
     #[prost(message, repeated, tag = "1")]
-    pub(super) ends: Vec<OrderEndRow>,
+    pub(super) outcomes: Vec<OrderOutcomeRow>,
     /// The relay is about to stop and wants no further orders.
     #[prost(bool, tag = "2")]
     pub(super) is_leaving: bool,
@@ -166,7 +166,7 @@
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub(super) enum EndKind {
+pub(super) enum OutcomeKind {
     /// It may be carried out now or later; also what a later release says and this one does
     /// not know.
     Unknown = 0,
@@ -184,26 +184,26 @@
 
 /// What came of one order.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct OrderEndRow {
+pub(super) struct OrderOutcomeRow {
     #[prost(uint64, tag = "1")]
     pub(super) ticket: u64,
-    #[prost(enumeration = "EndKind", tag = "2")]
+    #[prost(enumeration = "OutcomeKind", tag = "2")]
     pub(super) kind: i32,
     /// Clock of the worker.
     #[prost(uint64, tag = "3")]
     pub(super) clock_ms: u64,
     /// What the worker lists; in answer to a look.
     #[prost(message, optional, tag = "4")]
-    pub(super) listed: Option<ListedRows>,
+    pub(super) report: Option<WorkerReportRow>,
 }
 
 /// What a worker lists.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct ListedRows {
+pub(super) struct WorkerReportRow {
     #[prost(message, repeated, tag = "1")]
-    pub(super) runs: Vec<RunRow>,
+    pub(super) runs: Vec<RunReportRow>,
     #[prost(message, repeated, tag = "2")]
-    pub(super) ends: Vec<RunEndRow>,
+    pub(super) exits: Vec<RunExitRow>,
     /// When the worker started, by its clock.
     #[prost(uint64, optional, tag = "3")]
     pub(super) started_wall_ms: Option<u64>,
@@ -211,7 +211,7 @@
 
 /// A run that is present.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct RunRow {
+pub(super) struct RunReportRow {
     #[prost(message, optional, tag = "1")]
     pub(super) task: Option<TaskRow>,
     #[prost(uint32, tag = "2")]
@@ -227,7 +227,7 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub(super) enum MannerKind {
+pub(super) enum ExitReasonKind {
     Lapsed = 0,
     Done = 1,
     Failed = 2,
@@ -238,15 +238,15 @@
 
 /// A run that has ended.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct RunEndRow {
+pub(super) struct RunExitRow {
     #[prost(uint64, tag = "1")]
     pub(super) number: u64,
     #[prost(message, optional, tag = "2")]
     pub(super) task: Option<TaskRow>,
     #[prost(uint32, tag = "3")]
     pub(super) run: u32,
-    #[prost(enumeration = "MannerKind", tag = "4")]
-    pub(super) manner: i32,
+    #[prost(enumeration = "ExitReasonKind", tag = "4")]
+    pub(super) exit_reason: i32,
     #[prost(string, tag = "5")]
     pub(super) checkpoint: String,
 }
--- a/crates/dispatch/src/relay/inquiry.rs
+++ b/crates/dispatch/src/relay/inquiry.rs
@@ -3,7 +3,7 @@
 use crate::event::LinkId;
 use crate::event::Reply;
 use crate::ids::JobId;
-use crate::ledger::JobState;
+use crate::job_table::JobState;
 use crate::relay::frames::AnswerKind;
 use crate::relay::frames::AnswerRow;
 use crate::relay::frames::QuestionRow;
--- a/crates/dispatch/src/relay/mod.rs
+++ b/crates/dispatch/src/relay/mod.rs
@@ -28,5 +28,5 @@
 pub(crate) use selection::Selection;
 pub(crate) use serving::Relay;
 pub(crate) use sessions::RelayedOrder;
+pub(crate) use sessions::RelayedOutcome;
 pub(crate) use sessions::Sessions;
-pub(crate) use sessions::TicketEnd;
--- a/crates/dispatch/src/relay/peer.rs
+++ b/crates/dispatch/src/relay/peer.rs
@@ -13,7 +13,7 @@
 use std::collections::HashSet;
 
 /// Texts that a relay keeps at most. A relay holds 4 MB of them if all are of 4,000 bytes.
-const TEXTS_MOST: usize = 1_000;
+const MAX_TEXTS: usize = 1_000;
 
 /// How far a connection has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -128,7 +128,7 @@
             return 0;
         }
         // Texts are forgotten together, and only before a frame that needs none of them.
-        if self.texts.len() >= TEXTS_MOST && self.frame.orders.is_empty() {
+        if self.texts.len() >= MAX_TEXTS && self.frame.orders.is_empty() {
             self.texts.clear();
             self.frame.forgets_texts = true;
         }
--- a/crates/dispatch/src/relay/rows.rs
+++ b/crates/dispatch/src/relay/rows.rs
@@ -1,23 +1,23 @@
 //! Orders and their ends as rows of frames, and back.
 
-use crate::event::Listed;
-use crate::event::ListedEnd;
-use crate::event::ListedRun;
-use crate::event::Manner;
-use crate::event::OrderEnd;
+use crate::event::ExitReason;
+use crate::event::OrderOutcome;
 use crate::event::Refusal;
+use crate::event::RunExit;
+use crate::event::RunReport;
 use crate::event::WorkerCall;
+use crate::event::WorkerReport;
 use crate::ids::JobId;
 use crate::ids::TaskId;
-use crate::relay::frames::EndKind;
-use crate::relay::frames::ListedRows;
-use crate::relay::frames::MannerKind;
-use crate::relay::frames::OrderEndRow;
+use crate::relay::frames::ExitReasonKind;
 use crate::relay::frames::OrderKind;
+use crate::relay::frames::OrderOutcomeRow;
 use crate::relay::frames::OrderRow;
-use crate::relay::frames::RunEndRow;
-use crate::relay::frames::RunRow;
+use crate::relay::frames::OutcomeKind;
+use crate::relay::frames::RunExitRow;
+use crate::relay::frames::RunReportRow;
 use crate::relay::frames::TaskRow;
+use crate::relay::frames::WorkerReportRow;
 use std::rc::Rc;
 
 fn task_row(task: TaskId) -> Option<TaskRow> {
@@ -49,13 +49,13 @@
         ..OrderRow::default()
     };
     match call {
-        WorkerCall::Look {
-            seen,
+        WorkerCall::Poll {
+            acknowledged_exit,
             lease_until_ms,
             wait_ms,
         } => OrderRow {
-            kind: OrderKind::Look as i32,
-            seen: *seen,
+            kind: OrderKind::Poll as i32,
+            acknowledged_exit: *acknowledged_exit,
             lease_until_ms: lease_until_ms.unwrap_or(0),
             wait_ms: *wait_ms as u32,
             ..row
@@ -82,8 +82,8 @@
             run: *run,
             ..row
         },
-        WorkerCall::Pace { task, run, percent } => OrderRow {
-            kind: OrderKind::Pace as i32,
+        WorkerCall::SetShare { task, run, percent } => OrderRow {
+            kind: OrderKind::SetShare as i32,
             task: task_row(*task),
             run: *run,
             percent: *percent,
@@ -99,8 +99,8 @@
     text_of: impl FnOnce(JobId) -> Option<Rc<str>>,
 ) -> Option<WorkerCall> {
     let call = match OrderKind::try_from(row.kind).ok()? {
-        OrderKind::Look => WorkerCall::Look {
-            seen: row.seen,
+        OrderKind::Poll => WorkerCall::Poll {
+            acknowledged_exit: row.acknowledged_exit,
             lease_until_ms: (row.lease_until_ms > 0).then_some(row.lease_until_ms),
             wait_ms: u64::from(row.wait_ms),
         },
@@ -119,7 +119,7 @@
             task: task(row.task)?,
             run: row.run,
         },
-        OrderKind::Pace => WorkerCall::Pace {
+        OrderKind::SetShare => WorkerCall::SetShare {
             task: task(row.task)?,
             run: row.run,
             percent: row.percent,
@@ -128,64 +128,64 @@
     Some(call)
 }
 
-/// Makes the row of an order's end.
-pub(super) fn end_row(ticket: u64, end: &OrderEnd) -> OrderEndRow {
-    let (kind, clock_ms, listed) = match end {
-        OrderEnd::Done { clock_ms, listed } => {
-            (EndKind::Done, *clock_ms, listed.as_ref().map(listed_rows))
+/// Makes the row of an order's outcome.
+pub(super) fn outcome_row(ticket: u64, outcome: &OrderOutcome) -> OrderOutcomeRow {
+    let (kind, clock_ms, report) = match outcome {
+        OrderOutcome::Done { clock_ms, report } => {
+            (OutcomeKind::Done, *clock_ms, report.as_ref().map(to_row))
         }
-        OrderEnd::Refused(refusal) => (refusal_kind(*refusal), 0, None),
-        OrderEnd::NotSent => (EndKind::NotSent, 0, None),
-        OrderEnd::Unknown => (EndKind::Unknown, 0, None),
+        OrderOutcome::Refused(refusal) => (refusal_kind(*refusal), 0, None),
+        OrderOutcome::NotSent => (OutcomeKind::NotSent, 0, None),
+        OrderOutcome::Unknown => (OutcomeKind::Unknown, 0, None),
     };
-    OrderEndRow {
+    OrderOutcomeRow {
         ticket,
         kind: kind as i32,
         clock_ms,
-        listed,
+        report,
     }
 }
 
-fn refusal_kind(refusal: Refusal) -> EndKind {
+fn refusal_kind(refusal: Refusal) -> OutcomeKind {
     match refusal {
-        Refusal::Fence => EndKind::Fence,
-        Refusal::Old => EndKind::Old,
-        Refusal::Late => EndKind::Late,
-        Refusal::Room => EndKind::Room,
-        Refusal::Gone => EndKind::Gone,
-        Refusal::Unwell => EndKind::Unwell,
-        Refusal::Permit => EndKind::Permit,
-        Refusal::Faulty => EndKind::Faulty,
+        Refusal::Fence => OutcomeKind::Fence,
+        Refusal::Old => OutcomeKind::Old,
+        Refusal::Late => OutcomeKind::Late,
+        Refusal::Room => OutcomeKind::Room,
+        Refusal::Gone => OutcomeKind::Gone,
+        Refusal::Unwell => OutcomeKind::Unwell,
+        Refusal::Permit => OutcomeKind::Permit,
+        Refusal::Faulty => OutcomeKind::Faulty,
     }
 }
 
-/// Reads an order's end.
-pub(super) fn order_end(row: OrderEndRow) -> OrderEnd {
+/// Reads an order's outcome.
+pub(super) fn order_outcome(row: OrderOutcomeRow) -> OrderOutcome {
     match row.kind() {
-        EndKind::Unknown => OrderEnd::Unknown,
-        EndKind::NotSent => OrderEnd::NotSent,
-        EndKind::Done => OrderEnd::Done {
+        OutcomeKind::Unknown => OrderOutcome::Unknown,
+        OutcomeKind::NotSent => OrderOutcome::NotSent,
+        OutcomeKind::Done => OrderOutcome::Done {
             clock_ms: row.clock_ms,
-            listed: row.listed.map(listed),
+            report: row.report.map(report),
         },
-        EndKind::Fence => OrderEnd::Refused(Refusal::Fence),
-        EndKind::Old => OrderEnd::Refused(Refusal::Old),
-        EndKind::Late => OrderEnd::Refused(Refusal::Late),
-        EndKind::Room => OrderEnd::Refused(Refusal::Room),
-        EndKind::Gone => OrderEnd::Refused(Refusal::Gone),
-        EndKind::Unwell => OrderEnd::Refused(Refusal::Unwell),
-        EndKind::Permit => OrderEnd::Refused(Refusal::Permit),
-        EndKind::Faulty => OrderEnd::Refused(Refusal::Faulty),
+        OutcomeKind::Fence => OrderOutcome::Refused(Refusal::Fence),
+        OutcomeKind::Old => OrderOutcome::Refused(Refusal::Old),
+        OutcomeKind::Late => OrderOutcome::Refused(Refusal::Late),
+        OutcomeKind::Room => OrderOutcome::Refused(Refusal::Room),
+        OutcomeKind::Gone => OrderOutcome::Refused(Refusal::Gone),
+        OutcomeKind::Unwell => OrderOutcome::Refused(Refusal::Unwell),
+        OutcomeKind::Permit => OrderOutcome::Refused(Refusal::Permit),
+        OutcomeKind::Faulty => OrderOutcome::Refused(Refusal::Faulty),
     }
 }
 
-fn listed_rows(listed: &Listed) -> ListedRows {
-    let mut rows = ListedRows {
-        started_wall_ms: listed.incarnation.started_wall_ms(),
-        ..ListedRows::default()
+fn to_row(report: &WorkerReport) -> WorkerReportRow {
+    let mut rows = WorkerReportRow {
+        started_wall_ms: report.incarnation.started_wall_ms(),
+        ..WorkerReportRow::default()
     };
-    for run in &listed.runs {
-        rows.runs.push(RunRow {
+    for run in &report.runs {
+        rows.runs.push(RunReportRow {
             task: task_row(run.task),
             run: run.run,
             percent: run.percent,
@@ -193,30 +193,30 @@
             checkpoint: run.checkpoint.to_string(),
         });
     }
-    for end in &listed.ends {
-        rows.ends.push(RunEndRow {
-            number: end.number,
-            task: task_row(end.task),
-            run: end.run,
-            manner: manner_kind(end.manner) as i32,
-            checkpoint: end.checkpoint.to_string(),
+    for exit in &report.exits {
+        rows.exits.push(RunExitRow {
+            number: exit.number,
+            task: task_row(exit.task),
+            run: exit.run,
+            exit_reason: exit_reason_kind(exit.exit_reason) as i32,
+            checkpoint: exit.checkpoint.to_string(),
         });
     }
     rows
 }
 
-fn listed(rows: ListedRows) -> Listed {
-    let mut listed = Listed {
+fn report(rows: WorkerReportRow) -> WorkerReport {
+    let mut report = WorkerReport {
         incarnation: rows.started_wall_ms.into(),
         runs: Vec::with_capacity(rows.runs.len()),
-        ends: Vec::with_capacity(rows.ends.len()),
+        exits: Vec::with_capacity(rows.exits.len()),
     };
     for row in rows.runs {
         // A name that is none of ours can't be a run of ours.
         let Some(task) = task(row.task) else {
             continue;
         };
-        listed.runs.push(ListedRun {
+        report.runs.push(RunReport {
             task,
             run: row.run,
             checkpoint: row.checkpoint.into(),
@@ -224,40 +224,40 @@
             gauge: row.gauge,
         });
     }
-    for row in rows.ends {
-        let manner = manner(row.manner());
+    for row in rows.exits {
+        let exit_reason = exit_reason(row.exit_reason());
         let Some(task) = task(row.task) else {
             continue;
         };
-        listed.ends.push(ListedEnd {
+        report.exits.push(RunExit {
             number: row.number,
             task,
             run: row.run,
-            manner,
+            exit_reason,
             checkpoint: row.checkpoint.into(),
         });
     }
-    listed
+    report
 }
 
-fn manner_kind(manner: Manner) -> MannerKind {
-    match manner {
-        Manner::Done => MannerKind::Done,
-        Manner::Failed => MannerKind::Failed,
-        Manner::Stopped => MannerKind::Stopped,
-        Manner::Lapsed => MannerKind::Lapsed,
-        Manner::Broken => MannerKind::Broken,
-        Manner::Alone => MannerKind::Alone,
+fn exit_reason_kind(exit_reason: ExitReason) -> ExitReasonKind {
+    match exit_reason {
+        ExitReason::Done => ExitReasonKind::Done,
+        ExitReason::Failed => ExitReasonKind::Failed,
+        ExitReason::Stopped => ExitReasonKind::Stopped,
+        ExitReason::Lapsed => ExitReasonKind::Lapsed,
+        ExitReason::Broken => ExitReasonKind::Broken,
+        ExitReason::Alone => ExitReasonKind::Alone,
     }
 }
 
-fn manner(kind: MannerKind) -> Manner {
+fn exit_reason(kind: ExitReasonKind) -> ExitReason {
     match kind {
-        MannerKind::Done => Manner::Done,
-        MannerKind::Failed => Manner::Failed,
-        MannerKind::Stopped => Manner::Stopped,
-        MannerKind::Lapsed => Manner::Lapsed,
-        MannerKind::Broken => Manner::Broken,
-        MannerKind::Alone => Manner::Alone,
+        ExitReasonKind::Done => ExitReason::Done,
+        ExitReasonKind::Failed => ExitReason::Failed,
+        ExitReasonKind::Stopped => ExitReason::Stopped,
+        ExitReasonKind::Lapsed => ExitReason::Lapsed,
+        ExitReasonKind::Broken => ExitReason::Broken,
+        ExitReasonKind::Alone => ExitReason::Alone,
     }
 }
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -4,21 +4,21 @@
 use crate::evacuations::Evacuations;
 use crate::event::Action;
 use crate::event::LinkId;
-use crate::event::OrderEnd;
+use crate::event::OrderOutcome;
 use crate::event::WorkerCall;
 use crate::ids::JobId;
-use crate::relay::frames::EndsFrame;
-use crate::relay::frames::OrderEndRow;
+use crate::relay::frames::OrderOutcomeRow;
 use crate::relay::frames::OrderRow;
 use crate::relay::frames::OrdersFrame;
+use crate::relay::frames::OutcomesFrame;
 use crate::relay::frames::QuestionRow;
 use crate::relay::inquiry::Answer;
 use crate::relay::inquiry::Subject;
 use crate::relay::inquiry::answer;
 use crate::relay::inquiry::question_row;
-use crate::relay::rows::end_row;
 use crate::relay::rows::order_call;
-use crate::relay::sessions::SIGN_GAP_MS;
+use crate::relay::rows::outcome_row;
+use crate::relay::sessions::HEARTBEAT_GAP_MS;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use prost::Message;
@@ -36,7 +36,7 @@
 
 /// Time without a word of an owner after which it counts as silent: two signs of life, and a turn
 /// of a busy host.
-const SILENCE_MS: u64 = 2 * SIGN_GAP_MS + 500;
+const SILENCE_MS: u64 = 2 * HEARTBEAT_GAP_MS + 500;
 
 /// What one owner has told, and what it is to be told.
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
     /// By the numbers that the owner has given them.
     workers: HashMap<u32, Name>,
     texts: HashMap<JobId, Rc<str>>,
-    ends: Vec<OrderEndRow>,
+    outcomes: Vec<OrderOutcomeRow>,
     was_told_leaving: bool,
 }
 
@@ -64,7 +64,7 @@
 
 impl Relay {
     /// Takes in orders of an owner.
-    pub(crate) fn take_frame(
+    pub(crate) fn handle_frame(
         &mut self,
         link: LinkId,
         bytes: &[u8],
@@ -106,11 +106,11 @@
             session.texts.insert(JobId(text.job), text.text.into());
         }
         for row in &frame.orders {
-            self.take_order(link, frame.token, row, evacuations, tickets, actions);
+            self.handle_order_outcome(link, frame.token, row, evacuations, tickets, actions);
         }
     }
 
-    fn take_order(
+    fn handle_order_outcome(
         &mut self,
         link: LinkId,
         token: u64,
@@ -126,13 +126,17 @@
         let name = session.workers.get(&row.worker);
         let (Some(call), Some(name)) = (call, name) else {
             // The owner will order it by itself.
-            session.ends.push(end_row(row.ticket, &OrderEnd::NotSent));
+            session
+                .outcomes
+                .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
             return;
         };
         // The order may have waited on the way here, and the owner have sent it by older rules.
         let is_start = matches!(call, WorkerCall::Start { .. });
         if is_start && evacuations.covers(&name.failure_domain) {
-            session.ends.push(end_row(row.ticket, &OrderEnd::NotSent));
+            session
+                .outcomes
+                .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
             return;
         }
         *tickets += 1;
@@ -148,12 +152,12 @@
     }
 
     /// Takes in the end of an order, and tells whether it was one of an owner.
-    pub(crate) fn take_end(&mut self, ticket: u64, end: &OrderEnd) -> bool {
+    pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: &OrderOutcome) -> bool {
         let Some((link, ordered)) = self.orders.remove(&ticket) else {
             return false;
         };
         if let Some(session) = self.sessions.get_mut(&link) {
-            session.ends.push(end_row(ordered, end));
+            session.outcomes.push(outcome_row(ordered, outcome));
         }
         true
     }
@@ -198,12 +202,12 @@
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
         for (link, session) in &mut self.sessions {
             let has_news = self.is_leaving && !session.was_told_leaving;
-            if session.ends.is_empty() && session.questions.is_empty() && !has_news {
+            if session.outcomes.is_empty() && session.questions.is_empty() && !has_news {
                 continue;
             }
             session.was_told_leaving = self.is_leaving;
-            let frame = EndsFrame {
-                ends: std::mem::take(&mut session.ends),
+            let frame = OutcomesFrame {
+                outcomes: std::mem::take(&mut session.outcomes),
                 questions: std::mem::take(&mut session.questions),
                 is_leaving: self.is_leaving,
             };
