--- a/crates/dispatch/src/relay/sessions.rs
+++ b/crates/dispatch/src/relay/sessions.rs
@@ -2,19 +2,19 @@
 
 use crate::event::Action;
 use crate::event::LinkId;
-use crate::event::OrderEnd;
+use crate::event::OrderOutcome;
 use crate::event::Reply;
 use crate::event::WorkerCall;
 use crate::record::HostRecord;
 use crate::relay::Selection;
-use crate::relay::frames::EndsFrame;
+use crate::relay::frames::OutcomesFrame;
 use crate::relay::inquiry::Asker;
 use crate::relay::inquiry::Inquiry;
 use crate::relay::inquiry::answer_row;
 use crate::relay::inquiry::inquiry;
 use crate::relay::peer::Peer;
 use crate::relay::peer::Phase;
-use crate::relay::rows::order_end;
+use crate::relay::rows::order_outcome;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use prost::Message;
@@ -36,9 +36,9 @@
 /// start together are there within a moment. It doubles so many times while it stays away, up to
 /// 8 s: hosts that are gone for good stay on record.
 const RETRY_MS: u64 = 250;
-const DOUBLINGS_MOST: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 /// Pause after which a host to which nothing was to be said gets a sign of life.
-pub(super) const SIGN_GAP_MS: u64 = 1_000;
+pub(super) const HEARTBEAT_GAP_MS: u64 = 1_000;
 /// Part of an owner's descriptors, one in so many, that its connections to other hosts may take.
 /// The rest is for workers that it calls by itself, callers and the store.
 const DESCRIPTORS_SHARE: u64 = 2;
@@ -58,10 +58,10 @@
 
 /// How an order has ended.
 #[derive(Debug)]
-pub(crate) struct TicketEnd {
+pub(crate) struct RelayedOutcome {
     /// Number by which the owner knows the order.
     pub(crate) ticket: u64,
-    pub(crate) end: OrderEnd,
+    pub(crate) outcome: OrderOutcome,
 }
 
 /// An order under way.
@@ -75,7 +75,7 @@
 /// All relays of one owner.
 #[derive(Debug)]
 pub(crate) struct Sessions {
-    peers_most: usize,
+    max_peers: usize,
     peers: SlotMap<RelayKey, Peer>,
     keys: HashMap<Box<str>, RelayKey>,
     links: HashMap<LinkId, RelayKey>,
@@ -96,7 +96,7 @@
     /// Makes the sessions of an owner with so many descriptors.
     pub(crate) fn new(descriptors: u64) -> Self {
         Self {
-            peers_most: (descriptors / DESCRIPTORS_SHARE) as usize,
+            max_peers: (descriptors / DESCRIPTORS_SHARE) as usize,
             peers: SlotMap::with_key(),
             keys: HashMap::new(),
             links: HashMap::new(),
@@ -110,7 +110,7 @@
     }
 
     /// Takes in which hosts there are.
-    pub(crate) fn note_hosts(&mut self, own: &str, hosts: &HashMap<Box<str>, HostRecord>) {
+    pub(crate) fn update_hosts(&mut self, own: &str, hosts: &HashMap<Box<str>, HostRecord>) {
         let mut new = Vec::new();
         for (name, host) in hosts {
             if **name == *own || host.relay_address.is_empty() {
@@ -129,7 +129,7 @@
         // In the same order at each run, so that tests in virtual time repeat.
         new.sort_unstable();
         for (name, address) in new {
-            if self.peers.len() < self.peers_most {
+            if self.peers.len() < self.max_peers {
                 let key = self.peers.insert(Peer::new(name, address));
                 self.keys.insert(name.clone(), key);
             }
@@ -158,7 +158,7 @@
     }
 
     /// Notes that a connection was made.
-    pub(crate) fn note_opened(&mut self, link: LinkId, now_ms: u64) {
+    pub(crate) fn handle_opened(&mut self, link: LinkId, now_ms: u64) {
         let Some(key) = self.links.get(&link).copied() else {
             return;
         };
@@ -267,7 +267,7 @@
             let Phase::Open { link } = peer.phase else {
                 continue;
             };
-            let is_quiet = !peer.is_connected || now_ms < peer.told_ms + SIGN_GAP_MS;
+            let is_quiet = !peer.is_connected || now_ms < peer.told_ms + HEARTBEAT_GAP_MS;
             if peer.frame.is_empty() && is_quiet {
                 continue;
             }
@@ -282,17 +282,17 @@
     }
 
     /// Takes in what came of orders, if the link is one of these.
-    pub(crate) fn take_frame(
+    pub(crate) fn handle_frame(
         &mut self,
         link: LinkId,
         bytes: &[u8],
         now_ms: u64,
         actions: &mut Vec<Action>,
-    ) -> Vec<TicketEnd> {
+    ) -> Vec<RelayedOutcome> {
         let Some(key) = self.links.get(&link).copied() else {
             return Vec::new();
         };
-        let frame = match EndsFrame::decode(bytes) {
+        let frame = match OutcomesFrame::decode(bytes) {
             Ok(frame) => frame,
             Err(error) => {
                 let detail = format!("step=decode why={error}");
@@ -310,17 +310,17 @@
         for row in frame.questions {
             self.inquiries.push(inquiry(link, row));
         }
-        let mut ends = Vec::with_capacity(frame.ends.len());
-        for row in frame.ends {
+        let mut outcomes = Vec::with_capacity(frame.outcomes.len());
+        for row in frame.outcomes {
             // An order that was given up already has had its end.
             if self.end_flight(row.ticket).is_some() {
-                ends.push(TicketEnd {
+                outcomes.push(RelayedOutcome {
                     ticket: row.ticket,
-                    end: order_end(row),
+                    outcome: order_outcome(row),
                 });
             }
         }
-        ends
+        outcomes
     }
 
     /// Gives the ends of orders that went with a connection.
@@ -329,7 +329,7 @@
         link: LinkId,
         now_ms: u64,
         actions: &mut Vec<Action>,
-    ) -> Vec<TicketEnd> {
+    ) -> Vec<RelayedOutcome> {
         match self.links.get(&link).copied() {
             Some(key) => self.drop_peer(key, now_ms, actions),
             None => Vec::new(),
@@ -339,8 +339,8 @@
     /// Gives up orders that are overdue. A relay that has said nothing since one of them went
     /// out stands still or is cut off: the others that it has are given up with it, so that
     /// their workers are asked over other relays at once.
-    pub(crate) fn expire(&mut self, now_ms: u64, actions: &mut Vec<Action>) -> Vec<TicketEnd> {
-        let mut ends = Vec::new();
+    pub(crate) fn expire(&mut self, now_ms: u64, actions: &mut Vec<Action>) -> Vec<RelayedOutcome> {
+        let mut outcomes = Vec::new();
         let mut silent = BTreeSet::new();
         while let Some((due_ms, ticket)) = self.due.first().copied()
             && due_ms <= now_ms
@@ -348,18 +348,18 @@
             let Some(flight) = self.end_flight(ticket) else {
                 break;
             };
-            ends.push(TicketEnd {
+            outcomes.push(RelayedOutcome {
                 ticket,
-                end: OrderEnd::Unknown,
+                outcome: OrderOutcome::Unknown,
             });
             if self.peers[flight.relay].heard_ms <= flight.sent_ms {
                 silent.insert(flight.relay);
             }
         }
         for key in silent {
-            ends.extend(self.drop_peer(key, now_ms, actions));
+            outcomes.extend(self.drop_peer(key, now_ms, actions));
         }
-        ends
+        outcomes
     }
 
     fn end_flight(&mut self, ticket: u64) -> Option<Flight> {
@@ -373,43 +373,43 @@
         key: RelayKey,
         now_ms: u64,
         actions: &mut Vec<Action>,
-    ) -> Vec<TicketEnd> {
+    ) -> Vec<RelayedOutcome> {
         self.leave_out(key);
         let peer = &mut self.peers[key];
         let was_connected = peer.is_connected;
         let silent_ms = now_ms.saturating_sub(peer.heard_ms);
         let unsent: HashSet<u64> = peer.frame.orders.iter().map(|row| row.ticket).collect();
-        let retry_ms = RETRY_MS << peer.failures.min(DOUBLINGS_MOST);
+        let retry_ms = RETRY_MS << peer.failures.min(MAX_DOUBLINGS);
         peer.failures += u32::from(!was_connected);
         if let Some(link) = peer.close(now_ms + retry_ms) {
             self.links.remove(&link);
             actions.push(Action::CloseLink { link });
         }
-        let mut ends = Vec::new();
+        let mut outcomes = Vec::new();
         for (ticket, flight) in &self.flights {
             if flight.relay != key {
                 continue;
             }
-            let end = match unsent.contains(ticket) {
-                true => OrderEnd::NotSent,
-                false => OrderEnd::Unknown,
+            let outcome = match unsent.contains(ticket) {
+                true => OrderOutcome::NotSent,
+                false => OrderOutcome::Unknown,
             };
-            ends.push(TicketEnd {
+            outcomes.push(RelayedOutcome {
                 ticket: *ticket,
-                end,
+                outcome,
             });
         }
-        for end in &ends {
-            self.end_flight(end.ticket);
+        for outcome in &outcomes {
+            self.end_flight(outcome.ticket);
         }
         if was_connected {
             actions.push(Action::Note(Note::new(
                 Code::RelayLost,
                 &*self.peers[key].name,
-                format!("orders={} heard_age_ms={silent_ms}", ends.len()),
+                format!("orders={} heard_age_ms={silent_ms}", outcomes.len()),
             )));
         }
-        ends
+        outcomes
     }
 
     /// Closes all connections, as the owner ends.
--- a/crates/dispatch/src/tail/age.rs
+++ b/crates/dispatch/src/tail/age.rs
@@ -29,7 +29,7 @@
 
     /// Notes that a read has reached the end of the stream. The store answered it after it was
     /// sent; if it found nothing until the wait was over, after the wait.
-    pub(super) fn note_end(&mut self, flight: Flight, is_empty: bool, now_ms: u64) {
+    pub(super) fn record_end(&mut self, flight: Flight, is_empty: bool, now_ms: u64) {
         self.ticket = self.ticket.max(flight.ticket);
         if flight.is_from_before {
             return;
--- a/crates/dispatch/src/tail/backoff.rs
+++ b/crates/dispatch/src/tail/backoff.rs
@@ -7,22 +7,22 @@
 //! first may be lost, but so few that the store has an end of them. Hosts that are refused come
 //! back at times of their own.
 
-use crate::event::ReadPatience;
+use crate::event::ReadTimeouts;
 use crate::tail::flight::Flight;
-use crate::tail::flight::patience;
+use crate::tail::flight::timeouts;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Loads of one page under way at once.
-const LOADS_MOST: usize = 3;
+const MAX_LOADS: usize = 3;
 /// Time after which a second load goes out, and half of the time from there to the third.
 const LATE_MS: u64 = 1_200;
 /// How many times longer than for a read the answer to a load is awaited: the store may have the
 /// loads of all hosts to answer.
-const PATIENCE_FACTOR: u64 = 8;
+const LOAD_TIMEOUT_FACTOR: u64 = 8;
 /// Pause after the first failure; half of it is the same on all hosts.
 const PAUSE_MS: u64 = 250;
 /// Failures in a row after which the pause no longer doubles.
-const DOUBLINGS_MOST: u32 = 2;
+const MAX_DOUBLINGS: u32 = 2;
 
 /// Tells whether a load may go out beside those under way.
 pub(super) fn may_load(loads: &[Flight], now_ms: u64) -> bool {
@@ -30,14 +30,14 @@
         return true;
     };
     let late_ms = LATE_MS << (loads.len() - 1);
-    loads.len() < LOADS_MOST && now_ms >= newest.sent_ms + late_ms
+    loads.len() < MAX_LOADS && now_ms >= newest.sent_ms + late_ms
 }
 
 /// Gives how long the answer to a load is awaited.
-pub(super) fn load_patience() -> ReadPatience {
-    let once = patience(0);
-    ReadPatience {
-        first_byte_ms: once.first_byte_ms * PATIENCE_FACTOR,
+pub(super) fn load_timeouts() -> ReadTimeouts {
+    let once = timeouts(0);
+    ReadTimeouts {
+        first_byte_ms: once.first_byte_ms * LOAD_TIMEOUT_FACTOR,
         ..once
     }
 }
@@ -62,10 +62,10 @@
 
     /// Notes a failure, and gives the pause before the next load.
     pub(super) fn fail(&mut self, ticket: u64) -> u64 {
-        let most_ms = PAUSE_MS << self.failures.min(DOUBLINGS_MOST);
+        let max_ms = PAUSE_MS << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
         let drawn = xxh3_64_with_seed(&ticket.to_le_bytes(), self.salt);
-        most_ms / 2 + drawn % (most_ms / 2)
+        max_ms / 2 + drawn % (max_ms / 2)
     }
 
     /// Notes that a load has come through.
--- a/crates/dispatch/src/tail/flight.rs
+++ b/crates/dispatch/src/tail/flight.rs
@@ -1,6 +1,6 @@
 //! A read under way, and for how long its answer is awaited.
 
-use crate::event::ReadPatience;
+use crate::event::ReadTimeouts;
 
 /// Time in which the answer to a read without a wait must begin. The store answers in
 /// 4 ms, and in 240 ms when it is sixty times slower.
@@ -46,8 +46,8 @@
 }
 
 /// Gives how long an answer is awaited that the store holds back for up to `wait_ms`.
-pub(super) fn patience(wait_ms: u64) -> ReadPatience {
-    ReadPatience {
+pub(super) fn timeouts(wait_ms: u64) -> ReadTimeouts {
+    ReadTimeouts {
         first_byte_ms: wait_ms + FIRST_BYTE_MS,
         stall_ms: STALL_MS,
     }
@@ -55,8 +55,8 @@
 
 /// Gives how long an answer is awaited where another read can take its place, from a store
 /// that takes `slow_ms` on top.
-pub(super) fn brief_patience(slow_ms: u64) -> ReadPatience {
-    ReadPatience {
+pub(super) fn brief_timeouts(slow_ms: u64) -> ReadTimeouts {
+    ReadTimeouts {
         first_byte_ms: BRIEF_FIRST_BYTE_MS + slow_ms,
         stall_ms: STALL_MS,
     }
--- a/crates/dispatch/src/tail/latency.rs
+++ b/crates/dispatch/src/tail/latency.rs
@@ -6,7 +6,7 @@
 /// to read, after it stood still, must not make it patient.
 const LATEST: usize = 4;
 /// What answers take counts up to this: past it a store is away rather than slow.
-const MOST_MS: u64 = 1_000;
+const MAX_MS: u64 = 1_000;
 
 /// What answers of late took, without the time for which the store held them back.
 #[derive(Debug, Default)]
@@ -25,7 +25,7 @@
     /// Gives what an answer takes at least, of late.
     pub(super) fn typical_ms(&self) -> u64 {
         let fastest = self.latest_ms.iter().copied().min();
-        fastest.unwrap_or(0).min(MOST_MS)
+        fastest.unwrap_or(0).min(MAX_MS)
     }
 
     /// Notes an answer.
--- a/crates/dispatch/src/tail/mod.rs
+++ b/crates/dispatch/src/tail/mod.rs
@@ -10,21 +10,21 @@
 mod latency;
 
 use crate::event::Action;
-use crate::event::PageEnd;
-use crate::event::ReadEnd;
+use crate::event::LoadOutcome;
 use crate::event::ReadFault;
-use crate::event::ReadPatience;
+use crate::event::ReadOutcome;
+use crate::event::ReadTimeouts;
 use crate::event::StoredRecord;
 use crate::event::Stream;
 use crate::tail::age::Age;
 use crate::tail::backoff::Backoff;
-use crate::tail::backoff::load_patience;
+use crate::tail::backoff::load_timeouts;
 use crate::tail::backoff::may_load;
 pub(crate) use crate::tail::failures::Failure;
 use crate::tail::failures::Failures;
 use crate::tail::flight::Flight;
-use crate::tail::flight::brief_patience;
-use crate::tail::flight::patience;
+use crate::tail::flight::brief_timeouts;
+use crate::tail::flight::timeouts;
 use crate::tail::latency::Latency;
 use std::fmt::Display;
 use std::fmt::Formatter;
@@ -43,7 +43,7 @@
 /// Reads of a stream that are to be answered at once and are under way, at most. Each question
 /// of a caller needs one that was sent after it, and while nothing is answered they would pile
 /// up: 131 calls of one host, which kept the first ones after an outage waiting.
-const READS_MOST: usize = 3;
+const MAX_READS: usize = 3;
 
 /// What came of a read.
 #[derive(Debug, Default)]
@@ -53,7 +53,7 @@
     /// The state was loaded anew: keys that are not among the records are gone.
     pub(crate) is_reloaded: bool,
     /// How old what was known of the stream was when the read ended.
-    pub(crate) former_age_ms: Option<u64>,
+    pub(crate) previous_age_ms: Option<u64>,
     /// The read brought nothing.
     pub(crate) failure: Option<Failure>,
 }
@@ -179,7 +179,7 @@
 
     /// Notes since when the store answers this host. Failures from before are no reason to
     /// wait with the next read.
-    pub(crate) fn note_contact(&mut self, contact_ms: u64) {
+    pub(crate) fn record_contact(&mut self, contact_ms: u64) {
         if contact_ms > self.contact_ms {
             self.retry_ms = 0;
         }
@@ -216,7 +216,7 @@
             ticket: *tickets,
             stream: self.stream,
             after,
-            patience: load_patience(),
+            timeouts: load_timeouts(),
         });
     }
 
@@ -229,7 +229,7 @@
         actions: &mut Vec<Action>,
     ) {
         let is_enough = |flight: &Flight| !flight.waits() && flight.sent_ms >= since_ms;
-        self.read_unless(is_enough, patience(0), 0, now_ms, tickets, actions);
+        self.read_unless(is_enough, timeouts(0), 0, now_ms, tickets, actions);
     }
 
     /// Reads at once, unless a read sent after the given ticket is under way.
@@ -241,7 +241,7 @@
         actions: &mut Vec<Action>,
     ) {
         let is_enough = |flight: &Flight| !flight.waits() && flight.ticket > ticket;
-        self.read_unless(is_enough, patience(0), 0, now_ms, tickets, actions);
+        self.read_unless(is_enough, timeouts(0), 0, now_ms, tickets, actions);
     }
 
     /// Keeps one read under way that waits for a record. One from before the store's return may
@@ -255,8 +255,8 @@
     ) {
         let contact_ms = self.contact_ms;
         let is_enough = |flight: &Flight| flight.waits() && flight.sent_ms >= contact_ms;
-        let patience = patience(wait_ms);
-        self.read_unless(is_enough, patience, wait_ms, now_ms, tickets, actions);
+        let timeouts = timeouts(wait_ms);
+        self.read_unless(is_enough, timeouts, wait_ms, now_ms, tickets, actions);
     }
 
     /// Reads beside the read that waits, once that one should have been answered: it may be
@@ -273,10 +273,10 @@
         if age_ms.is_some_and(|age_ms| age_ms <= wait_ms + OVERDUE_MS + slow_ms) {
             return;
         }
-        let patience = brief_patience(slow_ms);
+        let timeouts = brief_timeouts(slow_ms);
         let contact_ms = self.contact_ms;
         let is_enough = |flight: &Flight| !flight.waits() && flight.sent_ms >= contact_ms;
-        self.read_unless(is_enough, patience, 0, now_ms, tickets, actions);
+        self.read_unless(is_enough, timeouts, 0, now_ms, tickets, actions);
     }
 
     /// Counts the reads under way that the store is to answer at once, without those from
@@ -288,21 +288,21 @@
 
     /// Reads again and again, to find out whether the store is back.
     pub(crate) fn probe(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
-        let is_due = now_ms >= self.probe_ms && self.short_reads() < READS_MOST;
+        let is_due = now_ms >= self.probe_ms && self.short_reads() < MAX_READS;
         // That a read has just failed is no reason to put a probe off.
         if self.next.is_none() || !is_due {
             return;
         }
         self.probe_ms = now_ms + PROBE_GAP_MS;
-        let patience = brief_patience(self.slow_ms());
-        self.read(patience, 0, now_ms, tickets, actions);
+        let timeouts = brief_timeouts(self.slow_ms());
+        self.read(timeouts, 0, now_ms, tickets, actions);
     }
 
     /// Reads, unless a read under way is enough or none may be sent now.
     fn read_unless(
         &mut self,
         is_enough: impl Fn(&Flight) -> bool,
-        patience: ReadPatience,
+        timeouts: ReadTimeouts,
         wait_ms: u64,
         now_ms: u64,
         tickets: &mut u64,
@@ -311,15 +311,15 @@
         if self.next.is_none() || now_ms < self.retry_ms || self.reads.iter().any(is_enough) {
             return;
         }
-        if wait_ms == 0 && self.short_reads() >= READS_MOST {
+        if wait_ms == 0 && self.short_reads() >= MAX_READS {
             return;
         }
-        self.read(patience, wait_ms, now_ms, tickets, actions);
+        self.read(timeouts, wait_ms, now_ms, tickets, actions);
     }
 
     fn read(
         &mut self,
-        patience: ReadPatience,
+        timeouts: ReadTimeouts,
         wait_ms: u64,
         now_ms: u64,
         tickets: &mut u64,
@@ -332,16 +332,16 @@
             stream: self.stream,
             from: self.next(),
             wait_ms,
-            patience,
+            timeouts,
         });
     }
 
     /// Takes in the end of a read, if it is one of this stream.
-    pub(crate) fn take_read(
+    pub(crate) fn handle_read(
         &mut self,
         ticket: u64,
         now_ms: u64,
-        end: &mut ReadEnd,
+        outcome: &mut ReadOutcome,
     ) -> Option<Progress> {
         let at = self
             .reads
@@ -349,17 +349,17 @@
             .position(|flight| flight.ticket == ticket)?;
         let flight = self.reads.remove(at);
         let mut progress = Progress {
-            former_age_ms: self.age_ms(now_ms),
+            previous_age_ms: self.age_ms(now_ms),
             ..Progress::default()
         };
-        match std::mem::replace(end, ReadEnd::Trimmed) {
-            ReadEnd::Failed(fault) => progress.failure = self.fail(flight, fault, now_ms),
+        match std::mem::replace(outcome, ReadOutcome::Trimmed) {
+            ReadOutcome::Failed(fault) => progress.failure = self.fail(flight, fault, now_ms),
             // The history was dropped: the newest record of each key is still there.
-            ReadEnd::Trimmed => {
+            ReadOutcome::Trimmed => {
                 self.next = None;
                 self.loading = None;
             }
-            ReadEnd::Records { records, end } => {
+            ReadOutcome::Records { records, end } => {
                 self.answered_ms = Some(now_ms);
                 self.latency.note(flight, now_ms);
                 let is_empty = records.is_empty();
@@ -375,7 +375,7 @@
                 }
                 self.next = Some(next);
                 if next >= end {
-                    self.age.note_end(flight, is_empty, now_ms);
+                    self.age.record_end(flight, is_empty, now_ms);
                 }
             }
         }
@@ -393,11 +393,11 @@
     }
 
     /// Takes in a page, if it is one of this stream.
-    pub(crate) fn take_page(
+    pub(crate) fn handle_page(
         &mut self,
         ticket: u64,
         now_ms: u64,
-        end: &mut PageEnd,
+        outcome: &mut LoadOutcome,
     ) -> Option<Progress> {
         let at = self
             .loads
@@ -405,10 +405,10 @@
             .position(|flight| flight.ticket == ticket)?;
         let flight = self.loads.remove(at);
         let mut progress = Progress {
-            former_age_ms: self.age_ms(now_ms),
+            previous_age_ms: self.age_ms(now_ms),
             ..Progress::default()
         };
-        let page = match std::mem::replace(end, Err(ReadFault::NoAnswer)) {
+        let page = match std::mem::replace(outcome, Err(ReadFault::NoAnswer)) {
             Ok(page) => page,
             Err(fault) => {
                 let pause_ms = self.backoff.fail(flight.ticket);
@@ -437,7 +437,7 @@
         // Pages are no snapshot: what changed since the first one is read again.
         self.next = Some(first_end);
         if first_end == page.end {
-            self.age.note_end(flight, false, now_ms);
+            self.age.record_end(flight, false, now_ms);
         }
         progress.records = records;
         progress.is_reloaded = true;
--- a/crates/dispatch/src/worker_record.rs
+++ b/crates/dispatch/src/worker_record.rs
@@ -1,6 +1,6 @@
 //! Workers on record, for a successor.
 
-use crate::config::Room;
+use crate::config::Resources;
 use crate::config::WorkerEntry;
 use prost::Message;
 
@@ -37,9 +37,9 @@
             address: entry.address.to_string(),
             failure_domain: entry.failure_domain.to_string(),
             is_leaving: entry.is_leaving,
-            cpu_milli: entry.room.cpu_milli,
-            memory_mb: entry.room.memory_mb,
-            accelerators: entry.room.accelerators,
+            cpu_milli: entry.resources.cpu_milli,
+            memory_mb: entry.resources.memory_mb,
+            accelerators: entry.resources.accelerators,
             rack: entry.rack.to_string(),
             labels: entry.labels.iter().map(|label| label.to_string()).collect(),
             started_wall_ms: entry.incarnation.started_wall_ms(),
@@ -55,7 +55,7 @@
             failure_domain: self.failure_domain.as_str().into(),
             is_leaving: self.is_leaving,
             cold_ms: 0,
-            room: Room {
+            resources: Resources {
                 cpu_milli: self.cpu_milli,
                 memory_mb: self.memory_mb,
                 accelerators: self.accelerators,
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -92,7 +92,7 @@
 fn a_cancelled_job_stops_for_good() {
     let mut fleet = Fleet::new(3, 4);
     let lasting = Step {
-        is_lasting: true,
+        is_long_running: true,
         ..step(6, 1_000, &[])
     };
     fleet.submit(0, JOB, &job(vec![lasting]));
@@ -167,13 +167,13 @@
         worker.press_ms = 30;
     }
     let served = Step {
-        is_lasting: true,
+        is_long_running: true,
         image: "served".into(),
-        tail_target_ms: 20,
+        tail_latency_target_ms: 20,
         ..step(1, 1_000, &[])
     };
     let filler = Step {
-        is_filler: true,
+        is_best_effort: true,
         image: "filler".into(),
         ..step(2, 60_000, &[])
     };
@@ -293,9 +293,9 @@
 fn lasting_tasks_run_again_before_quick_ones_start() {
     let mut fleet = Fleet::new(3, 2);
     let lasting = Step {
-        is_lasting: true,
+        is_long_running: true,
         cpu_milli: 4_000,
-        per_worker_most: 1,
+        max_per_worker: 1,
         ..step(2, 200, &[])
     };
     fleet.submit(0, JOB, &job(vec![lasting]));
@@ -347,7 +347,7 @@
 fn new_lasting_tasks_leave_room_for_quick_ones() {
     let mut fleet = Fleet::new(3, 2);
     let lasting = Step {
-        is_lasting: true,
+        is_long_running: true,
         ..step(16, 1_000, &[])
     };
     fleet.submit(0, 0x1, &job(vec![lasting]));
@@ -365,8 +365,8 @@
 fn owners_that_change_do_not_prolong_the_wait_for_a_dead_worker() {
     let mut fleet = Fleet::new(5, 3);
     let lasting = Step {
-        is_lasting: true,
-        per_worker_most: 1,
+        is_long_running: true,
+        max_per_worker: 1,
         ..step(3, 1_000, &[])
     };
     fleet.submit(0, JOB, &job(vec![lasting]));
@@ -421,8 +421,8 @@
         fleet.submit(0, JOB, &job(vec![step(6, 600, &[])]));
         fleet.run(1_000);
         let lasting = Step {
-            is_lasting: true,
-            per_worker_most: 2,
+            is_long_running: true,
+            max_per_worker: 2,
             ..step(4, 1_000, &[])
         };
         fleet.submit(0, 0x1, &job(vec![lasting]));
@@ -432,7 +432,7 @@
         fleet.cut_workers.clear();
         fleet.run(400);
         let more = Step {
-            is_lasting: true,
+            is_long_running: true,
             ..step(8, 1_000, &[])
         };
         fleet.submit(0, 0x2, &job(vec![more]));
--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -208,7 +208,7 @@
         steps: || {
             vec![Step {
                 is_gang: true,
-                per_worker_most: 1,
+                max_per_worker: 1,
                 ..step(4, 300, &[])
             }]
         },
@@ -229,7 +229,7 @@
         name: "tasks that last",
         steps: || {
             vec![Step {
-                is_lasting: true,
+                is_long_running: true,
                 ..step(3, 1_000, &[])
             }]
         },
@@ -340,7 +340,7 @@
 
 fn last_long() -> Vec<Step> {
     vec![Step {
-        is_lasting: true,
+        is_long_running: true,
         ..step(4, 1_000, &[])
     }]
 }
@@ -441,15 +441,15 @@
             (case.besides)(&mut fleet, second);
         }
         fleet.run(30_000);
-        let is_lasting = fleet.promises.submitted[&JobId(JOB)].steps[0].is_lasting;
-        let wanted = match is_lasting {
+        let is_long_running = fleet.promises.submitted[&JobId(JOB)].steps[0].is_long_running;
+        let wanted = match is_long_running {
             true => JobState::Running,
             false => JobState::Completed,
         };
         let state = fleet.state(0, JOB);
         // The job that lasts for longest needs a minute.
         let state = match state {
-            Some(JobState::Running) if !is_lasting => {
+            Some(JobState::Running) if !is_long_running => {
                 fleet.run(40_000);
                 fleet.state(0, JOB)
             }
--- a/tests/dispatch_evacuations.rs
+++ b/tests/dispatch_evacuations.rs
@@ -6,12 +6,12 @@
 use crate::fleet::Fleet;
 use crate::fleet::Manners;
 use crate::fleet::Mode;
-use crate::fleet::WORKER_ROOM;
+use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_core::Code;
 use goldcrestway_dispatch::JobState;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::Stream;
 use goldcrestway_dispatch::Submission;
@@ -54,7 +54,7 @@
 
 fn lasting() -> Submission {
     let lasting = Step {
-        is_lasting: true,
+        is_long_running: true,
         ..step(4, 1_000, &[])
     };
     job(vec![lasting])
@@ -381,7 +381,8 @@
     let accepted: Vec<u64> = fleet.promises.accepted.iter().map(|id| id.0).collect();
     for id in accepted {
         let state = fleet.state(0, id);
-        let lasts = fleet.promises.submitted[&goldcrestway_dispatch::JobId(id)].steps[0].is_lasting;
+        let lasts =
+            fleet.promises.submitted[&goldcrestway_dispatch::JobId(id)].steps[0].is_long_running;
         let wanted = match lasts {
             true => JobState::Running,
             false => JobState::Completed,
@@ -512,11 +513,11 @@
 fn a_worker_whose_domain_is_not_evacuated_takes_what_fits() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
     for address in fleet.workers_in(HALL) {
-        let room = Room {
+        let resources = Resources {
             cpu_milli: 16_000,
-            ..WORKER_ROOM
+            ..WORKER_RESOURCES
         };
-        fleet.resize(&address, room);
+        fleet.resize(&address, resources);
     }
     fleet.evacuate(HALL);
     fleet.run(EVACUATED_MS);
--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -11,12 +11,12 @@
 use crate::fleet::Fleet;
 use crate::fleet::Manners;
 use crate::fleet::Mode;
-use crate::fleet::WORKER_ROOM;
+use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_dispatch::JobId;
 use goldcrestway_dispatch::JobState;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::Stream;
 use goldcrestway_dispatch::TaskId;
@@ -133,7 +133,7 @@
         let width = random.random_range(1..8);
         let work_ms = random.random_range(100..1_500);
         let lasting = Step {
-            is_lasting: true,
+            is_long_running: true,
             ..step(2, 1_000, &[])
         };
         let submission = match random.random_range(0..4) {
@@ -202,7 +202,7 @@
             let step = Step {
                 is_gang: random.random_range(0..4) == 0,
                 is_speculative: random.random_range(0..4) == 0,
-                is_lasting: random.random_range(0..4) == 0,
+                is_long_running: random.random_range(0..4) == 0,
                 ..step(
                     random.random_range(1..6),
                     random.random_range(900..2_500),
@@ -223,12 +223,12 @@
 
 /// Gives a worker another room, in which at least one task fits.
 fn resize(fleet: &mut Fleet, random: &mut Pcg64, address: &str) {
-    let room = Room {
+    let resources = Resources {
         cpu_milli: random.random_range(1_000..=8_000),
         memory_mb: random.random_range(1_000..=16_000),
         accelerators: 0,
     };
-    fleet.resize(address, room);
+    fleet.resize(address, resources);
 }
 
 /// Lets rooms change while nothing else is disturbed and jobs come.
@@ -348,7 +348,7 @@
     if callers == Callers::Poisonous {
         resize_in_calm(&mut fleet, &mut random, &mut jobs);
         for worker in 0..WORKERS {
-            fleet.resize(&format!("10.0.0.{worker}:80"), WORKER_ROOM);
+            fleet.resize(&format!("10.0.0.{worker}:80"), WORKER_RESOURCES);
         }
     }
     fleet.run(HEALED_MS);
@@ -356,10 +356,10 @@
     let accepted: Vec<_> = fleet.promises.accepted.iter().copied().collect();
     for id in accepted {
         let state = fleet.state(0, id.0);
-        let is_lasting = fleet.promises.submitted[&id].steps[0].is_lasting;
+        let is_long_running = fleet.promises.submitted[&id].steps[0].is_long_running;
         let is_well = match state {
             Some(JobState::Completed) => true,
-            Some(JobState::Running) => is_lasting,
+            Some(JobState::Running) => is_long_running,
             Some(JobState::Cancelled) => fleet.promises.cancelled.contains(&id),
             Some(JobState::Failed) => fleet.promises.may_fail(id),
             _ => false,
--- a/tests/dispatch_fillers.rs
+++ b/tests/dispatch_fillers.rs
@@ -13,13 +13,13 @@
 fn all_fillers_are_halted_beside_a_task_long_over_its_target() {
     let mut fleet = Fleet::new(3, 1);
     let served = Step {
-        is_lasting: true,
+        is_long_running: true,
         image: "served".into(),
-        tail_target_ms: 20,
+        tail_latency_target_ms: 20,
         ..step(1, 1_000, &[])
     };
     let filler = Step {
-        is_filler: true,
+        is_best_effort: true,
         image: "filler".into(),
         ..step(2, 60_000, &[])
     };
@@ -46,13 +46,13 @@
     for phase_ms in (0..800).step_by(50) {
         let mut fleet = Fleet::new(3, 1);
         let served = Step {
-            is_lasting: true,
+            is_long_running: true,
             image: "served".into(),
-            tail_target_ms: 20,
+            tail_latency_target_ms: 20,
             ..step(1, 1_000, &[])
         };
         let filler = |image: &str| Step {
-            is_filler: true,
+            is_best_effort: true,
             image: image.into(),
             ..step(1, 60_000, &[])
         };
--- a/tests/dispatch_freshness.rs
+++ b/tests/dispatch_freshness.rs
@@ -13,8 +13,8 @@
 use goldcrestway_dispatch::Found;
 use goldcrestway_dispatch::Now;
 use goldcrestway_dispatch::Page;
-use goldcrestway_dispatch::ReadEnd;
 use goldcrestway_dispatch::ReadFault;
+use goldcrestway_dispatch::ReadOutcome;
 use goldcrestway_dispatch::Reply;
 use goldcrestway_dispatch::StoredRecord;
 use goldcrestway_dispatch::Stream;
@@ -63,8 +63,8 @@
         let Action::Load { ticket, stream, .. } = action else {
             continue;
         };
-        let end = Ok(page(stream));
-        let actions = entry.handle(at(10), Event::Loaded { ticket, end });
+        let outcome = Ok(page(stream));
+        let actions = entry.handle(at(10), Event::Loaded { ticket, outcome });
         read = find_rules_read(&actions).unwrap_or(read);
         due.extend(actions);
     }
@@ -105,8 +105,8 @@
         (ReadFault::Refused, "Refused"),
     ] {
         let (mut entry, ticket) = start();
-        let end = ReadEnd::Failed(fault);
-        let actions = entry.handle(at(3_210), Event::Read { ticket, end });
+        let outcome = ReadOutcome::Failed(fault);
+        let actions = entry.handle(at(3_210), Event::Read { ticket, outcome });
         let line = format!("Rules why={why} sent_age_ms=3200 waits=true failures=1 age_ms=3210");
         expect_that!(details(&actions, Code::ReadFailed), contains(eq(&line)));
     }
@@ -123,11 +123,11 @@
         workers_ms: None,
     };
     expect_that!(entry.ages(at(400)), eq(ages));
-    let end = ReadEnd::Records {
+    let outcome = ReadOutcome::Records {
         records: vec![rules(1, 2)],
         end: 2,
     };
-    let actions = entry.handle(at(400), Event::Read { ticket, end });
+    let actions = entry.handle(at(400), Event::Read { ticket, outcome });
     expect_that!(
         details(&actions, Code::RulesInForce),
         elements_are![eq("2 queues=1 former_age_ms=400")]
@@ -157,11 +157,11 @@
     for now_ms in (from_ms..=until_ms).step_by(10) {
         let mut actions = Vec::new();
         for ticket in std::mem::take(&mut tickets) {
-            let end = ReadEnd::Records {
+            let outcome = ReadOutcome::Records {
                 records: Vec::new(),
                 end: 0,
             };
-            actions.extend(entry.handle(at(now_ms), Event::Read { ticket, end }));
+            actions.extend(entry.handle(at(now_ms), Event::Read { ticket, outcome }));
         }
         actions.extend(entry.handle(at(now_ms), Event::Tick));
         for action in &actions {
@@ -206,7 +206,7 @@
             }
         }
     }
-    let end = ReadEnd::Records {
+    let outcome = ReadOutcome::Records {
         records: Vec::new(),
         end: 0,
     };
@@ -214,7 +214,7 @@
         at(1_400),
         Event::Read {
             ticket: states,
-            end,
+            outcome,
         },
     );
     expect_that!(short_reads(&actions), contains(eq(&Stream::Rules)));
@@ -270,14 +270,14 @@
             case.asked_ms + 10,
             case.asked_ms + 1_000,
         ));
-        let put_off = Action::Answer {
+        let deferred = Action::Answer {
             request: 7,
             reply: Reply::NotDone {
                 retry_after_ms: 1_000,
             },
         };
         let is_unsure = case.found == Found::Unsure;
-        expect_that!(actions.contains(&put_off), eq(is_unsure), "{}", case.name);
+        expect_that!(actions.contains(&deferred), eq(is_unsure), "{}", case.name);
         let is_told = !details(&actions, Code::RulesBehind).is_empty();
         expect_true!(is_told || !is_unsure, "{}", case.name);
     }
@@ -288,14 +288,14 @@
 /// ready once the rules were read; or could not be, if only a part of the store is back.
 #[gtest]
 fn a_host_takes_callers_again_once_it_has_read_the_rules() {
-    for end in [
-        ReadEnd::Records {
+    for outcome in [
+        ReadOutcome::Records {
             records: vec![rules(1, 2)],
             end: 2,
         },
-        ReadEnd::Failed(ReadFault::Refused),
+        ReadOutcome::Failed(ReadFault::Refused),
     ] {
-        let is_read = matches!(end, ReadEnd::Records { .. });
+        let is_read = matches!(outcome, ReadOutcome::Records { .. });
         let (mut entry, _) = start();
         let mut states = None;
         for now_ms in (20..=4_000).step_by(10) {
@@ -309,18 +309,24 @@
         }
         expect_false!(entry.is_ready());
         let ticket = states.unwrap_or(0);
-        let back = ReadEnd::Records {
+        let back = ReadOutcome::Records {
             records: Vec::new(),
             end: 0,
         };
-        let actions = entry.handle(at(4_010), Event::Read { ticket, end: back });
+        let actions = entry.handle(
+            at(4_010),
+            Event::Read {
+                ticket,
+                outcome: back,
+            },
+        );
         expect_that!(details(&actions, Code::StoreBack), is_empty());
         expect_false!(entry.is_ready());
         let Some(ticket) = find_rules_read(&actions) else {
             add_failure!("the rules are read at once");
             continue;
         };
-        let actions = entry.handle(at(4_020), Event::Read { ticket, end });
+        let actions = entry.handle(at(4_020), Event::Read { ticket, outcome });
         expect_that!(details(&actions, Code::StoreBack), len(eq(1)));
         expect_that!(entry.is_ready(), eq(is_read));
     }
@@ -388,11 +394,11 @@
         wall_ms: at(6_000).wall_ms,
     };
     entry.handle(woken, Event::Tick);
-    let end = ReadEnd::Records {
+    let outcome = ReadOutcome::Records {
         records: Vec::new(),
         end: 1,
     };
-    entry.handle(woken, Event::Read { ticket, end });
+    entry.handle(woken, Event::Read { ticket, outcome });
     let found = entry.find_queue("batch.test", "/new/", woken);
     expect_that!(found, eq(Found::Unsure));
 }
--- a/tests/dispatch_loading.rs
+++ b/tests/dispatch_loading.rs
@@ -111,13 +111,13 @@
             continue;
         }
         answered.push(stream);
-        let end = match (&case.end, stream) {
+        let outcome = match (&case.end, stream) {
             (None, SLOW) => continue,
             (Some(PartEnd::Failed), SLOW) => Err(ReadFault::NoAnswer),
             (Some(PartEnd::Page { has_more }), SLOW) => Ok(page(stream, *has_more)),
             _ => Ok(page(stream, false)),
         };
-        due.extend(entry.handle(at(10), Event::Loaded { ticket, end }));
+        due.extend(entry.handle(at(10), Event::Loaded { ticket, outcome }));
     }
     (entry, actions)
 }
--- a/tests/dispatch_outages.rs
+++ b/tests/dispatch_outages.rs
@@ -7,8 +7,8 @@
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_dispatch::JobState;
+use goldcrestway_dispatch::MAX_STORE_CALLS;
 use goldcrestway_dispatch::Reply;
-use goldcrestway_dispatch::STORE_CALLS_MOST;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::Stream;
 use googletest::prelude::*;
@@ -34,7 +34,7 @@
     for away in CASES {
         let mut fleet = Fleet::new(3, 4);
         let lasting = Step {
-            is_lasting: true,
+            is_long_running: true,
             ..step(6, 1_000, &[])
         };
         for number in 0..6 {
@@ -110,7 +110,7 @@
         fleet.run(1_500);
     }
     expect_that!(fleet.store_calls_most, gt(10));
-    expect_that!(fleet.store_calls_most, le(STORE_CALLS_MOST));
+    expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
 }
 
 /// Time in which an owner that reaches the store knows of what other hosts have stored.
@@ -126,7 +126,7 @@
     for moment in 0..8 {
         let mut fleet = Fleet::new(3, 4);
         let lasting = Step {
-            is_lasting: true,
+            is_long_running: true,
             ..step(4, 1_000, &[])
         };
         let other = (owner(&fleet) + 1) % 3;
@@ -166,7 +166,7 @@
         }
         fleet.run(1_500);
     }
-    expect_that!(fleet.store_calls_most, le(STORE_CALLS_MOST));
+    expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
 }
 
 /// Symptom: callers who ask about a job that a host does not know wait for 0.9 s before they
@@ -184,10 +184,10 @@
         let unknown = fleet.query(host, 0x123);
         let known = fleet.query(host, JOB);
         fleet.run(5);
-        let put_off = Reply::NotDone {
+        let deferred = Reply::NotDone {
             retry_after_ms: 1_000,
         };
-        expect_that!(fleet.replies.get(&unknown), some(eq(&put_off)));
+        expect_that!(fleet.replies.get(&unknown), some(eq(&deferred)));
         let running = Reply::State(JobState::Running);
         expect_that!(fleet.replies.get(&known), some(eq(&running)));
     }
--- a/tests/dispatch_questions.rs
+++ b/tests/dispatch_questions.rs
@@ -11,7 +11,7 @@
 use goldcrestway_dispatch::JobId;
 use goldcrestway_dispatch::Now;
 use goldcrestway_dispatch::Page;
-use goldcrestway_dispatch::ReadEnd;
+use goldcrestway_dispatch::ReadOutcome;
 use goldcrestway_dispatch::Reply;
 use goldcrestway_dispatch::StoredRecord;
 use goldcrestway_dispatch::Stream;
@@ -48,8 +48,8 @@
                 records,
                 has_more: false,
             };
-            let end = Ok(page);
-            due.extend(entry.handle(at(1), Event::Loaded { ticket, end }));
+            let outcome = Ok(page);
+            due.extend(entry.handle(at(1), Event::Loaded { ticket, outcome }));
         }
     }
     entry
@@ -82,11 +82,11 @@
     expect_that!(before, not(is_empty()));
     let mut actions = entry.handle(at(100), question(2, 0xb));
     for ticket in before {
-        let end = ReadEnd::Records {
+        let outcome = ReadOutcome::Records {
             records: Vec::new(),
             end: 0,
         };
-        actions.extend(entry.handle(at(101), Event::Read { ticket, end }));
+        actions.extend(entry.handle(at(101), Event::Read { ticket, outcome }));
     }
     let answered = |request: u64| {
         let gone = Action::Answer {
--- a/tests/dispatch_repeats.rs
+++ b/tests/dispatch_repeats.rs
@@ -35,7 +35,7 @@
     let mut fleet = Fleet::new(3, 6);
     fleet.promises.failing.insert(JobId(JOB));
     let lasting = Step {
-        is_lasting: true,
+        is_long_running: true,
         ..step(1, 1_000, &[])
     };
     fleet.submit(0, JOB, &job(vec![lasting]));
--- a/tests/dispatch_rooms.rs
+++ b/tests/dispatch_rooms.rs
@@ -3,14 +3,14 @@
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
 use crate::fleet::Fleet;
-use crate::fleet::WORKER_ROOM;
+use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_dispatch::JobState;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
 use googletest::prelude::*;
 
-const SMALL: Room = Room {
+const SMALL: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 2_000,
     accelerators: 0,
@@ -27,10 +27,10 @@
     besides: fn(&mut Fleet, u64),
 }
 
-fn resize_all(fleet: &mut Fleet, room: Room) {
+fn resize_all(fleet: &mut Fleet, resources: Resources) {
     let addresses: Vec<Box<str>> = fleet.workers.keys().cloned().collect();
     for address in addresses {
-        fleet.resize(&address, room);
+        fleet.resize(&address, resources);
     }
 }
 
@@ -38,7 +38,7 @@
 fn shrink_and_grow(fleet: &mut Fleet, second: u64) {
     match second {
         2 => resize_all(fleet, SMALL),
-        12 => resize_all(fleet, WORKER_ROOM),
+        12 => resize_all(fleet, WORKER_RESOURCES),
         _ => {}
     }
 }
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -202,7 +202,7 @@
         expect_that!(watch.broken, is_empty(), "seed {seed}");
         expect_that!(watch.told, gt(100), "seed {seed}");
         // A host in touch tells what is asked, rather than when to come again.
-        expect_that!(watch.put_off * 100, le(watch.told), "seed {seed}");
+        expect_that!(watch.deferred * 100, le(watch.told), "seed {seed}");
     }
 }
 
--- a/tests/dispatch_shapes.rs
+++ b/tests/dispatch_shapes.rs
@@ -45,7 +45,7 @@
     let mut fleet = Fleet::new(3, 2);
     let gang = Step {
         is_gang: true,
-        per_worker_most: 1,
+        max_per_worker: 1,
         ..step(2, 3_000, &[])
     };
     fleet.submit(0, JOB, &job(vec![gang]));
@@ -75,7 +75,7 @@
     let mut fleet = Fleet::new(3, 4);
     let gang = Step {
         is_gang: true,
-        per_worker_most: 1,
+        max_per_worker: 1,
         ..step(3, 20_000, &[])
     };
     fleet.submit(0, JOB, &job(vec![gang]));
--- a/tests/dispatch_sizes.rs
+++ b/tests/dispatch_sizes.rs
@@ -19,7 +19,7 @@
     let request = fleet.submit(0, JOB, &job(vec![step(40, 300, &[]), step(40, 300, &[])]));
     fleet.run(50);
     let told = fleet.replies.get(&request);
-    expect_that!(told, some(eq(&Reply::TooLarge { tasks_most: 64 })));
+    expect_that!(told, some(eq(&Reply::TooLarge { max_tasks: 64 })));
     fleet.submit(0, 0x1, &job(vec![step(64, 300, &[])]));
     fleet.run(4_000);
     expect_that!(fleet.state(0, 0x1), some(eq(JobState::Completed)));
--- a/tests/dispatch_turns.rs
+++ b/tests/dispatch_turns.rs
@@ -4,8 +4,8 @@
 use crate::fleet::Fleet;
 use crate::fleet::job;
 use crate::fleet::step;
-use goldcrestway_dispatch::Figures;
 use goldcrestway_dispatch::JobState;
+use goldcrestway_dispatch::OwnerStats;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::Stream;
 use googletest::prelude::*;
@@ -16,17 +16,17 @@
 const CHANGES_A_LOOK: u64 = 6;
 
 /// Gives what an owner of so many workers did while a job with a hundred tasks ran.
-fn watch(workers: usize) -> (Figures, Figures) {
+fn watch(workers: usize) -> (OwnerStats, OwnerStats) {
     let mut fleet = Fleet::with_shares(&[1_000; 3], workers);
     let owner = owner(&fleet);
-    let before = fleet.figures(owner);
+    let before = fleet.stats(owner);
     fleet.submit(
         owner,
         JOB,
         &job(vec![step(50, 400, &[]), step(50, 400, &[0])]),
     );
     fleet.run(WATCHED_MS);
-    (before, fleet.figures(owner))
+    (before, fleet.stats(owner))
 }
 
 /// Symptom: an owner of 6,000 workers takes a third of a core, half of it for looking in each
@@ -36,9 +36,13 @@
     for workers in [60, 600, 3_000] {
         let (before, after) = watch(workers);
         expect_that!(after.done - before.done, eq(100), "{workers} workers");
-        let looks = after.looks - before.looks;
-        let looked_over = after.looked_over - before.looked_over;
-        expect_that!(looked_over, le(CHANGES_A_LOOK * looks), "{workers} workers");
+        let polls = after.polls - before.polls;
+        let workers_refreshed = after.workers_refreshed - before.workers_refreshed;
+        expect_that!(
+            workers_refreshed,
+            le(CHANGES_A_LOOK * polls),
+            "{workers} workers"
+        );
     }
 }
 
@@ -65,13 +69,13 @@
     // The first page is asked for as it begins.
     expect_that!(fleet.loads.get(&Stream::Workers), none().or(some(eq(&1))));
     let next = owner(&fleet);
-    let mut looks = fleet.figures(next).looks;
-    expect_that!(looks, le(LOOKS_A_TURN));
+    let mut polls = fleet.stats(next).polls;
+    expect_that!(polls, le(LOOKS_A_TURN));
     for _ in 0..200 {
         fleet.run(5);
-        let now_looks = fleet.figures(next).looks;
-        expect_that!(now_looks - looks, le(LOOKS_A_TURN + LOOKS_IN_STEP));
-        looks = now_looks;
+        let now_looks = fleet.stats(next).polls;
+        expect_that!(now_looks - polls, le(LOOKS_A_TURN + LOOKS_IN_STEP));
+        polls = now_looks;
     }
     fleet.run(12_000);
     expect_that!(fleet.state(next, JOB), some(eq(JobState::Completed)));
@@ -98,9 +102,9 @@
         fleet.submit(owner, id, &job(vec![whole]));
     }
     fleet.run(2_000);
-    let before = fleet.figures(owner).weighed;
+    let before = fleet.stats(owner).evaluated;
     fleet.run(WATCHED_MS);
-    let weighed = fleet.figures(owner).weighed - before;
+    let evaluated = fleet.stats(owner).evaluated - before;
     let one_try = JOBS * WORKERS as u64;
-    expect_that!(weighed, le(WEIGHED_A_MS * WATCHED_MS + one_try));
+    expect_that!(evaluated, le(WEIGHED_A_MS * WATCHED_MS + one_try));
 }
--- a/tests/dispatch_waits.rs
+++ b/tests/dispatch_waits.rs
@@ -4,12 +4,12 @@
 use crate::dispatch::JOB;
 use crate::fleet::Fleet;
 use crate::fleet::Manners;
-use crate::fleet::WORKER_ROOM;
+use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_dispatch::JobId;
 use goldcrestway_dispatch::JobState;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::TaskId;
 use googletest::prelude::*;
@@ -47,18 +47,18 @@
         accelerators: 0,
         estimated_ms: 300,
         after: Vec::new(),
-        saves_progress: false,
+        writes_checkpoints: false,
         is_gang: false,
         is_rack_sensitive: false,
         label: String::new(),
         data_rack: String::new(),
-        per_worker_most: 0,
+        max_per_worker: 0,
         is_speculative: false,
-        is_lasting: false,
+        is_long_running: false,
         image: String::new(),
-        tail_target_ms: 0,
-        is_filler: false,
-        away_most: 0,
+        tail_latency_target_ms: 0,
+        is_best_effort: false,
+        max_unavailable: 0,
     }
 }
 
@@ -89,7 +89,7 @@
             name: "workers that failed tasks are left alone",
             cause: |fleet| {
                 let spread = Step {
-                    per_worker_most: 4,
+                    max_per_worker: 4,
                     ..step(8, 300, &[])
                 };
                 set_manners(fleet, Manners::Fails);
@@ -149,12 +149,12 @@
         Case {
             name: "rooms have shrunk",
             cause: |fleet| {
-                let room = Room {
+                let resources = Resources {
                     cpu_milli: 2_000,
-                    ..WORKER_ROOM
+                    ..WORKER_RESOURCES
                 };
                 for address in addresses(fleet) {
-                    fleet.resize(&address, room);
+                    fleet.resize(&address, resources);
                 }
                 fleet.run(2_000);
             },
@@ -162,7 +162,7 @@
             told: "open=0 room_for=0 Room=2",
             end: |fleet| {
                 for address in addresses(fleet) {
-                    fleet.resize(&address, WORKER_ROOM);
+                    fleet.resize(&address, WORKER_RESOURCES);
                 }
                 fleet.run(1_500);
             },
@@ -183,7 +183,7 @@
             name: "each worker has as many tasks of the step as it may",
             cause: |_| {},
             step: Step {
-                per_worker_most: 1,
+                max_per_worker: 1,
                 cpu_milli: 1_000,
                 estimated_ms: 5_000,
                 ..wide(3)
--- a/tests/fleet/callers.rs
+++ b/tests/fleet/callers.rs
@@ -23,7 +23,7 @@
                 accepted_wall_ms: WALL_MS + self.now_ms,
                 ..submission.clone()
             },
-            patience_ms: 3_000,
+            answer_timeout_ms: 3_000,
         };
         self.handle(number, event);
         request
@@ -35,7 +35,7 @@
         let event = Event::Cancel {
             request: self.requests,
             job: JobId(id),
-            patience_ms: 3_000,
+            answer_timeout_ms: 3_000,
         };
         self.handle(number, event);
         self.requests
--- a/tests/fleet/carrying.rs
+++ b/tests/fleet/carrying.rs
@@ -14,10 +14,10 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use goldcrestway_dispatch::Action;
-use goldcrestway_dispatch::AdviceEnd;
-use goldcrestway_dispatch::AppendEnd;
+use goldcrestway_dispatch::AppendOutcome;
 use goldcrestway_dispatch::Event;
-use goldcrestway_dispatch::OrderEnd;
+use goldcrestway_dispatch::OrderOutcome;
+use goldcrestway_dispatch::PermitOutcome;
 use goldcrestway_dispatch::Reply;
 use goldcrestway_dispatch::Stream;
 use goldcrestway_dispatch::WorkerCall;
@@ -43,8 +43,8 @@
                 timeout_ms,
             } => {
                 let bytes = append_bytes(&records);
-                let end = match is_cut {
-                    true => AppendEnd::Unknown,
+                let outcome = match is_cut {
+                    true => AppendOutcome::Unknown,
                     false => self.store.append(stream, fence, records),
                 };
                 let is_claim = fence.is_some_and(|fence| fence.sequence == 0);
@@ -53,12 +53,12 @@
                 let link_ms = self.hosts[number].sending_ms(self.now_ms, bytes);
                 let done_ms = self.store.done_ms(stream, self.now_ms) + answer_ms + link_ms;
                 let give_up_ms = self.now_ms + timeout_ms;
-                let is_lost = end == AppendEnd::Unknown || done_ms > give_up_ms;
-                let (at_ms, end) = match is_lost {
-                    true => (give_up_ms, AppendEnd::Unknown),
-                    false => (done_ms, end),
+                let is_lost = outcome == AppendOutcome::Unknown || done_ms > give_up_ms;
+                let (at_ms, outcome) = match is_lost {
+                    true => (give_up_ms, AppendOutcome::Unknown),
+                    false => (done_ms, outcome),
                 };
-                let event = Event::Appended { ticket, end };
+                let event = Event::Appended { ticket, outcome };
                 let delivery = Delivery::ToEntry(number, life, event);
                 self.deliveries.push((at_ms, delivery));
             }
@@ -67,7 +67,7 @@
                 stream,
                 from,
                 wait_ms,
-                patience,
+                timeouts,
             } => {
                 if wait_ms == 0 {
                     *self.short_reads.entry(stream).or_default() += 1;
@@ -80,7 +80,7 @@
                     from,
                     until_ms: self.now_ms + wait_ms,
                     sent_ms: self.now_ms,
-                    give_up_ms: self.now_ms + patience.first_byte_ms,
+                    give_up_ms: self.now_ms + timeouts.first_byte_ms,
                 };
                 self.deliveries
                     .push((self.now_ms + STEP_MS, Delivery::Read(reader)));
@@ -89,7 +89,7 @@
                 ticket,
                 stream,
                 after,
-                patience,
+                timeouts,
             } => {
                 *self.loads.entry(stream).or_default() += 1;
                 let loader = Loader {
@@ -99,7 +99,7 @@
                     stream,
                     after,
                     sent_ms: self.now_ms,
-                    give_up_ms: self.now_ms + patience.first_byte_ms,
+                    give_up_ms: self.now_ms + timeouts.first_byte_ms,
                 };
                 self.deliveries
                     .push((self.now_ms + STEP_MS, Delivery::Load(loader)));
@@ -121,7 +121,7 @@
                 };
                 self.send_order(number, life, order, timeout_ms);
             }
-            Action::Advise {
+            Action::RequestPermits {
                 ticket, workers, ..
             } => self.advise(number, ticket, workers),
             Action::Answer { request, reply } => {
@@ -136,7 +136,7 @@
             Action::SendFrame { link, bytes } => self.send_frame(number, link, bytes),
             Action::CloseLink { link } => self.close_link(number, link),
             Action::Note(note) => self.take_note(&note),
-            Action::Forget { .. } | Action::Configured => {}
+            Action::Disconnect { .. } | Action::Configured => {}
         }
     }
 
@@ -171,11 +171,11 @@
                 rows.push((worker, until_ms.to_string().into()));
             }
         }
-        let end = AdviceEnd::Permitted {
+        let outcome = PermitOutcome::Permitted {
             rows,
             validity_ms: PERMIT_MS,
         };
-        let event = Event::Advised { ticket, end };
+        let event = Event::PermitsAnswered { ticket, outcome };
         let delivery = Delivery::ToEntry(number, life, event);
         self.deliveries.push((self.now_ms + ADVICE_MS, delivery));
     }
@@ -184,7 +184,7 @@
         if let Some(late_ms) = self.late_ms {
             let event = Event::Ordered {
                 ticket: order.ticket,
-                end: OrderEnd::Unknown,
+                outcome: OrderOutcome::Unknown,
             };
             let unheard = Delivery::ToEntry(number, life, event);
             self.deliveries.push((self.now_ms + timeout_ms, unheard));
@@ -196,7 +196,7 @@
         if self.hosts[number].is_cut_from_workers {
             let event = Event::Ordered {
                 ticket: order.ticket,
-                end: OrderEnd::Unknown,
+                outcome: OrderOutcome::Unknown,
             };
             let unheard = Delivery::ToEntry(number, life, event);
             self.deliveries.push((self.now_ms + timeout_ms, unheard));
@@ -208,13 +208,13 @@
             // Whichever comes first counts.
             let event = Event::Ordered {
                 ticket: order.ticket,
-                end: OrderEnd::Unknown,
+                outcome: OrderOutcome::Unknown,
             };
             let given_up = Delivery::ToEntry(number, life, event);
             self.deliveries.push((self.now_ms + timeout_ms, given_up));
         }
         let delivery = match order.call {
-            WorkerCall::Look { wait_ms, .. } if wait_ms > 0 => {
+            WorkerCall::Poll { wait_ms, .. } if wait_ms > 0 => {
                 Delivery::Look(number, life, order, at_ms + wait_ms - CALL_MS, None)
             }
             _ => Delivery::Order(number, life, order),
--- a/tests/fleet/delivering.rs
+++ b/tests/fleet/delivering.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Order;
 use crate::fleet::link::answer_bytes;
 use goldcrestway_dispatch::Event;
-use goldcrestway_dispatch::OrderEnd;
+use goldcrestway_dispatch::OrderOutcome;
 use goldcrestway_dispatch::Refusal;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -46,11 +46,11 @@
             }
             Delivery::Order(number, life, order) => {
                 let starts = self.promises.starts.len();
-                let end = self.obey(&order);
+                let outcome = self.obey(&order);
                 if self.promises.starts.len() > starts {
                     self.judge_start(number, &order.address);
                 }
-                self.reply_order(number, life, order.ticket, end);
+                self.reply_order(number, life, order.ticket, outcome);
             }
             Delivery::Late(order, came_to) => {
                 let lives = self.incarnation_at(&order.address);
@@ -62,17 +62,17 @@
                 let lives = self.incarnation_at(&order.address);
                 // What a worker holds goes with it.
                 if held_by.is_some() && held_by != lives {
-                    return self.reply_order(number, life, order.ticket, OrderEnd::Unknown);
+                    return self.reply_order(number, life, order.ticket, OrderOutcome::Unknown);
                 }
-                let end = self.obey(&order);
-                let has_end = match &end {
-                    OrderEnd::Done { listed, .. } => listed
+                let outcome = self.obey(&order);
+                let has_end = match &outcome {
+                    OrderOutcome::Done { report, .. } => report
                         .as_ref()
-                        .is_some_and(|listed| !listed.ends.is_empty()),
+                        .is_some_and(|report| !report.exits.is_empty()),
                     _ => true,
                 };
                 if has_end || self.now_ms >= until_ms {
-                    self.reply_order(number, life, order.ticket, end);
+                    self.reply_order(number, life, order.ticket, outcome);
                 } else {
                     let again = Delivery::Look(number, life, order.held(), until_ms, lives);
                     self.deliveries.push((self.now_ms + 20, again));
@@ -89,24 +89,30 @@
         worker.map(|worker| worker.born_wall_ms)
     }
 
-    pub(super) fn obey(&mut self, order: &Order) -> OrderEnd {
+    pub(super) fn obey(&mut self, order: &Order) -> OrderOutcome {
         let is_cut = self.cut_workers.contains(&order.address);
         let Some(worker) = self.workers.get_mut(&order.address) else {
-            return OrderEnd::NotSent;
+            return OrderOutcome::NotSent;
         };
         if is_cut || !worker.is_alive {
-            return OrderEnd::Unknown;
+            return OrderOutcome::Unknown;
         }
         if worker.id != order.worker {
-            return OrderEnd::Refused(Refusal::Gone);
+            return OrderOutcome::Refused(Refusal::Gone);
         }
         worker.obey(self.now_ms, order.token, &order.call, &mut self.promises)
     }
 
-    pub(super) fn reply_order(&mut self, number: usize, life: u64, ticket: u64, end: OrderEnd) {
-        let bytes = answer_bytes(&end);
+    pub(super) fn reply_order(
+        &mut self,
+        number: usize,
+        life: u64,
+        ticket: u64,
+        outcome: OrderOutcome,
+    ) {
+        let bytes = answer_bytes(&outcome);
         let link_ms = self.hosts[number].receiving_ms(self.now_ms, bytes);
-        let delivery = Delivery::ToEntry(number, life, Event::Ordered { ticket, end });
+        let delivery = Delivery::ToEntry(number, life, Event::Ordered { ticket, outcome });
         let at_ms = self.now_ms + CALL_MS + link_ms + self.draw_lateness();
         self.deliveries.push((at_ms, delivery));
     }
--- a/tests/fleet/fixtures.rs
+++ b/tests/fleet/fixtures.rs
@@ -3,13 +3,13 @@
 use goldcrestway_dispatch::Config;
 use goldcrestway_dispatch::Decoded;
 use goldcrestway_dispatch::Queue;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
 use goldcrestway_dispatch::Step;
 use goldcrestway_dispatch::Submission;
 use goldcrestway_dispatch::WorkerEntry;
 
 /// What each worker has.
-pub(crate) const WORKER_ROOM: Room = Room {
+pub(crate) const WORKER_RESOURCES: Resources = Resources {
     cpu_milli: 8_000,
     memory_mb: 16_000,
     accelerators: 0,
@@ -39,7 +39,7 @@
         path_prefix: format!("/{name}/").into(),
         service: "service".into(),
         priority: 0,
-        attempts_most: 3,
+        max_attempts: 3,
         stretch_permille: 2_000,
         target_latency_ms: 500,
         permits: None,
@@ -72,10 +72,10 @@
     let mut words = text.split(' ');
     let address = words.next().ok_or("no address")?;
     let state = words.next().ok_or("no state")?;
-    let mut room = WORKER_ROOM;
+    let mut resources = WORKER_RESOURCES;
     if let (Some(cpu_milli), Some(memory_mb)) = (words.next(), words.next()) {
-        room.cpu_milli = cpu_milli.parse().map_err(|_| "no processors")?;
-        room.memory_mb = memory_mb.parse().map_err(|_| "no memory")?;
+        resources.cpu_milli = cpu_milli.parse().map_err(|_| "no processors")?;
+        resources.memory_mb = memory_mb.parse().map_err(|_| "no memory")?;
     }
     let born = words.next().map(str::parse).transpose();
     let started_wall_ms: Option<u64> = born.map_err(|_| "no start")?;
@@ -87,7 +87,7 @@
         failure_domain: hall_of(address),
         is_leaving: state == "leaving",
         cold_ms: 0,
-        room,
+        resources,
         rack: "rack".into(),
         labels: Box::default(),
     })
@@ -110,7 +110,7 @@
     Submission {
         queue: "batch".into(),
         service: "service".into(),
-        attempts_most: 3,
+        max_attempts: 3,
         specification: "text".into(),
         steps,
         stretch_permille: 2_000,
--- a/tests/fleet/link.rs
+++ b/tests/fleet/link.rs
@@ -1,6 +1,6 @@
 //! An emulated link of a host: so many bytes a second each way, first come, first served.
 
-use goldcrestway_dispatch::OrderEnd;
+use goldcrestway_dispatch::OrderOutcome;
 use goldcrestway_dispatch::StoredRecord;
 use goldcrestway_dispatch::WorkerCall;
 
@@ -27,12 +27,12 @@
 }
 
 /// Gives the bytes of the answer to an order.
-pub(super) fn answer_bytes(end: &OrderEnd) -> u64 {
-    let rows = match end {
-        OrderEnd::Done {
-            listed: Some(listed),
+pub(super) fn answer_bytes(outcome: &OrderOutcome) -> u64 {
+    let rows = match outcome {
+        OrderOutcome::Done {
+            report: Some(report),
             ..
-        } => listed.runs.len() + listed.ends.len(),
+        } => report.runs.len() + report.exits.len(),
         _ => 0,
     };
     ANSWER_HEAD_BYTES + ROW_BYTES * rows as u64
--- a/tests/fleet/mishaps.rs
+++ b/tests/fleet/mishaps.rs
@@ -1,7 +1,7 @@
 //! Mishaps of workers: tasks that take down whoever starts them, and rooms that shrink and grow.
 
 use crate::fleet::Fleet;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
 use goldcrestway_dispatch::Stream;
 use goldcrestway_dispatch::TaskId;
 use std::collections::BTreeMap;
@@ -110,11 +110,11 @@
     }
 
     /// Changes what a worker has. It enforces that at once and reports it with its next beat.
-    pub(crate) fn resize(&mut self, address: &str, room: Room) {
+    pub(crate) fn resize(&mut self, address: &str, resources: Resources) {
         let Some(worker) = self.workers.get_mut(address) else {
             return;
         };
-        worker.resize(room, self.now_ms);
+        worker.resize(resources, self.now_ms);
         self.mishaps
             .reports
             .push((self.now_ms + BEAT_MS, address.into()));
@@ -159,10 +159,10 @@
             }
             let id = format!("reborn-{}", self.mishaps.lives);
             let former = &self.workers[&address];
-            let (room, guards, stop_ms) = (former.room, former.guards, former.stop_ms);
+            let (resources, guards, stop_ms) = (former.resources, former.guards, former.stop_ms);
             self.add_worker(&address, &id);
             if let Some(worker) = self.workers.get_mut(&address) {
-                worker.resize(room, 0);
+                worker.resize(resources, 0);
                 worker.guards = guards;
                 worker.stop_ms = stop_ms;
             }
@@ -181,11 +181,11 @@
         let Some(worker) = self.workers.get(address).filter(|worker| worker.is_alive) else {
             return;
         };
-        let room = worker.room;
+        let resources = worker.resources;
         let born_wall_ms = worker.born_wall_ms;
         let text = format!(
             "{address} {state} {} {} {born_wall_ms}",
-            room.cpu_milli, room.memory_mb
+            resources.cpu_milli, resources.memory_mb
         );
         self.store.put(Stream::Workers, &worker.id, text.as_bytes());
     }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -17,7 +17,7 @@
 
 pub(crate) use crate::fleet::evacuations::EVACUATED_MS;
 use crate::fleet::evacuations::Evacuations;
-pub(crate) use crate::fleet::fixtures::WORKER_ROOM;
+pub(crate) use crate::fleet::fixtures::WORKER_RESOURCES;
 pub(crate) use crate::fleet::fixtures::decode_config;
 pub(crate) use crate::fleet::fixtures::decode_evacuation;
 pub(crate) use crate::fleet::fixtures::decode_worker;
@@ -41,11 +41,11 @@
 use goldcrestway_dispatch::Decoders;
 use goldcrestway_dispatch::Entry;
 use goldcrestway_dispatch::Event;
-use goldcrestway_dispatch::Figures;
+use goldcrestway_dispatch::ExitReason;
 use goldcrestway_dispatch::JobId;
 use goldcrestway_dispatch::JobState;
-use goldcrestway_dispatch::Manner;
 use goldcrestway_dispatch::Now;
+use goldcrestway_dispatch::OwnerStats;
 use goldcrestway_dispatch::Reply;
 use goldcrestway_dispatch::Stream;
 use goldcrestway_dispatch::TaskId;
@@ -89,8 +89,11 @@
 impl Order {
     /// Gives a look as its worker goes on to hold it: ends are forgotten as it comes in.
     fn held(mut self) -> Self {
-        if let WorkerCall::Look { seen, .. } = &mut self.call {
-            *seen = 0;
+        if let WorkerCall::Poll {
+            acknowledged_exit, ..
+        } = &mut self.call
+        {
+            *acknowledged_exit = 0;
         }
         self
     }
@@ -170,7 +173,7 @@
     pub(crate) loads: BTreeMap<Stream, usize>,
     mishaps: Mishaps,
     /// Runs that went with their worker.
-    lost: Vec<(TaskId, u32, Manner)>,
+    lost: Vec<(TaskId, u32, ExitReason)>,
     /// Connections between hosts, and what they have carried.
     peers: Peers,
     pub(crate) frame_bytes: u64,
@@ -260,7 +263,7 @@
 
     /// Has the store take records up to this size, and hosts that start from now on know it.
     pub(crate) fn limit_records(&mut self, most_bytes: usize) {
-        self.store.record_most_bytes = most_bytes;
+        self.store.max_record_bytes = most_bytes;
         for number in 0..self.hosts.len() {
             self.kill(number);
             self.start(number);
@@ -275,7 +278,7 @@
 
     /// Starts an incarnation of a worker at an address.
     pub(crate) fn add_worker(&mut self, address: &str, id: &str) {
-        let mut worker = Worker::new(id, WORKER_ROOM);
+        let mut worker = Worker::new(id, WORKER_RESOURCES);
         worker.born_wall_ms = self.wall_ms();
         let former = self.workers.insert(address.into(), worker);
         self.report(address);
@@ -314,7 +317,7 @@
                 cpu_permille: host.cpu_permille,
                 link_bytes_per_s: host.mbit_per_s * 125_000,
                 relay_address: relay_address(number),
-                record_most_bytes: self.store.record_most_bytes as u64,
+                max_record_bytes: self.store.max_record_bytes as u64,
                 ..Bounds::default()
             },
             decoders,
@@ -373,9 +376,9 @@
     }
 
     /// Gives the counts of a host.
-    pub(crate) fn figures(&self, number: usize) -> Figures {
+    pub(crate) fn stats(&self, number: usize) -> OwnerStats {
         let entry = self.hosts[number].entry.as_ref();
-        entry.map_or(Figures::default(), Entry::figures)
+        entry.map_or(OwnerStats::default(), Entry::stats)
     }
 
     pub(crate) fn is_ready(&self, number: usize) -> bool {
@@ -437,17 +440,17 @@
             ends.extend(worker.take_ends());
         }
         ends.append(&mut self.lost);
-        for (task, run, manner) in ends {
+        for (task, run, exit_reason) in ends {
             let job = self.promises.submitted.get(&task.job);
             let is_gang = job.is_some_and(|job| job.steps[usize::from(task.step)].is_gang);
             if !is_gang {
                 continue;
             }
-            if manner == Manner::Done {
+            if exit_reason == ExitReason::Done {
                 self.promises.note_gang_done(task);
             }
             for worker in self.workers.values_mut() {
-                worker.follow(task, run, manner);
+                worker.follow(task, run, exit_reason);
             }
         }
     }
--- a/tests/fleet/promises.rs
+++ b/tests/fleet/promises.rs
@@ -1,9 +1,9 @@
 //! What must always hold, checked as workers and callers see it.
 
+use goldcrestway_dispatch::ExitReason;
 use goldcrestway_dispatch::JobId;
-use goldcrestway_dispatch::ListedEnd;
-use goldcrestway_dispatch::Manner;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
+use goldcrestway_dispatch::RunExit;
 use goldcrestway_dispatch::Submission;
 use goldcrestway_dispatch::TaskId;
 use std::collections::BTreeMap;
@@ -11,9 +11,9 @@
 
 /// What a worker must know of a task that it starts.
 pub(crate) struct Plan {
-    pub(crate) room: Room,
+    pub(crate) resources: Resources,
     pub(crate) work_ms: u64,
-    pub(crate) is_lasting: bool,
+    pub(crate) is_long_running: bool,
 }
 
 /// Time after which an end that was listed in an answer counts as noted, where nothing but the
@@ -93,21 +93,21 @@
         let Some(job) = self.submitted.get(&task.job) else {
             self.broken.push(format!("{task} was never submitted"));
             return Plan {
-                room: Room::default(),
+                resources: Resources::default(),
                 work_ms: 1,
-                is_lasting: false,
+                is_long_running: false,
             };
         };
         if self
             .failures
             .get(&task)
-            .is_some_and(|count| *count >= job.attempts_most)
+            .is_some_and(|count| *count >= job.max_attempts)
         {
             self.broken
                 .push(format!("{task} starts after too many failures"));
         }
         let step = &job.steps[usize::from(task.step)];
-        let is_single = !step.is_lasting && !step.is_speculative && !step.is_gang;
+        let is_single = !step.is_long_running && !step.is_speculative && !step.is_gang;
         if is_single && self.ended.contains(&task) {
             self.restarted.entry(task).or_insert(run);
         }
@@ -125,13 +125,13 @@
             }
         }
         Plan {
-            room: step.room(),
+            resources: step.resources(),
             work_ms: self
                 .lengths
                 .get(&task)
                 .copied()
                 .unwrap_or(step.estimated_ms),
-            is_lasting: step.is_lasting,
+            is_long_running: step.is_long_running,
         }
     }
 
@@ -168,10 +168,10 @@
     /// too, that nothing tells them apart within the starts that a poisoned task may have.
     pub(crate) fn may_fail(&self, id: JobId) -> bool {
         let is_of = |task: &TaskId| task.job == id;
-        let attempts_most = self.submitted[&id].attempts_most;
+        let max_attempts = self.submitted[&id].max_attempts;
         let mut failures = self.failures.iter().filter(|(task, _)| is_of(task));
         let mut crashes = self.crashes.iter().filter(|(task, _)| is_of(task));
-        failures.any(|(_, count)| *count >= attempts_most)
+        failures.any(|(_, count)| *count >= max_attempts)
             || crashes.any(|(task, count)| {
                 let is_doubtful = self.poisoned.contains(task) || self.luckless.contains(task);
                 *count >= 2 && is_doubtful || *count > CRASHES_MOST
@@ -211,26 +211,26 @@
     }
 
     /// Notes that a worker lists an end, and that its lease has not run out since.
-    pub(crate) fn note_listed(&mut self, end: &ListedEnd) {
-        if end.manner == Manner::Done {
+    pub(crate) fn note_listed(&mut self, end: &RunExit) {
+        if end.exit_reason == ExitReason::Done {
             self.listed_ms.entry(end.task).or_insert(self.now_ms);
         }
     }
 
     /// Notes that a worker is told to forget an end, and whether its lease ran out since: then
     /// its tasks may have been given up.
-    pub(crate) fn note_end(&mut self, end: &ListedEnd, has_lapsed: bool) {
+    pub(crate) fn note_end(&mut self, end: &RunExit, has_lapsed: bool) {
         let again = self.restarted.get(&end.task).copied();
         let is_older = again.is_some_and(|run| end.run < run);
-        if end.manner == Manner::Done && !has_lapsed && is_older {
+        if end.exit_reason == ExitReason::Done && !has_lapsed && is_older {
             let task = end.task;
             self.broken.push(format!(
                 "{task} started again after an end that is noted now"
             ));
         }
-        match end.manner {
-            Manner::Done => drop(self.done.insert(end.task)),
-            Manner::Failed => *self.failures.entry(end.task).or_default() += 1,
+        match end.exit_reason {
+            ExitReason::Done => drop(self.done.insert(end.task)),
+            ExitReason::Failed => *self.failures.entry(end.task).or_default() += 1,
             _ => {}
         }
     }
--- a/tests/fleet/reading.rs
+++ b/tests/fleet/reading.rs
@@ -8,8 +8,8 @@
 use crate::fleet::store::StoreRead;
 use goldcrestway_dispatch::Event;
 use goldcrestway_dispatch::Page;
-use goldcrestway_dispatch::ReadEnd;
 use goldcrestway_dispatch::ReadFault;
+use goldcrestway_dispatch::ReadOutcome;
 use goldcrestway_dispatch::Stream;
 
 /// A read that waits for a record.
@@ -41,38 +41,38 @@
         let is_lost = self.is_lost(reader.number, reader.sent_ms);
         let is_new = self.now_ms <= reader.sent_ms + STEP_MS;
         let is_refused = is_new && !self.store.admits_read(self.now_ms);
-        let end = match self.store.read(reader.stream, reader.from) {
+        let outcome = match self.store.read(reader.stream, reader.from) {
             _ if is_lost => None,
-            _ if is_refused => Some(ReadEnd::Failed(ReadFault::Refused)),
-            StoreRead::Answered(end) => Some(end),
+            _ if is_refused => Some(ReadOutcome::Failed(ReadFault::Refused)),
+            StoreRead::Answered(outcome) => Some(outcome),
             StoreRead::Dropped => None,
             StoreRead::Waits if self.now_ms < reader.until_ms => {
                 self.deliveries
                     .push((self.now_ms + STEP_MS, Delivery::Read(reader)));
                 return;
             }
-            StoreRead::Waits => Some(ReadEnd::Records {
+            StoreRead::Waits => Some(ReadOutcome::Records {
                 records: Vec::new(),
                 end: self.store.end(reader.stream),
             }),
         };
-        let (at_ms, end) = match end {
-            Some(end) => {
-                let bytes = match &end {
-                    ReadEnd::Records { records, .. } => read_bytes(records),
+        let (at_ms, outcome) = match outcome {
+            Some(outcome) => {
+                let bytes = match &outcome {
+                    ReadOutcome::Records { records, .. } => read_bytes(records),
                     _ => 0,
                 };
                 let queue_ms = self.store.give_ms(bytes, self.now_ms);
                 let link_ms = self.hosts[reader.number].receiving_ms(self.now_ms, bytes);
                 match self.now_ms + queue_ms > reader.give_up_ms {
-                    true => (reader.give_up_ms, ReadEnd::Failed(ReadFault::NoAnswer)),
-                    false => (self.answered_ms() + queue_ms + link_ms, end),
+                    true => (reader.give_up_ms, ReadOutcome::Failed(ReadFault::NoAnswer)),
+                    false => (self.answered_ms() + queue_ms + link_ms, outcome),
                 }
             }
-            None => (reader.give_up_ms, ReadEnd::Failed(ReadFault::NoAnswer)),
+            None => (reader.give_up_ms, ReadOutcome::Failed(ReadFault::NoAnswer)),
         };
         let ticket = reader.ticket;
-        let event = Event::Read { ticket, end };
+        let event = Event::Read { ticket, outcome };
         let delivery = Delivery::ToEntry(reader.number, reader.life, event);
         self.deliveries.push((at_ms, delivery));
     }
@@ -102,7 +102,10 @@
             Err(_) => self.answered_ms(),
         };
         let ticket = loader.ticket;
-        let event = Event::Loaded { ticket, end: page };
+        let event = Event::Loaded {
+            ticket,
+            outcome: page,
+        };
         let delivery = Delivery::ToEntry(loader.number, loader.life, event);
         self.deliveries.push((at_ms, delivery));
     }
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -45,7 +45,7 @@
     /// Answers of hosts in touch: those that tell whether the queue is there, and those that
     /// only say when to come again.
     pub(crate) told: u32,
-    pub(crate) put_off: u32,
+    pub(crate) deferred: u32,
 }
 
 impl RulesWatch {
@@ -66,7 +66,7 @@
             disturbed_ms: vec![0; fleet.hosts.len()],
             broken: Vec::new(),
             told: 0,
-            put_off: 0,
+            deferred: 0,
         }
     }
 
@@ -150,7 +150,7 @@
             Reply::Waiting(_) => true,
             Reply::NoSuchQueue => false,
             _ => {
-                self.put_off += u32::from(was_in_touch);
+                self.deferred += u32::from(was_in_touch);
                 return;
             }
         };
--- a/tests/fleet/store.rs
+++ b/tests/fleet/store.rs
@@ -1,11 +1,11 @@
 //! A stand-in of the platform's store: keyed streams, epochs, retention, outages.
 
-use goldcrestway_dispatch::AppendEnd;
+use goldcrestway_dispatch::AppendOutcome;
 use goldcrestway_dispatch::Fence;
+use goldcrestway_dispatch::LoadOutcome;
 use goldcrestway_dispatch::Page;
-use goldcrestway_dispatch::PageEnd;
-use goldcrestway_dispatch::ReadEnd;
 use goldcrestway_dispatch::ReadFault;
+use goldcrestway_dispatch::ReadOutcome;
 use goldcrestway_dispatch::StoredRecord;
 use goldcrestway_dispatch::Stream;
 use std::collections::BTreeMap;
@@ -82,7 +82,7 @@
 /// What comes of a read.
 pub(crate) enum StoreRead {
     /// It is answered at once.
-    Answered(ReadEnd),
+    Answered(ReadOutcome),
     /// Nothing is there yet, so it waits.
     Waits,
     /// It is dropped; whoever sent it finds out by waiting in vain.
@@ -99,7 +99,7 @@
     /// Time that each answer takes on top.
     pub(crate) answer_ms: u64,
     /// Largest record that it takes.
-    pub(crate) record_most_bytes: usize,
+    pub(crate) max_record_bytes: usize,
     /// Streams that are away while the others are there.
     pub(crate) away: Vec<Stream>,
     pub(crate) limits: Limits,
@@ -113,7 +113,7 @@
             mode: Mode::Up,
             append_ms: 0,
             answer_ms: 0,
-            record_most_bytes: 262_144,
+            max_record_bytes: 262_144,
             away: Vec::new(),
             limits: Limits::default(),
             given: Given::default(),
@@ -184,20 +184,20 @@
         stream: Stream,
         fence: Option<Fence>,
         records: Vec<(Box<str>, Box<[u8]>)>,
-    ) -> AppendEnd {
+    ) -> AppendOutcome {
         let is_too_large = |(key, value): &(Box<str>, Box<[u8]>)| {
-            key.len() + value.len() + 1 > self.record_most_bytes
+            key.len() + value.len() + 1 > self.max_record_bytes
         };
         match self.mode {
-            _ if self.away.contains(&stream) => return AppendEnd::Refused,
-            _ if records.iter().any(is_too_large) => return AppendEnd::Refused,
-            Mode::Refuses => return AppendEnd::Refused,
-            Mode::Silent => return AppendEnd::Unknown,
+            _ if self.away.contains(&stream) => return AppendOutcome::Refused,
+            _ if records.iter().any(is_too_large) => return AppendOutcome::Refused,
+            Mode::Refuses => return AppendOutcome::Refused,
+            Mode::Silent => return AppendOutcome::Unknown,
             _ => {}
         }
         let end = self.fenced_append(stream, fence, records);
         match self.mode {
-            Mode::LosesAnswers => AppendEnd::Unknown,
+            Mode::LosesAnswers => AppendOutcome::Unknown,
             _ => end,
         }
     }
@@ -207,24 +207,24 @@
         stream: Stream,
         fence: Option<Fence>,
         records: Vec<(Box<str>, Box<[u8]>)>,
-    ) -> AppendEnd {
+    ) -> AppendOutcome {
         if let Some(Fence { epoch, sequence }) = fence {
             let topic = self.topics.entry(stream).or_default();
             if epoch < topic.epoch {
-                return AppendEnd::Fenced;
+                return AppendOutcome::Fenced;
             }
             if epoch > topic.epoch {
                 topic.epoch = epoch;
                 topic.replies.clear();
             }
             if let Some(offset) = topic.replies.get(&sequence) {
-                return AppendEnd::Stored { offset: *offset };
+                return AppendOutcome::Stored { offset: *offset };
             }
             let offset = topic.end();
             topic.replies.insert(sequence, offset);
         }
         let offset = self.store(stream, records);
-        AppendEnd::Stored { offset }
+        AppendOutcome::Stored { offset }
     }
 
     /// Tells what becomes of reads of a stream, if they bring nothing.
@@ -241,18 +241,18 @@
     pub(crate) fn read(&mut self, stream: Stream, from: u64) -> StoreRead {
         match self.read_fault(stream) {
             Some(ReadFault::NoAnswer) => return StoreRead::Dropped,
-            Some(fault) => return StoreRead::Answered(ReadEnd::Failed(fault)),
+            Some(fault) => return StoreRead::Answered(ReadOutcome::Failed(fault)),
             None => {}
         }
         let topic = self.topics.entry(stream).or_default();
         if from < topic.oldest {
-            return StoreRead::Answered(ReadEnd::Trimmed);
+            return StoreRead::Answered(ReadOutcome::Trimmed);
         }
         let records = topic.records[(from as usize).min(topic.records.len())..].to_vec();
         if records.is_empty() {
             return StoreRead::Waits;
         }
-        StoreRead::Answered(ReadEnd::Records {
+        StoreRead::Answered(ReadOutcome::Records {
             records,
             end: topic.end(),
         })
@@ -264,7 +264,7 @@
     }
 
     /// Gives a page of the newest records.
-    pub(crate) fn newest(&mut self, stream: Stream, after: &str) -> PageEnd {
+    pub(crate) fn newest(&mut self, stream: Stream, after: &str) -> LoadOutcome {
         if let Some(fault) = self.read_fault(stream) {
             return Err(fault);
         }
--- a/tests/fleet/worker.rs
+++ b/tests/fleet/worker.rs
@@ -1,16 +1,16 @@
 //! A stand-in of a worker: tokens, leases, runs, ends, orders that come late.
 
 use crate::fleet::promises::Promises;
+use goldcrestway_dispatch::ExitReason;
 use goldcrestway_dispatch::Incarnation;
-use goldcrestway_dispatch::Listed;
-use goldcrestway_dispatch::ListedEnd;
-use goldcrestway_dispatch::ListedRun;
-use goldcrestway_dispatch::Manner;
-use goldcrestway_dispatch::OrderEnd;
+use goldcrestway_dispatch::OrderOutcome;
 use goldcrestway_dispatch::Refusal;
-use goldcrestway_dispatch::Room;
+use goldcrestway_dispatch::Resources;
+use goldcrestway_dispatch::RunExit;
+use goldcrestway_dispatch::RunReport;
 use goldcrestway_dispatch::TaskId;
 use goldcrestway_dispatch::WorkerCall;
+use goldcrestway_dispatch::WorkerReport;
 use std::collections::BTreeMap;
 
 /// How a worker behaves.
@@ -31,10 +31,10 @@
 struct Running {
     run: u32,
     begun_ms: u64,
-    room: Room,
+    resources: Resources,
     left_ms: u64,
     work_ms: u64,
-    is_lasting: bool,
+    is_long_running: bool,
     share_percent: u32,
     /// When it is gone, once it was told to stop.
     stopped_ms: Option<u64>,
@@ -46,7 +46,7 @@
     pub(crate) id: Box<str>,
     pub(crate) is_alive: bool,
     pub(crate) manners: Manners,
-    pub(crate) room: Room,
+    pub(crate) resources: Resources,
     /// When its room last changed.
     resized_ms: u64,
     /// When it started, which is when its clock began to count.
@@ -59,12 +59,12 @@
     lease_until_ms: u64,
     running: BTreeMap<TaskId, Running>,
     barred: BTreeMap<TaskId, u32>,
-    ends: Vec<ListedEnd>,
-    next_end: u64,
+    exits: Vec<RunExit>,
+    next_exit: u64,
     /// The first end since the lease ran out; none while it is over.
     unlapsed_from: Option<u64>,
     /// Ends that other members of a gang may have to follow.
-    broken_off: Vec<(TaskId, u32, Manner)>,
+    broken_off: Vec<(TaskId, u32, ExitReason)>,
     /// Tail of serving tasks without fillers, and with each filler's share on top.
     pub(crate) tail_ms: u64,
     pub(crate) press_ms: u64,
@@ -81,12 +81,12 @@
 const LEASE_MOST_MS: u64 = 6_000;
 
 impl Worker {
-    pub(crate) fn new(id: &str, room: Room) -> Self {
+    pub(crate) fn new(id: &str, resources: Resources) -> Self {
         Self {
             id: id.into(),
             is_alive: true,
             manners: Manners::Sound,
-            room,
+            resources,
             resized_ms: 0,
             started_ms: 0,
             born_wall_ms: 0,
@@ -95,8 +95,8 @@
             lease_until_ms: 0,
             running: BTreeMap::new(),
             barred: BTreeMap::new(),
-            ends: Vec::new(),
-            next_end: 1,
+            exits: Vec::new(),
+            next_exit: 1,
             unlapsed_from: None,
             broken_off: Vec::new(),
             tail_ms: 5,
@@ -114,7 +114,7 @@
             resized_ms: 0,
             guards: self.guards,
             stop_ms: self.stop_ms,
-            ..Self::new(&self.id, self.room)
+            ..Self::new(&self.id, self.resources)
         };
     }
 
@@ -135,63 +135,63 @@
         let mut ended = Vec::new();
         for (task, running) in &mut self.running {
             if now_ms > self.lease_until_ms {
-                ended.push((*task, Manner::Lapsed));
+                ended.push((*task, ExitReason::Lapsed));
                 continue;
             }
             if let Some(stopped_ms) = running.stopped_ms {
                 if now_ms >= stopped_ms {
-                    ended.push((*task, Manner::Stopped));
+                    ended.push((*task, ExitReason::Stopped));
                 }
                 continue;
             }
             match self.manners {
                 Manners::Hangs => continue,
-                Manners::Fails => ended.push((*task, Manner::Failed)),
+                Manners::Fails => ended.push((*task, ExitReason::Failed)),
                 Manners::Sound if promises.failing.contains(&task.job) => {
-                    ended.push((*task, Manner::Failed));
+                    ended.push((*task, ExitReason::Failed));
                 }
-                Manners::Sound | Manners::Slow if running.is_lasting => {}
+                Manners::Sound | Manners::Slow if running.is_long_running => {}
                 Manners::Slow if !(now_ms / step_ms).is_multiple_of(SLOW_FACTOR) => {}
                 Manners::Sound | Manners::Slow => {
                     running.left_ms = running.left_ms.saturating_sub(step_ms);
                     if running.left_ms == 0 {
-                        ended.push((*task, Manner::Done));
+                        ended.push((*task, ExitReason::Done));
                     }
                 }
             }
         }
-        for (task, manner) in ended {
-            if manner == Manner::Done {
+        for (task, exit_reason) in ended {
+            if exit_reason == ExitReason::Done {
                 promises.note_well_ended(task);
             }
-            self.end(task, manner);
+            self.end(task, exit_reason);
         }
     }
 
-    fn end(&mut self, task: TaskId, manner: Manner) {
+    fn end(&mut self, task: TaskId, exit_reason: ExitReason) {
         let Some(running) = self.running.remove(&task) else {
             return;
         };
         let barred = self.barred.entry(task).or_default();
         *barred = (*barred).max(running.run);
-        self.broken_off.push((task, running.run, manner));
-        self.ends.push(ListedEnd {
-            number: self.next_end,
+        self.broken_off.push((task, running.run, exit_reason));
+        self.exits.push(RunExit {
+            number: self.next_exit,
             task,
             run: running.run,
-            manner,
+            exit_reason,
             checkpoint: "".into(),
         });
-        self.next_end += 1;
+        self.next_exit += 1;
     }
 
     /// Takes the ends since the last time.
-    pub(crate) fn take_ends(&mut self) -> Vec<(TaskId, u32, Manner)> {
+    pub(crate) fn take_ends(&mut self) -> Vec<(TaskId, u32, ExitReason)> {
         std::mem::take(&mut self.broken_off)
     }
 
     /// Ends the members of a gang that run there, as another one has ended.
-    pub(crate) fn follow(&mut self, other: TaskId, run: u32, manner: Manner) {
+    pub(crate) fn follow(&mut self, other: TaskId, run: u32, exit_reason: ExitReason) {
         let is_mate = |(task, running): &(&TaskId, &Running)| {
             task.job == other.job && task.step == other.step && running.run == run
         };
@@ -202,26 +202,27 @@
             .map(|mate| *mate.0)
             .collect();
         for task in mates {
-            let manner = match manner {
-                Manner::Done => Manner::Done,
-                _ => Manner::Broken,
+            let exit_reason = match exit_reason {
+                ExitReason::Done => ExitReason::Done,
+                _ => ExitReason::Broken,
             };
-            self.end(task, manner);
+            self.end(task, exit_reason);
         }
     }
 
     /// Dies: all that runs there ends unheard.
     pub(crate) fn die(&mut self) {
         for (task, running) in &self.running {
-            self.broken_off.push((*task, running.run, Manner::Broken));
+            self.broken_off
+                .push((*task, running.run, ExitReason::Broken));
         }
         self.is_alive = false;
         self.running.clear();
     }
 
     /// Changes its room.
-    pub(crate) fn resize(&mut self, room: Room, now_ms: u64) {
-        self.room = room;
+    pub(crate) fn resize(&mut self, resources: Resources, now_ms: u64) {
+        self.resources = resources;
         self.resized_ms = now_ms;
     }
 
@@ -246,7 +247,7 @@
     pub(crate) fn shares(&self) -> Vec<u32> {
         let fillers = self.running.values();
         fillers
-            .filter(|running| !running.is_lasting)
+            .filter(|running| !running.is_long_running)
             .map(|running| running.share_percent)
             .collect()
     }
@@ -258,12 +259,12 @@
         token: u64,
         call: &WorkerCall,
         promises: &mut Promises,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         if token < self.token {
-            return OrderEnd::Refused(Refusal::Fence);
+            return OrderOutcome::Refused(Refusal::Fence);
         }
         self.token = token;
-        let mut listed = None;
+        let mut report = None;
         match call {
             WorkerCall::Start {
                 task,
@@ -275,14 +276,14 @@
                 let is_permitted = permit.parse().is_ok_and(|until_ms| now_ms <= until_ms);
                 if promises.needs_permit(*task) && !is_permitted {
                     promises.refused_permits += 1;
-                    return OrderEnd::Refused(Refusal::Permit);
+                    return OrderOutcome::Refused(Refusal::Permit);
                 }
                 self.extend(*lease_until_ms, self.clock_ms(now_ms));
                 if promises.faulty.contains(&task.job) {
-                    return OrderEnd::Refused(Refusal::Faulty);
+                    return OrderOutcome::Refused(Refusal::Faulty);
                 }
                 if let Some(refusal) = self.start(now_ms, *task, *run, *lease_until_ms, promises) {
-                    return OrderEnd::Refused(refusal);
+                    return OrderOutcome::Refused(refusal);
                 }
             }
             WorkerCall::Stop { task, run } => {
@@ -294,39 +295,43 @@
                     let gone_ms = now_ms - self.started_ms + self.stop_ms;
                     running.stopped_ms.get_or_insert(gone_ms);
                     if self.stop_ms == 0 {
-                        self.end(*task, Manner::Stopped);
+                        self.end(*task, ExitReason::Stopped);
                     }
                 }
             }
-            WorkerCall::Pace { task, percent, .. } => {
+            WorkerCall::SetShare { task, percent, .. } => {
                 if let Some(running) = self.running.get_mut(task) {
                     running.share_percent = *percent;
                 }
             }
-            WorkerCall::Look {
-                seen,
+            WorkerCall::Poll {
+                acknowledged_exit,
                 lease_until_ms,
                 ..
             } => {
                 if let Some(until_ms) = lease_until_ms {
                     self.extend(*until_ms, self.clock_ms(now_ms));
                 }
-                for end in self.ends.iter().filter(|end| end.number <= *seen) {
+                for end in self
+                    .exits
+                    .iter()
+                    .filter(|end| end.number <= *acknowledged_exit)
+                {
                     let has_lapsed = self.unlapsed_from.is_none_or(|from| end.number < from);
                     promises.note_end(end, has_lapsed);
                 }
-                self.ends.retain(|end| end.number > *seen);
-                for end in &self.ends {
+                self.exits.retain(|end| end.number > *acknowledged_exit);
+                for end in &self.exits {
                     if self.unlapsed_from.is_some_and(|from| end.number >= from) {
                         promises.note_listed(end);
                     }
                 }
-                listed = Some(self.list());
+                report = Some(self.list());
             }
         }
-        OrderEnd::Done {
+        OrderOutcome::Done {
             clock_ms: self.clock_ms(now_ms),
-            listed,
+            report,
         }
     }
 
@@ -334,7 +339,7 @@
         self.lease_until_ms = self
             .lease_until_ms
             .max(until_ms.min(now_ms + LEASE_MOST_MS));
-        self.unlapsed_from.get_or_insert(self.next_end);
+        self.unlapsed_from.get_or_insert(self.next_exit);
     }
 
     fn start(
@@ -359,11 +364,11 @@
             return Some(Refusal::Late);
         }
         let plan = promises.note_start(&self.id, task, run);
-        let mut used = plan.room;
+        let mut used = plan.resources;
         for running in self.running.values() {
-            used = used.plus(running.room);
+            used = used.plus(running.resources);
         }
-        if !self.room.holds(used) {
+        if !self.resources.can_fit(used) {
             // Until then its owner can't know that the room has shrunk.
             let since_ms = self.resized_ms.max(promises.disturbed_ms);
             let is_told = since_ms == 0 || now_ms >= since_ms + ROOM_TOLD_MS;
@@ -376,10 +381,10 @@
         let running = Running {
             run,
             begun_ms: now_ms,
-            room: plan.room,
+            resources: plan.resources,
             left_ms: plan.work_ms,
             work_ms: plan.work_ms.max(1),
-            is_lasting: plan.is_lasting,
+            is_long_running: plan.is_long_running,
             share_percent: 100,
             stopped_ms: None,
         };
@@ -387,14 +392,18 @@
         None
     }
 
-    fn list(&self) -> Listed {
+    fn list(&self) -> WorkerReport {
         let mut pressure_ms = 0;
-        for running in self.running.values().filter(|running| !running.is_lasting) {
+        for running in self
+            .running
+            .values()
+            .filter(|running| !running.is_long_running)
+        {
             pressure_ms += self.press_ms * u64::from(running.share_percent) / 100;
         }
         let mut runs = Vec::new();
         for (task, running) in &self.running {
-            let (percent, gauge) = match running.is_lasting {
+            let (percent, gauge) = match running.is_long_running {
                 true => (100, self.tail_ms + pressure_ms),
                 false => {
                     let done_ms = running.work_ms - running.left_ms.min(running.work_ms);
@@ -402,7 +411,7 @@
                     ((done_ms * 100 / running.work_ms) as u32, use_milli)
                 }
             };
-            runs.push(ListedRun {
+            runs.push(RunReport {
                 task: *task,
                 run: running.run,
                 checkpoint: "".into(),
@@ -410,10 +419,10 @@
                 gauge,
             });
         }
-        Listed {
+        WorkerReport {
             incarnation: Incarnation::new(self.born_wall_ms),
             runs,
-            ends: self.ends.clone(),
+            exits: self.exits.clone(),
         }
     }
 }
--- a/tests/policy_interference.rs
+++ b/tests/policy_interference.rs
@@ -3,10 +3,10 @@
 
 use goldcrestway_dispatch::policy::images::ImageKey;
 use goldcrestway_dispatch::policy::interference::Baseline;
-use goldcrestway_dispatch::policy::interference::Interference;
-use goldcrestway_dispatch::policy::interference::Use;
-use goldcrestway_dispatch::policy::interference::Window;
-use goldcrestway_dispatch::policy::interference::ease;
+use goldcrestway_dispatch::policy::interference::ImageUsage;
+use goldcrestway_dispatch::policy::interference::InterferenceModel;
+use goldcrestway_dispatch::policy::interference::UsageWindow;
+use goldcrestway_dispatch::policy::interference::headroom;
 use googletest::prelude::*;
 use std::f64::consts::TAU;
 
@@ -90,7 +90,7 @@
 #[gtest]
 fn a_service_s_own_load_is_not_taken_for_interference() {
     for case in CASES {
-        let mut interference = Interference::default();
+        let mut interference = InterferenceModel::default();
         let mut service = Service {
             phase: case.first_phase,
             baseline: Baseline::default(),
@@ -101,13 +101,13 @@
         };
         for now_ms in (0..BEGUN_MS + RUN_MS).step_by(LOOK_MS as usize) {
             let used = cores(now_ms);
-            let uses: &[Use] = &[(FILLER, used)];
+            let uses: &[ImageUsage] = &[(FILLER, used)];
             let tail_ms = service.tail_ms(now_ms, case.taken_a_core * used);
             let is_beside = if used > 0.0 { uses } else { &[] };
             interference.learn(
                 SERVICE,
                 &mut service.baseline,
-                ease(TARGET_MS, tail_ms),
+                headroom(TARGET_MS, tail_ms),
                 is_beside,
             );
             let tail_ms = bystander.tail_ms(now_ms, 0.0);
@@ -115,11 +115,11 @@
             interference.learn(
                 SERVICE,
                 &mut bystander.baseline,
-                ease(TARGET_MS, tail_ms),
+                headroom(TARGET_MS, tail_ms),
                 &other,
             );
         }
-        let told = interference.press(SERVICE, FILLER);
+        let told = interference.coefficient(SERVICE, FILLER);
         expect_that!(told, ge(case.told[0]), "{}", case.name);
         expect_that!(told, le(case.told[1]), "{}", case.name);
     }
@@ -141,24 +141,24 @@
 /// were learned at half of what they are.
 #[gtest]
 fn tasks_that_ended_within_a_window_count() {
-    let mut interference = Interference::default();
+    let mut interference = InterferenceModel::default();
     let mut baseline = Baseline::default();
-    let mut window = Window::default();
+    let mut window = UsageWindow::default();
     for round in 0..120 {
         // Windows without a task, with a whole one, and with one that ends half way.
         let (listed, ended) = [(0.0, 0.0), (CORES, 0.0), (0.0, CORES)][round % 3];
-        let mut uses: Vec<Use> = Vec::new();
+        let mut uses: Vec<ImageUsage> = Vec::new();
         if listed > 0.0 {
             uses.push((FILLER, listed));
         }
         if ended > 0.0 {
-            window.note_end(FILLER, ended);
+            window.record_end(FILLER, ended);
         }
         window.close(&mut uses);
         let tail_ms = tail_beside(listed + ended / 2.0);
-        interference.learn(SERVICE, &mut baseline, ease(TARGET_MS, tail_ms), &uses);
+        interference.learn(SERVICE, &mut baseline, headroom(TARGET_MS, tail_ms), &uses);
     }
-    let told = interference.press(SERVICE, FILLER);
+    let told = interference.coefficient(SERVICE, FILLER);
     expect_that!(told, ge(TRUE_PRESS * 0.85));
     expect_that!(told, le(TRUE_PRESS * 1.15));
 }
--- a/tests/policy_link.rs
+++ b/tests/policy_link.rs
@@ -1,7 +1,7 @@
 //! What goes out over a link that is nearly full, and what waits.
 
+use goldcrestway_dispatch::policy::link::CallPriority;
 use goldcrestway_dispatch::policy::link::LinkBudget;
-use goldcrestway_dispatch::policy::link::Rank;
 use goldcrestway_dispatch::policy::link::list_pause_ms;
 use googletest::prelude::*;
 
@@ -13,7 +13,7 @@
     name: &'static str,
     out_bytes: u64,
     in_bytes: u64,
-    admitted: &'static [Rank],
+    admitted: &'static [CallPriority],
 }
 
 const CASES: &[Case] = &[
@@ -21,25 +21,29 @@
         name: "nothing is under way",
         out_bytes: 0,
         in_bytes: 0,
-        admitted: &Rank::ALL,
+        admitted: &CallPriority::ALL,
     },
     Case {
         name: "a burst of orders to start is under way",
         out_bytes: 12_000,
         in_bytes: 0,
-        admitted: &[Rank::Lease, Rank::Control, Rank::Look],
+        admitted: &[
+            CallPriority::Lease,
+            CallPriority::Control,
+            CallPriority::Poll,
+        ],
     },
     Case {
         name: "long lists are about to come in",
         out_bytes: 0,
         in_bytes: 17_000,
-        admitted: &[Rank::Lease, Rank::Control],
+        admitted: &[CallPriority::Lease, CallPriority::Control],
     },
     Case {
         name: "all that the link carries in 80 ms is under way",
         out_bytes: 20_000,
         in_bytes: 0,
-        admitted: &[Rank::Lease],
+        admitted: &[CallPriority::Lease],
     },
 ];
 
@@ -51,9 +55,14 @@
     for case in CASES {
         let mut link = LinkBudget::new(THIN_BYTES_PER_S);
         link.charge(case.out_bytes, case.in_bytes);
-        for rank in Rank::ALL {
-            let is_admitted = case.admitted.contains(&rank);
-            expect_that!(link.admits(rank), eq(is_admitted), "{} {rank:?}", case.name);
+        for priority in CallPriority::ALL {
+            let is_admitted = case.admitted.contains(&priority);
+            expect_that!(
+                link.admits(priority),
+                eq(is_admitted),
+                "{} {priority:?}",
+                case.name
+            );
         }
     }
 }
@@ -66,7 +75,7 @@
     let mut sent_bytes = 0;
     for now_ms in 0..10_000 {
         link.refill(now_ms);
-        while link.admits(Rank::Start) {
+        while link.admits(CallPriority::Start) {
             link.charge(ORDER_BYTES, 0);
             sent_bytes += ORDER_BYTES;
         }
@@ -80,7 +89,7 @@
 #[gtest]
 fn wide_links_put_nothing_off() {
     let link = LinkBudget::new(25_000_000);
-    expect_that!(link.looks_gap_ms(540, 215), le(60));
+    expect_that!(link.polls_gap_ms(540, 215), le(60));
     expect_that!(link.records_gap_ms(20_000), le(20));
 }
 
--- a/tests/policy_looks.rs
+++ b/tests/policy_looks.rs
@@ -1,77 +1,77 @@
 //! How often workers are looked at, by what runs there and by how many there are.
 
-use goldcrestway_dispatch::policy::looks::Looks;
-use goldcrestway_dispatch::policy::looks::Work;
+use goldcrestway_dispatch::policy::polls::Activity;
+use goldcrestway_dispatch::policy::polls::PollIntervals;
 use googletest::prelude::*;
 
 /// An owner, a worker of it, and the pause before the next look there.
 struct Case {
     name: &'static str,
-    at_rest: u64,
+    idle_workers: u64,
     cpu_permille: u64,
     are_confirming: bool,
-    work: Work,
+    activity: Activity,
     gap_ms: u64,
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "an end is awaited in a small fleet",
-        at_rest: 40,
+        idle_workers: 40,
         cpu_permille: 100,
         are_confirming: false,
-        work: Work::Ending,
+        activity: Activity::Ending,
         gap_ms: 60,
     },
     // It grew with the workers that were not concerned.
     Case {
         name: "an end is awaited in a large fleet",
-        at_rest: 6_000,
+        idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: false,
-        work: Work::Ending,
+        activity: Activity::Ending,
         gap_ms: 60,
     },
     Case {
         name: "a small fleet at rest costs little",
-        at_rest: 10,
+        idle_workers: 10,
         cpu_permille: 100,
         are_confirming: false,
-        work: Work::None,
+        activity: Activity::None,
         gap_ms: 60,
     },
     Case {
         name: "a strong owner looks at a large fleet at rest every few seconds",
-        at_rest: 6_000,
+        idle_workers: 6_000,
         cpu_permille: 1_000,
         are_confirming: false,
-        work: Work::None,
+        activity: Activity::None,
         gap_ms: 2_400,
     },
     Case {
         name: "a weak one no more rarely than a dead worker may go unnoticed",
-        at_rest: 6_000,
+        idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: false,
-        work: Work::None,
+        activity: Activity::None,
         gap_ms: 10_000,
     },
     // Its leases would run out.
     Case {
         name: "tasks that serve are kept alive",
-        at_rest: 6_000,
+        idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: false,
-        work: Work::Lasting,
+        activity: Activity::LongRunning,
         gap_ms: 1_500,
     },
     // Otherwise an owner would count as replaced while it is well.
     Case {
         name: "while the store is silent most workers answer within two seconds",
-        at_rest: 6_000,
+        idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: true,
-        work: Work::None,
+        activity: Activity::None,
         gap_ms: 1_000,
     },
 ];
@@ -81,11 +81,16 @@
 #[gtest]
 fn looks_follow_what_runs_at_a_worker() {
     for case in CASES {
-        let looks = Looks {
-            at_rest: case.at_rest,
+        let polls = PollIntervals {
+            idle_workers: case.idle_workers,
             cpu_permille: case.cpu_permille,
             are_confirming: case.are_confirming,
         };
-        expect_that!(looks.gap_ms(case.work), eq(case.gap_ms), "{}", case.name);
+        expect_that!(
+            polls.gap_ms(case.activity),
+            eq(case.gap_ms),
+            "{}",
+            case.name
+        );
     }
 }
--- a/tests/policy_ordering.rs
+++ b/tests/policy_ordering.rs
@@ -10,8 +10,8 @@
 /// A job of best-effort tasks that can still make its objective.
 const JOB: Waiting = Waiting {
     priority: 2,
-    is_lasting: false,
-    has_begun: false,
+    is_long_running: false,
+    has_started: false,
     due_ms: NOW_MS + 6_000,
     worthless_ms: NOW_MS + 22_000,
     left_ms: 3_400,
@@ -45,7 +45,7 @@
     Case {
         name: "one that has begun before one that has not",
         first: Waiting {
-            has_begun: true,
+            has_started: true,
             due_ms: NOW_MS + 7_000,
             ..JOB
         },
@@ -84,7 +84,7 @@
     Case {
         name: "one that lasts is never late",
         first: Waiting {
-            is_lasting: true,
+            is_long_running: true,
             due_ms: 0,
             worthless_ms: 0,
             ..JOB
--- a/tests/policy_pacing.rs
+++ b/tests/policy_pacing.rs
@@ -1,25 +1,25 @@
 //! At which share best-effort tasks work beside a service.
 
-use goldcrestway_dispatch::policy::pacing::Beside;
-use goldcrestway_dispatch::policy::pacing::Patience;
-use goldcrestway_dispatch::policy::pacing::choose_share;
+use goldcrestway_dispatch::policy::shares::ColocatedService;
+use goldcrestway_dispatch::policy::shares::SuspendDelays;
+use goldcrestway_dispatch::policy::shares::choose_share;
 use googletest::prelude::*;
 
 /// Time after which a wait counts as harm.
 const HARM_MS: u64 = 4_000;
 
 /// A service that is well, beside a task that takes a fifth of its ease.
-const BESIDE: Beside = Beside {
-    ease: 2.0,
+const HEALTHY_SERVICE: ColocatedService = ColocatedService {
+    headroom: 2.0,
     over_ms: 0,
-    pressure: 0.2,
+    headroom_loss: 0.2,
 };
 
 /// A task at a share, the services beside it, and the share that it gets.
 struct Case {
     name: &'static str,
     before: u32,
-    services: &'static [Beside],
+    services: &'static [ColocatedService],
     may_shift: bool,
     share: u32,
 }
@@ -35,16 +35,16 @@
     Case {
         name: "the service is well",
         before: 100,
-        services: &[BESIDE],
+        services: &[HEALTHY_SERVICE],
         may_shift: true,
         share: 100,
     },
     Case {
         name: "the service is close to its target",
         before: 100,
-        services: &[Beside {
-            ease: 1.02,
-            ..BESIDE
+        services: &[ColocatedService {
+            headroom: 1.02,
+            ..HEALTHY_SERVICE
         }],
         may_shift: true,
         share: 50,
@@ -52,9 +52,9 @@
     Case {
         name: "a change was just made",
         before: 100,
-        services: &[Beside {
-            ease: 1.02,
-            ..BESIDE
+        services: &[ColocatedService {
+            headroom: 1.02,
+            ..HEALTHY_SERVICE
         }],
         may_shift: false,
         share: 100,
@@ -62,10 +62,10 @@
     Case {
         name: "the task does nothing to the service",
         before: 100,
-        services: &[Beside {
-            ease: 1.02,
-            pressure: 0.01,
-            ..BESIDE
+        services: &[ColocatedService {
+            headroom: 1.02,
+            headroom_loss: 0.01,
+            ..HEALTHY_SERVICE
         }],
         may_shift: true,
         share: 100,
@@ -73,9 +73,9 @@
     Case {
         name: "a little of it is worse than nothing",
         before: 30,
-        services: &[Beside {
-            ease: 0.9,
-            ..BESIDE
+        services: &[ColocatedService {
+            headroom: 0.9,
+            ..HEALTHY_SERVICE
         }],
         may_shift: true,
         share: 0,
@@ -83,10 +83,10 @@
     Case {
         name: "the service has been over its target for long, and the task may be why",
         before: 100,
-        services: &[Beside {
-            ease: 0.9,
+        services: &[ColocatedService {
+            headroom: 0.9,
             over_ms: 1_300,
-            pressure: 0.05,
+            headroom_loss: 0.05,
         }],
         may_shift: false,
         share: 0,
@@ -94,10 +94,10 @@
     Case {
         name: "the service has been over its target for longer, and nobody knows why",
         before: 100,
-        services: &[Beside {
-            ease: 0.9,
+        services: &[ColocatedService {
+            headroom: 0.9,
             over_ms: 1_900,
-            pressure: 0.0,
+            headroom_loss: 0.0,
         }],
         may_shift: false,
         share: 0,
@@ -106,10 +106,10 @@
         name: "one of two services would bear more",
         before: 50,
         services: &[
-            BESIDE,
-            Beside {
-                ease: 1.02,
-                ..BESIDE
+            HEALTHY_SERVICE,
+            ColocatedService {
+                headroom: 1.02,
+                ..HEALTHY_SERVICE
             },
         ],
         may_shift: true,
@@ -121,8 +121,14 @@
 #[gtest]
 fn shares_follow_what_services_bear() {
     for case in CASES {
-        let patience = Patience::new(HARM_MS);
-        let share = choose_share(case.before, case.services, patience, case.may_shift, true);
+        let suspend_delays = SuspendDelays::new(HARM_MS);
+        let share = choose_share(
+            case.before,
+            case.services,
+            suspend_delays,
+            case.may_shift,
+            true,
+        );
         expect_that!(share, eq(case.share), "{}", case.name);
     }
 }
--- a/tests/policy_patience.rs
+++ b/tests/policy_patience.rs
@@ -1,6 +1,6 @@
 //! How long answers are awaited while they come as usual, late, or not at all.
 
-use goldcrestway_dispatch::policy::patience::AnswerTimes;
+use goldcrestway_dispatch::policy::answer_timeouts::AnswerLatencies;
 use googletest::prelude::*;
 
 /// Answers of the last moment: so many that were so late, and so many that did not come.
@@ -8,7 +8,7 @@
     name: &'static str,
     answers: &'static [(usize, u64)],
     missing: usize,
-    patience_ms: u64,
+    answer_timeout_ms: u64,
     is_suspect: bool,
 }
 
@@ -17,14 +17,14 @@
         name: "nothing is known yet",
         answers: &[],
         missing: 0,
-        patience_ms: 350,
+        answer_timeout_ms: 350,
         is_suspect: false,
     },
     Case {
         name: "all workers answer at once",
         answers: &[(80, 3)],
         missing: 0,
-        patience_ms: 359,
+        answer_timeout_ms: 359,
         is_suspect: false,
     },
     // They must be noticed as before, and their tasks started elsewhere.
@@ -32,14 +32,14 @@
         name: "a third of the workers has died",
         answers: &[(60, 3)],
         missing: 30,
-        patience_ms: 359,
+        answer_timeout_ms: 359,
         is_suspect: false,
     },
     Case {
         name: "a sixth of the workers is slow",
         answers: &[(70, 3), (14, 400)],
         missing: 0,
-        patience_ms: 359,
+        answer_timeout_ms: 359,
         is_suspect: false,
     },
     // The link of this host is full: no worker is to blame.
@@ -47,21 +47,21 @@
         name: "all answers are late",
         answers: &[(80, 300)],
         missing: 10,
-        patience_ms: 1_250,
+        answer_timeout_ms: 1_250,
         is_suspect: true,
     },
     Case {
         name: "most answers are given up",
         answers: &[(20, 5)],
         missing: 60,
-        patience_ms: 1_415,
+        answer_timeout_ms: 1_415,
         is_suspect: true,
     },
     Case {
         name: "no answer is awaited for longer than leases bear",
         answers: &[(80, 5_000)],
         missing: 0,
-        patience_ms: 2_000,
+        answer_timeout_ms: 2_000,
         is_suspect: true,
     },
 ];
@@ -72,7 +72,7 @@
 #[gtest]
 fn what_is_awaited_follows_what_answers_take() {
     for case in CASES {
-        let mut times = AnswerTimes::default();
+        let mut times = AnswerLatencies::default();
         // Outcomes come mixed, as they do from many workers.
         let mut left: Vec<(usize, Option<u64>)> = Vec::new();
         for (count, late_ms) in case.answers {
@@ -88,12 +88,17 @@
                 *count -= 1;
                 now_ms += 1;
                 match late_ms {
-                    Some(late_ms) => times.note_answer(*late_ms, now_ms),
-                    None => times.note_missing(now_ms),
+                    Some(late_ms) => times.record_answer(*late_ms, now_ms),
+                    None => times.record_missing(now_ms),
                 }
             }
         }
-        expect_that!(times.patience_ms(), eq(case.patience_ms), "{}", case.name);
+        expect_that!(
+            times.answer_timeout_ms(),
+            eq(case.answer_timeout_ms),
+            "{}",
+            case.name
+        );
         expect_that!(
             times.is_link_suspect(),
             eq(case.is_suspect),
@@ -107,14 +112,14 @@
 /// were late are remembered for good.
 #[gtest]
 fn late_answers_are_forgotten() {
-    let mut times = AnswerTimes::default();
+    let mut times = AnswerLatencies::default();
     for at_ms in 0..40 {
-        times.note_answer(800, at_ms);
+        times.record_answer(800, at_ms);
     }
     expect_that!(times.is_link_suspect(), eq(true));
     for at_ms in 2_000..2_016 {
-        times.note_answer(3, at_ms);
+        times.record_answer(3, at_ms);
     }
     expect_that!(times.is_link_suspect(), eq(false));
-    expect_that!(times.patience_ms(), eq(359));
+    expect_that!(times.answer_timeout_ms(), eq(359));
 }
--- a/tests/policy_stragglers.rs
+++ b/tests/policy_stragglers.rs
@@ -1,6 +1,6 @@
 //! Which workers slow down what runs there, by the paces of their runs.
 
-use goldcrestway_dispatch::policy::stragglers::Pace;
+use goldcrestway_dispatch::policy::stragglers::Speed;
 use goldcrestway_dispatch::policy::stragglers::is_slow;
 use googletest::prelude::*;
 
@@ -49,11 +49,11 @@
 #[gtest]
 fn a_worker_is_judged_by_all_that_runs_there() {
     for case in CASES {
-        let paces = case.takes_ms.iter().map(|projected_ms| Pace {
+        let speeds = case.takes_ms.iter().map(|projected_ms| Speed {
             projected_ms: *projected_ms,
             usual_ms: 1_000,
         });
-        let paces: Vec<Pace> = paces.collect();
-        expect_that!(is_slow(&paces), eq(case.is_slow), "{}", case.name);
+        let speeds: Vec<Speed> = speeds.collect();
+        expect_that!(is_slow(&speeds), eq(case.is_slow), "{}", case.name);
     }
 }
--- a/tests/policy_suspicion.rs
+++ b/tests/policy_suspicion.rs
@@ -10,14 +10,14 @@
     address: "10.0.0.1:80",
     is_suspect: true,
     is_confirmed: true,
-    is_alone: true,
+    is_sole_suspect: true,
     is_excused: false,
-    is_lasting: false,
+    is_long_running: false,
 };
 
 /// The same beside others that may be the cause.
 const SHARED: Crash<'_> = Crash {
-    is_alone: false,
+    is_sole_suspect: false,
     ..ALONE
 };
 
@@ -36,7 +36,7 @@
 /// The same under a run that had been at work for a while.
 const SOUND: Crash<'_> = Crash {
     is_suspect: false,
-    is_alone: false,
+    is_sole_suspect: false,
     ..ALONE
 };
 
@@ -48,7 +48,7 @@
     is_same_run: bool,
     /// A run is sound before the last crash.
     is_cleared: bool,
-    is_lasting: bool,
+    is_long_running: bool,
     /// Crash at which the task is to blame; 0 for none of them.
     to_blame_at: usize,
 }
@@ -59,7 +59,7 @@
     is_same_host: false,
     is_same_run: false,
     is_cleared: false,
-    is_lasting: false,
+    is_long_running: false,
     to_blame_at: 0,
 };
 
@@ -137,7 +137,7 @@
     Case {
         name: "a task that lasts, beside others, too often for luck",
         crashes: &[SHARED, SHARED, SHARED, SHARED, SHARED],
-        is_lasting: true,
+        is_long_running: true,
         to_blame_at: 5,
         ..CASE
     },
@@ -178,12 +178,12 @@
     Case {
         name: "under a task that lasts, often",
         crashes: &[SOUND, SOUND, SOUND, SOUND, SOUND, SOUND, SOUND, SOUND],
-        is_lasting: true,
+        is_long_running: true,
         ..CASE
     },
     Case {
         name: "a task that lasts and crashes whoever starts it",
-        is_lasting: true,
+        is_long_running: true,
         to_blame_at: 2,
         ..CASE
     },
@@ -212,24 +212,24 @@
 fn a_task_that_may_have_crashed_three_workers_has_two_starts_left() {
     let mut suspicion = Suspicion::default();
     for number in 1..=3 {
-        suspicion.note_start(0);
+        suspicion.record_start(0);
         let crash = Crash {
             run: number,
             ..SHARED
         };
         expect_that!(suspicion.count(&crash), eq(false), "crash {number}");
     }
-    suspicion.note_start(0);
+    suspicion.record_start(0);
     expect_that!(suspicion.is_used_up(), eq(false));
     let mut sound = suspicion.clone();
     // A start that the worker refused was none.
-    suspicion.note_start(0);
-    suspicion.take_back_start();
+    suspicion.record_start(0);
+    suspicion.undo_start();
     expect_that!(suspicion.is_used_up(), eq(false));
-    suspicion.note_start(0);
+    suspicion.record_start(0);
     expect_that!(suspicion.is_used_up(), eq(true));
     sound.clear(false);
-    sound.note_start(0);
+    sound.record_start(0);
     expect_that!(sound.is_used_up(), eq(false));
 }
 
@@ -241,7 +241,7 @@
         let mut to_blame_at = 0;
         for (number, crash) in case.crashes.iter().enumerate() {
             if case.is_cleared && number + 1 == case.crashes.len() {
-                suspicion.clear(case.is_lasting);
+                suspicion.clear(case.is_long_running);
             }
             let address = match case.is_same_host {
                 true => crash.address.into(),
@@ -254,10 +254,10 @@
                     number as u32 + 1
                 },
                 address: &address,
-                is_lasting: case.is_lasting,
+                is_long_running: case.is_long_running,
                 ..*crash
             };
-            suspicion.note_start(0);
+            suspicion.record_start(0);
             if suspicion.count(&crash) && to_blame_at == 0 {
                 to_blame_at = number + 1;
             }
@@ -274,9 +274,9 @@
     let mut suspicion = Suspicion::default();
     for unsettled in 0..4 {
         expect_that!(suspicion.awaits(unsettled), eq(false), "{unsettled} lost");
-        suspicion.note_start(unsettled);
+        suspicion.record_start(unsettled);
     }
-    suspicion.note_start(4);
+    suspicion.record_start(4);
     expect_that!(suspicion.awaits(5), eq(true));
     expect_that!(suspicion.is_used_up(), eq(false));
     expect_that!(suspicion.awaits(2), eq(false), "the others were cut off");
