--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -63,13 +63,13 @@
 
 /// What the owner tells hosts of all hosts, so that each finds its place among them by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct Survey {
+pub(crate) struct HostSurvey {
     pub(crate) strongest_permille: u64,
     /// Hosts that let no other go first.
     pub(crate) strong_hosts: u64,
 }
 
-impl Survey {
+impl HostSurvey {
     pub(crate) fn of(hosts: &HashMap<Box<str>, HostRecord>) -> Self {
         let strongest = hosts.values().map(|host| host.cpu_permille).max();
         let strongest_permille = strongest.unwrap_or(0);
@@ -130,7 +130,7 @@
 
     /// Notes which hosts there are.
     pub(crate) fn update_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
-        let strongest_permille = Survey::of(hosts).strongest_permille;
+        let strongest_permille = HostSurvey::of(hosts).strongest_permille;
         let is_weaker = |cpu_permille| is_weaker(cpu_permille, strongest_permille);
         self.is_weaker = is_weaker(self.cpu_permille);
         let own = (self.is_weaker, self.spread_permille);
@@ -144,7 +144,7 @@
 
     /// Notes what the owner tells of all hosts. About as many watch out as among hosts that know
     /// one another.
-    pub(crate) fn apply_survey(&mut self, survey: Survey) {
+    pub(crate) fn apply_survey(&mut self, survey: HostSurvey) {
         self.is_weaker = is_weaker(self.cpu_permille, survey.strongest_permille);
         let is_early = self.spread_permille * survey.strong_hosts < WATCHERS as u64 * 1_000;
         self.is_watcher = is_early && !self.is_weaker;
--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -267,7 +267,7 @@
         actions: &mut Vec<Action>,
     ) {
         // What can't be stored soon is refused at once; nothing of it was sent.
-        if self.is_store_away || self.config.is_none() {
+        if self.is_store_unavailable || self.config.is_none() {
             actions.push(Action::Note(Note::new(
                 Code::JobRefused,
                 job.to_string(),
@@ -440,11 +440,11 @@
     }
 
     fn give_up_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let is_store_away = self.is_store_away;
+        let is_store_unavailable = self.is_store_unavailable;
         self.callers.writes.retain(|write| {
             // A write under way may be stored at any moment.
             let is_certain = !write.is_doubtful && write.ticket.is_none();
-            let is_hopeless = is_store_away || write.refusals > 2;
+            let is_hopeless = is_store_unavailable || write.refusals > 2;
             let is_late = now.steady_ms >= write.give_up_ms;
             if !(is_late || is_certain && is_hopeless) {
                 return true;
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -24,7 +24,7 @@
 const DOUBTFUL_POLL_MS: u64 = 600;
 /// Time without an answer of the store after which a host turns unready, and refuses at
 /// once what it could not store.
-const STORE_AWAY_MS: u64 = 1_800;
+const STORE_UNAVAILABLE_MS: u64 = 1_800;
 /// The same after a call was late or failed, on a host that otherwise asks the store for nothing.
 const MAX_DOUBT_MS: u64 = 600;
 /// Time for which a job is told about after it was final, over what is asked for.
@@ -36,7 +36,7 @@
     /// Reads on in the streams.
     pub(super) fn follow(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
-        let listen_ms = self.listen_ms();
+        let long_poll_ms = self.long_poll_ms();
         let tickets = &mut self.tickets;
         for tail in [&mut self.rules, &mut self.states] {
             tail.load(now_ms, tickets, actions);
@@ -44,10 +44,10 @@
         if self.reading.scope == Scope::All {
             self.jobs.load(now_ms, tickets, actions);
         }
-        self.rules.listen(listen_ms, now_ms, tickets, actions);
-        match self.is_store_away {
+        self.rules.long_poll(long_poll_ms, now_ms, tickets, actions);
+        match self.is_store_unavailable {
             true => self.rules.probe(now_ms, tickets, actions),
-            false => self.rules.confirm(listen_ms, now_ms, tickets, actions),
+            false => self.rules.confirm(long_poll_ms, now_ms, tickets, actions),
         }
         let acts = self.owner.is_some() || self.claim.is_some();
         if acts {
@@ -56,17 +56,17 @@
             if self.owner.is_some() || !has_list {
                 self.workers.load(now_ms, tickets, actions);
             }
-            self.jobs.listen(listen_ms, now_ms, tickets, actions);
-            self.jobs.confirm(listen_ms, now_ms, tickets, actions);
+            self.jobs.long_poll(long_poll_ms, now_ms, tickets, actions);
+            self.jobs.confirm(long_poll_ms, now_ms, tickets, actions);
             if now_ms >= self.workers_read_ms + self.workers_pause_ms {
                 self.workers_read_ms = now_ms;
                 // One beside another would bring the same reports once more.
-                self.workers.prompt(0, now_ms, tickets, actions);
+                self.workers.read_now(0, now_ms, tickets, actions);
             }
             return;
         }
         // A follower that takes no callers needs no more than to hear that the store is back.
-        if self.is_store_away {
+        if self.is_store_unavailable {
             return;
         }
         if self.reading.is_quiet() {
@@ -79,7 +79,7 @@
         if now_ms >= self.states_read_ms + pause_ms {
             self.states_read_ms = now_ms;
             self.states
-                .prompt(now_ms, now_ms, &mut self.tickets, actions);
+                .read_now(now_ms, now_ms, &mut self.tickets, actions);
         }
     }
 
@@ -90,7 +90,7 @@
             return;
         }
         let hosts_read_ms = *self.hosts_read_ms.get_or_insert(now_ms + HOSTS_READ_MS);
-        if now_ms >= hosts_read_ms && self.reading.owner_link.is_none() {
+        if now_ms >= hosts_read_ms && self.reading.owner_connection.is_none() {
             self.jobs_read_ms = None;
             self.hosts_read_ms = Some(u64::MAX);
         }
@@ -105,12 +105,13 @@
         let read_ms = self.jobs_read_ms;
         if read_ms.is_none_or(|read_ms| now_ms >= read_ms + pause_ms) {
             self.jobs_read_ms = Some(now_ms);
-            self.jobs.prompt(now_ms, now_ms, &mut self.tickets, actions);
+            self.jobs
+                .read_now(now_ms, now_ms, &mut self.tickets, actions);
         }
     }
 
     /// Gives for how long the store holds a read that waits for a record.
-    fn listen_ms(&self) -> u64 {
+    fn long_poll_ms(&self) -> u64 {
         self.bounds.rules_in_force_ms * LISTEN_PERCENT / 100
     }
 
@@ -118,7 +119,7 @@
     /// else: only the read that waits for rules is under way.
     pub(super) fn quiet_ms(&self) -> u64 {
         match self.reading.is_quiet() {
-            true => self.listen_ms(),
+            true => self.long_poll_ms(),
             false => 0,
         }
     }
@@ -136,8 +137,8 @@
 
     /// Notices that the store does not answer this host, and that it does again.
     pub(super) fn watch_store(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let owner_ms = self.listen_ms() * u64::from(self.owner.is_some());
-        let limit_ms = STORE_AWAY_MS + owner_ms + self.quiet_ms();
+        let owner_ms = self.long_poll_ms() * u64::from(self.owner.is_some());
+        let limit_ms = STORE_UNAVAILABLE_MS + owner_ms + self.quiet_ms();
         let is_silent = now.steady_ms > self.contact.answered_ms + limit_ms;
         let is_doubted = self
             .contact
@@ -145,10 +146,10 @@
         let has_cause = self.reading.is_quiet() && is_doubted;
         // Rules may have changed meanwhile: a host that took callers by those from before
         // would accept for queues that are gone, and deny those that have come.
-        let is_behind = self.is_store_away && !self.have_rules_been_asked_for(now);
+        let is_behind = self.is_store_unavailable && !self.have_rules_been_asked_for(now);
         let is_away = is_silent || has_cause || is_behind;
-        if is_away != self.is_store_away {
-            self.is_store_away = is_away;
+        if is_away != self.is_store_unavailable {
+            self.is_store_unavailable = is_away;
             let code = if is_away {
                 Code::StoreAway
             } else {
--- a/crates/dispatch/src/entry/job_tails.rs
+++ b/crates/dispatch/src/entry/job_tails.rs
@@ -56,7 +56,7 @@
     }
 
     /// Reads all parts that were not read to their end since the given ticket.
-    pub(crate) fn prompt_after(
+    pub(crate) fn read_now_after(
         &mut self,
         ticket: u64,
         now_ms: u64,
@@ -65,7 +65,7 @@
     ) {
         for tail in &mut self.tails {
             if !tail.is_fresh_after(ticket) {
-                tail.prompt_after(ticket, now_ms, tickets, actions);
+                tail.read_now_after(ticket, now_ms, tickets, actions);
             }
         }
     }
@@ -97,7 +97,7 @@
     }
 
     /// Reads all parts that were not read to their end since `since_ms`.
-    pub(crate) fn prompt(
+    pub(crate) fn read_now(
         &mut self,
         since_ms: u64,
         now_ms: u64,
@@ -106,13 +106,13 @@
     ) {
         for tail in &mut self.tails {
             if !tail.is_fresh_since(since_ms) {
-                tail.prompt(since_ms, now_ms, tickets, actions);
+                tail.read_now(since_ms, now_ms, tickets, actions);
             }
         }
     }
 
     /// Keeps one read of each part under way that waits for a record.
-    pub(crate) fn listen(
+    pub(crate) fn long_poll(
         &mut self,
         wait_ms: u64,
         now_ms: u64,
@@ -120,7 +120,7 @@
         actions: &mut Vec<Action>,
     ) {
         for tail in &mut self.tails {
-            tail.listen(wait_ms, now_ms, tickets, actions);
+            tail.long_poll(wait_ms, now_ms, tickets, actions);
         }
     }
 
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -30,9 +30,9 @@
 use crate::entry::scope::owner_tail;
 use crate::evacuations::Evacuations;
 use crate::event::Action;
+use crate::event::ConnectionId;
 use crate::event::Event;
 use crate::event::Fence;
-use crate::event::LinkId;
 use crate::event::Now;
 use crate::event::ReadOutcome;
 use crate::event::Stream;
@@ -129,7 +129,7 @@
     /// When the claim under which this host owns was stored.
     claimed_ms: u64,
     is_stopping: bool,
-    is_store_away: bool,
+    is_store_unavailable: bool,
     contact: Contact,
     are_rules_behind: bool,
     /// How far the time of day is ahead of the steady clock.
@@ -174,7 +174,7 @@
             past_stats: OwnerStats::default(),
             claimed_ms: 0,
             is_stopping: false,
-            is_store_away: false,
+            is_store_unavailable: false,
             contact: Contact::default(),
             are_rules_behind: false,
             clock_lead_ms: None,
@@ -195,7 +195,7 @@
     pub fn is_ready(&self) -> bool {
         let is_caught_up = self.is_caught_up() && !self.is_loading();
         let has_rules = self.config.is_some() && !self.are_rules_behind;
-        has_rules && is_caught_up && !self.is_stopping && !self.is_store_away
+        has_rules && is_caught_up && !self.is_stopping && !self.is_store_unavailable
     }
 
     /// Tells whether this host is the owner.
@@ -246,16 +246,16 @@
         match event {
             Event::Tick => {}
             Event::Stop => self.stop(),
-            Event::LinkOpened { link } => {
+            Event::ConnectionOpened { conn } => {
                 if let Some(owner) = &mut self.owner {
-                    owner.handle_relay_opened(link, now);
+                    owner.handle_relay_opened(conn, now);
                 }
             }
-            Event::Frame { link, bytes } => self.handle_frame(link, &bytes, now, actions),
-            Event::LinkLost { link } if link.is_incoming() => self.relay.lose(link),
-            Event::LinkLost { link } => {
+            Event::Frame { conn, bytes } => self.handle_frame(conn, &bytes, now, actions),
+            Event::ConnectionLost { conn } if conn.is_incoming() => self.relay.lose(conn),
+            Event::ConnectionLost { conn } => {
                 if let Some(owner) = &mut self.owner {
-                    owner.lose_relay(link, now, actions);
+                    owner.lose_relay(conn, now, actions);
                 }
             }
             Event::Submit {
@@ -291,15 +291,21 @@
     }
 
     /// Takes in orders of an owner, or what came of orders of this one.
-    fn handle_frame(&mut self, link: LinkId, bytes: &[u8], now: Now, actions: &mut Vec<Action>) {
-        if link.is_incoming() {
+    fn handle_frame(
+        &mut self,
+        conn: ConnectionId,
+        bytes: &[u8],
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
+        if conn.is_incoming() {
             let evacuations = &self.evacuations;
             let tickets = &mut self.tickets;
             self.relay
-                .handle_frame(link, bytes, evacuations, now.steady_ms, tickets, actions);
+                .handle_frame(conn, bytes, evacuations, now.steady_ms, tickets, actions);
             self.take_answers();
         } else if let Some(owner) = &mut self.owner {
-            owner.handle_relay_frame(link, bytes, now, actions);
+            owner.handle_relay_frame(conn, bytes, now, actions);
             self.take_inquiries(now);
         }
     }
--- a/crates/dispatch/src/entry/owning.rs
+++ b/crates/dispatch/src/entry/owning.rs
@@ -94,9 +94,9 @@
         let is_due = self.election.should_claim(self.states.known_ms(), owner);
         let is_turn = !is_due && self.election.is_due(now.steady_ms, owner);
         // While the store is away nothing will be read that lets this host claim.
-        if self.claim.is_none() && is_turn && !self.is_store_away {
+        if self.claim.is_none() && is_turn && !self.is_store_unavailable {
             self.states
-                .prompt(now.steady_ms, now.steady_ms, &mut self.tickets, actions);
+                .read_now(now.steady_ms, now.steady_ms, &mut self.tickets, actions);
         }
         if self.claim.is_none() && is_due && self.knows_rivals(now, actions) {
             let owner = &self.job_table.owner;
@@ -137,7 +137,7 @@
             return true;
         }
         let tickets = &mut self.tickets;
-        self.jobs.prompt(turn_ms, now.steady_ms, tickets, actions);
+        self.jobs.read_now(turn_ms, now.steady_ms, tickets, actions);
         false
     }
 
@@ -196,7 +196,7 @@
         // All that former owners could write stands before the claim.
         self.progress.load(now_ms, tickets, actions);
         if !self.jobs.is_fresh_since(stored_ms) {
-            self.jobs.prompt(stored_ms, now_ms, tickets, actions);
+            self.jobs.read_now(stored_ms, now_ms, tickets, actions);
         }
         let has_list = self.workers.is_loaded() || !self.recovered.workers.is_empty();
         let is_read = self.jobs.is_fresh_since(stored_ms) && has_list;
@@ -323,7 +323,7 @@
             if self.jobs.is_fresh_since(self.claimed_ms) {
                 owner.mark_caught_up();
             }
-            owner.hold_starts(may_miss_evacuations);
+            owner.pause_starts(may_miss_evacuations);
             owner.advance(now, &mut self.tickets, actions);
             return;
         }
--- a/crates/dispatch/src/entry/questions.rs
+++ b/crates/dispatch/src/entry/questions.rs
@@ -7,7 +7,7 @@
 use crate::entry::Entry;
 use crate::entry::callers::RETRY_AFTER_MS;
 use crate::event::Action;
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::Now;
 use crate::event::Reply;
 use crate::ids::JobId;
@@ -43,7 +43,7 @@
 /// A question to the owner on its way.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Flight {
-    link: LinkId,
+    conn: ConnectionId,
     ticket: u64,
 }
 
@@ -173,7 +173,8 @@
         actions: &mut Vec<Action>,
     ) -> Option<Question> {
         // While the store is away no read will bring what is missing in time.
-        let is_late = self.is_store_away || now.steady_ms >= question.asked_ms + MAX_QUESTION_MS;
+        let is_late =
+            self.is_store_unavailable || now.steady_ms >= question.asked_ms + MAX_QUESTION_MS;
         let reply = match self.reading.asks_owner() {
             true => self.answer_by_owner(&mut question, is_late, now),
             false => self.answer_by_reading(&question, is_late, now, actions),
@@ -275,13 +276,13 @@
                 retry_after_ms: RETRY_AFTER_MS,
             });
         }
-        let link = self.reading.owner_link?;
+        let conn = self.reading.owner_connection?;
         // What was asked over a connection that is gone is asked again.
-        if question.flight.is_none_or(|flight| flight.link != link) {
+        if question.flight.is_none_or(|flight| flight.conn != conn) {
             self.tickets += 1;
             let ticket = self.tickets;
-            question.flight = Some(Flight { link, ticket });
-            self.relay.ask(link, ticket, question.subject());
+            question.flight = Some(Flight { conn, ticket });
+            self.relay.ask(conn, ticket, question.subject());
         }
         None
     }
@@ -320,10 +321,10 @@
         match record {
             Some(_) => self
                 .states
-                .prompt_after(asked_after, now.steady_ms, tickets, actions),
+                .read_now_after(asked_after, now.steady_ms, tickets, actions),
             None => self
                 .jobs
-                .prompt_after(asked_after, now.steady_ms, tickets, actions),
+                .read_now_after(asked_after, now.steady_ms, tickets, actions),
         }
         None
     }
@@ -356,10 +357,11 @@
             });
         }
         let tickets = &mut self.tickets;
-        self.jobs.prompt(asked_ms, now.steady_ms, tickets, actions);
+        self.jobs
+            .read_now(asked_ms, now.steady_ms, tickets, actions);
         if !is_own {
             self.states
-                .prompt(asked_ms, now.steady_ms, tickets, actions);
+                .read_now(asked_ms, now.steady_ms, tickets, actions);
         }
         None
     }
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -7,14 +7,14 @@
 //! the owner what callers want to know. Hosts that look out for the owner read everything, as one
 //! of them is the next; so does a host that the owner does not connect to, after a while.
 
-use crate::election::Survey;
+use crate::election::HostSurvey;
 use crate::entry::Entry;
 use crate::entry::job_tails::JobTails;
 use crate::event::Action;
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::Now;
 use crate::event::Stream;
-use crate::record::BEHIND_JOBS;
+use crate::record::AFTER_JOBS;
 use crate::tail::Tail;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -47,7 +47,7 @@
 pub(super) struct Reading {
     pub(super) scope: Scope,
     /// The connection over which the owner is heard.
-    pub(super) owner_link: Option<LinkId>,
+    pub(super) owner_connection: Option<ConnectionId>,
     /// Since when that is so, or not.
     changed_ms: u64,
     /// Since when an owner lives and does not connect.
@@ -58,7 +58,7 @@
     pub(super) fn new() -> Self {
         Self {
             scope: Scope::Undecided,
-            owner_link: None,
+            owner_connection: None,
             changed_ms: 0,
             alone_since_ms: None,
         }
@@ -71,7 +71,7 @@
 
     /// Tells whether nothing is read but the rules, as the owner is heard.
     pub(super) fn is_quiet(&self) -> bool {
-        self.asks_owner() && self.owner_link.is_some()
+        self.asks_owner() && self.owner_connection.is_some()
     }
 
     fn has_been_alone_for(&self, ms: u64, now_ms: u64) -> bool {
@@ -82,14 +82,14 @@
 
 /// Makes the tail of the stream of states that brings who owns, and no job.
 pub(super) fn owner_tail(salt: u64) -> Tail {
-    Tail::behind(Stream::States, BEHIND_JOBS, salt)
+    Tail::after_key(Stream::States, AFTER_JOBS, salt)
 }
 
 impl Entry {
     /// Decides how much is to be read from now on.
     pub(super) fn decide_scope(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
-        self.record_owner_link(now_ms, actions);
+        self.record_owner_connection(now_ms, actions);
         match self.reading.scope {
             Scope::Undecided if self.states.is_loaded() => self.choose_scope(),
             Scope::Owner => {
@@ -124,7 +124,7 @@
         if !owner.informs_hosts {
             return false;
         }
-        self.election.apply_survey(Survey {
+        self.election.apply_survey(HostSurvey {
             strongest_permille: owner.strongest_permille,
             strong_hosts: owner.strong_hosts,
         });
@@ -132,21 +132,23 @@
     }
 
     /// Notices that the owner is heard, and that it no longer is.
-    fn record_owner_link(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        let link = self.relay.owner_link(self.job_table.owner.token, now_ms);
-        let previous = std::mem::replace(&mut self.reading.owner_link, link);
-        if previous.is_some() == link.is_some() {
+    fn record_owner_connection(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
+        let conn = self
+            .relay
+            .owner_connection(self.job_table.owner.token, now_ms);
+        let previous = std::mem::replace(&mut self.reading.owner_connection, conn);
+        if previous.is_some() == conn.is_some() {
             return;
         }
         let since_ms = std::mem::replace(&mut self.reading.changed_ms, now_ms);
-        let code = match link {
+        let code = match conn {
             Some(_) => Code::OwnerHeard,
             None => Code::OwnerUnheard,
         };
         let lasted_ms = now_ms - since_ms;
         let detail = format!("scope={:?} lasted_ms={lasted_ms}", self.reading.scope);
         actions.push(Action::Note(Note::new(code, &*self.host, detail)));
-        if link.is_none() && self.reading.asks_owner() {
+        if conn.is_none() && self.reading.asks_owner() {
             // Until now nobody could have been heard in the store.
             self.election.restart(now_ms);
         }
@@ -157,7 +159,7 @@
         let is_alive = self
             .election
             .has_heartbeat_since(now_ms.saturating_sub(OWNER_GONE_MS));
-        if self.reading.owner_link.is_some() || !is_alive {
+        if self.reading.owner_connection.is_some() || !is_alive {
             self.reading.alone_since_ms = None;
         } else {
             self.reading.alone_since_ms.get_or_insert(now_ms);
@@ -182,7 +184,7 @@
 
     /// Stops reading jobs once an owner answers for them.
     fn leave_to_owner(&mut self, now_ms: u64) {
-        let is_heard = self.reading.owner_link.is_some();
+        let is_heard = self.reading.owner_connection.is_some();
         let is_settled = now_ms >= self.reading.changed_ms + SETTLED_MS;
         let acts = self.owner.is_some() || self.claim.is_some();
         if !is_heard || !is_settled || acts {
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -274,9 +274,9 @@
 /// A connection to another entry host. Those that this host opens are numbered by its
 /// decisions, those that come in by whoever listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
 
-impl LinkId {
+impl ConnectionId {
     /// Numbers the connections that come in.
     const INCOMING: u64 = 1 << 63;
 
@@ -333,11 +333,14 @@
     /// A call for permits has ended.
     PermitsAnswered { ticket: u64, outcome: PermitOutcome },
     /// A connection to another host was made.
-    LinkOpened { link: LinkId },
+    ConnectionOpened { conn: ConnectionId },
     /// Another host has sent something.
-    Frame { link: LinkId, bytes: Box<[u8]> },
+    Frame {
+        conn: ConnectionId,
+        bytes: Box<[u8]>,
+    },
     /// A connection to another host has ended, or could not be made.
-    LinkLost { link: LinkId },
+    ConnectionLost { conn: ConnectionId },
     /// A planned stop begins.
     Stop,
 }
@@ -415,11 +418,17 @@
         timeout_ms: u64,
     },
     /// Connect to another entry host.
-    OpenLink { link: LinkId, address: Box<str> },
+    OpenConnection {
+        conn: ConnectionId,
+        address: Box<str>,
+    },
     /// Send something to another entry host.
-    SendFrame { link: LinkId, bytes: Box<[u8]> },
+    SendFrame {
+        conn: ConnectionId,
+        bytes: Box<[u8]>,
+    },
     /// Close a connection to another entry host.
-    CloseLink { link: LinkId },
+    CloseConnection { conn: ConnectionId },
     /// Drop the connections to a worker that is gone.
     Disconnect { address: Box<str> },
     /// Answer a caller.
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -58,7 +58,7 @@
 }
 
 /// A worker that is given up, and what goes with it.
-pub(super) struct Fall {
+pub(super) struct RemovedWorker {
     worker: Box<str>,
     /// It was leaving, so it may have ended as planned.
     is_planned: bool,
@@ -161,12 +161,12 @@
     }
 
     /// Gives what goes with a worker that is given up, as it speaks against the tasks.
-    pub(super) fn describe_fall(
+    pub(super) fn describe_removal(
         &self,
         key: WorkerKey,
         removal_reason: RemovalReason,
         now_ms: u64,
-    ) -> Fall {
+    ) -> RemovedWorker {
         let worker = &self.workers[key];
         let begun = worker.runs.iter().filter(|(_, run)| run.may_have_begun());
         let suspects: BTreeSet<TaskId> = begun
@@ -194,7 +194,7 @@
             add_lost_run(&mut lost_runs, self.unit(*task), lost_run);
         }
         let is_replaced = removal_reason.is_replaced();
-        Fall {
+        RemovedWorker {
             worker: worker.entry.id.clone(),
             is_planned: worker.was_leaving,
             is_replaced,
@@ -205,18 +205,24 @@
     }
 
     /// Takes in how a worker was given up.
-    pub(super) fn take_fall(&mut self, fall: Fall, now: Now, actions: &mut Vec<Action>) {
-        if fall.is_planned {
+    pub(super) fn apply_removal(
+        &mut self,
+        removed: RemovedWorker,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
+        if removed.is_planned {
             return;
         }
-        if let Some(span) = fall.span.filter(|_| fall.is_unexplained) {
-            self.crashes.keep(fall.worker.clone(), span, now.steady_ms);
+        if let Some(span) = removed.span.filter(|_| removed.is_unexplained) {
+            self.crashes
+                .keep(removed.worker.clone(), span, now.steady_ms);
         }
-        for (task, lost_run) in fall.lost_runs {
-            self.record_lost_run(task, lost_run, fall.span, now.steady_ms);
+        for (task, lost_run) in removed.lost_runs {
+            self.record_lost_run(task, lost_run, removed.span, now.steady_ms);
         }
-        if fall.is_replaced {
-            self.settle(&fall.worker, true, now, actions);
+        if removed.is_replaced {
+            self.settle(&removed.worker, true, now, actions);
         }
     }
 
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -71,7 +71,7 @@
             let took_ms = now.steady_ms.saturating_sub(run.started_ms);
             let job = &mut self.jobs[job];
             self.durations
-                .note(&job.submission.queue, run.is_best_effort, took_ms);
+                .add(&job.submission.queue, run.is_best_effort, took_ms);
             if let Some(step) = job.step_mut(task) {
                 step.ended += 1;
                 step.ended_ms += took_ms;
--- a/crates/dispatch/src/owner/evacuating.rs
+++ b/crates/dispatch/src/owner/evacuating.rs
@@ -19,9 +19,9 @@
 
     /// Starts nothing while the rules are so old that a failure domain may have been evacuated
     /// unheard.
-    pub(crate) fn hold_starts(&mut self, holds: bool) {
-        self.must_place |= self.holds_starts && !holds;
-        self.holds_starts = holds;
+    pub(crate) fn pause_starts(&mut self, is_paused: bool) {
+        self.must_place |= self.are_starts_paused && !is_paused;
+        self.are_starts_paused = is_paused;
     }
 
     /// Tells whether a worker gets nothing new, as its failure domain is evacuated.
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -47,7 +47,7 @@
 
 impl DoubtfulStarts {
     /// Notes that an order may be carried out late.
-    pub(super) fn note(&mut self, worker: &str, task: TaskId, run: u32, now_ms: u64) {
+    pub(super) fn add(&mut self, worker: &str, task: TaskId, run: u32, now_ms: u64) {
         let starts = self.by_worker.entry(worker.into()).or_default();
         starts.retain(|start| start.is_open(now_ms));
         starts.push(DoubtfulStart {
@@ -109,7 +109,7 @@
         let now_ms = now.steady_ms;
         let kept = self.split_listed_runs(previous, report);
         self.record_removal(previous, RemovalReason::Restarted, now_ms, actions);
-        let fall = self.describe_fall(previous, RemovalReason::Restarted, now_ms);
+        let removed = self.describe_removal(previous, RemovalReason::Restarted, now_ms);
         let doubtful = self.take_doubtful(previous, now_ms);
         let key = self.begin_incarnation(previous, report, now_ms);
         for (task, number, mut run) in kept {
@@ -134,7 +134,7 @@
         // Connections that were open to the former one may hang.
         let address = self.workers[key].entry.address.clone();
         actions.push(Action::Disconnect { address });
-        self.take_fall(fall, now, actions);
+        self.apply_removal(removed, now, actions);
         self.must_place = true;
         key
     }
@@ -203,7 +203,7 @@
         for ((task, number), run) in &worker.runs {
             if run.phase == RunPhase::Sent {
                 let id = &worker.entry.id;
-                self.doubtful_starts.note(id, *task, *number, now_ms);
+                self.doubtful_starts.add(id, *task, *number, now_ms);
             }
         }
     }
--- a/crates/dispatch/src/owner/job.rs
+++ b/crates/dispatch/src/owner/job.rs
@@ -10,7 +10,7 @@
 use crate::owner::progress::step_progress;
 use crate::owner::task::Task;
 use crate::owner::worker::WorkerKey;
-use crate::policy::ordering::Waiting;
+use crate::policy::ordering::WaitingJob;
 use crate::policy::size::max_tasks;
 use crate::record::JobPhase;
 use crate::record::OccurrenceProgress;
@@ -123,7 +123,7 @@
     /// Time by which its caller would like it done.
     pub(crate) due_ms: u64,
     /// Time after which its end is worth nothing to its caller.
-    pub(crate) worthless_ms: u64,
+    pub(crate) no_value_after_ms: u64,
     pub(crate) final_wall_ms: u64,
     /// Tasks that must wait for nothing but a worker, or `true` if that has to be found out.
     pub(crate) has_waiting: bool,
@@ -155,7 +155,7 @@
             published: record.phase(),
             is_dirty: false,
             due_ms: arrived_ms + allowed_ms,
-            worthless_ms: arrived_ms + allowed_ms * WORTHLESS_FACTOR,
+            no_value_after_ms: arrived_ms + allowed_ms * WORTHLESS_FACTOR,
             final_wall_ms: 0,
             has_waiting: true,
             submission,
@@ -214,9 +214,9 @@
     /// Gives what decides its place in the order of jobs. A job that runs several times is due
     /// anew with each of them: by its first time, all later ones would be long past their
     /// objective, and would wait behind everything else.
-    pub(crate) fn waiting(&self, now: Now) -> Waiting {
+    pub(crate) fn waiting(&self, now: Now) -> WaitingJob {
         let later_ms = self.later_ms(now);
-        Waiting {
+        WaitingJob {
             priority: self.submission.priority,
             is_long_running: self
                 .submission
@@ -225,8 +225,8 @@
                 .any(|step| step.is_long_running),
             has_started: self.phase != JobPhase::Queued,
             due_ms: self.due_ms + later_ms,
-            worthless_ms: self.worthless_ms + later_ms,
-            left_ms: self.left_ms(),
+            no_value_after_ms: self.no_value_after_ms + later_ms,
+            remaining_ms: self.remaining_ms(),
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Gives the time that the longest chain of steps still takes in which tasks wait.
-    fn left_ms(&self) -> u64 {
+    fn remaining_ms(&self) -> u64 {
         let mut longest_ms = 0;
         for occurrence in &self.occurrences {
             let is_left = |number: usize| occurrence.steps[number].waiting > 0;
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -38,7 +38,7 @@
 use crate::appender::Appender;
 use crate::bounds::Bounds;
 use crate::config::WorkerEntry;
-use crate::election::Survey;
+use crate::election::HostSurvey;
 use crate::evacuations::Evacuations;
 use crate::event::Action;
 use crate::event::Now;
@@ -177,7 +177,7 @@
     relays: Sessions,
     /// Orders go over relays where there are any.
     uses_relays: bool,
-    survey: Survey,
+    survey: HostSurvey,
     /// When orders no longer wait for them.
     relays_due_ms: u64,
     images: Images,
@@ -186,7 +186,7 @@
     permits: Permits,
     evacuations: Rc<Evacuations>,
     /// The rules are too old to start anything by.
-    holds_starts: bool,
+    are_starts_paused: bool,
     crashes: Crashes,
     /// Runs that workers have listed and that are no task's own, where they were listed last.
     orphans: HashMap<TaskId, (WorkerKey, u32)>,
@@ -248,14 +248,14 @@
             answers: AnswerLatencies::default(),
             relays: Sessions::new(bounds.descriptors),
             uses_relays: false,
-            survey: Survey::default(),
+            survey: HostSurvey::default(),
             relays_due_ms: 0,
             images: Images::default(),
             interference: InterferenceModel::default(),
             durations: Durations::default(),
             permits: Permits::default(),
             evacuations: Rc::default(),
-            holds_starts: false,
+            are_starts_paused: false,
             crashes: Crashes::default(),
             orphans: HashMap::new(),
             doubtful_starts: DoubtfulStarts::default(),
@@ -274,7 +274,7 @@
         };
         // The time since that record was written is not known, so it is not counted.
         for silent in &recovered.learned.silent {
-            let leases_expired_ms = now.steady_ms + silent.left_ms;
+            let leases_expired_ms = now.steady_ms + silent.remaining_ms;
             owner
                 .silent
                 .insert(silent.worker.as_str().into(), leases_expired_ms);
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -60,7 +60,7 @@
         let Some(job) = job.filter(|_| self.is_confirmed(now_ms)) else {
             return self.drop_start(key, task, number, now_ms);
         };
-        if self.holds_starts || self.is_evacuated(&self.workers[key]) {
+        if self.are_starts_paused || self.is_evacuated(&self.workers[key]) {
             return self.drop_start(key, task, number, now_ms);
         }
         let needs_permits = self.jobs[job].submission.needs_permits();
@@ -142,7 +142,7 @@
             OrderOutcome::Unknown => {
                 run.phase = RunPhase::Doubtful { since_ms: now_ms };
                 let id = &worker.entry.id;
-                self.doubtful_starts.note(id, task, number, now_ms);
+                self.doubtful_starts.add(id, task, number, now_ms);
                 // No further lease is given to a worker that may be dead.
                 self.workers[key].record_missed_answer(now_ms);
             }
--- a/crates/dispatch/src/owner/permits.rs
+++ b/crates/dispatch/src/owner/permits.rs
@@ -153,7 +153,7 @@
             task: step_id.first_task(),
             needs_permits: false,
             suspected_at: None,
-            is_patient: false,
+            waits_for_isolation: false,
         };
         let mut ranked = self.rank_workers(&requirements, now_ms);
         let mut asked = Vec::new();
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -67,7 +67,7 @@
 impl Owner {
     /// Places waiting tasks, the most urgent first.
     pub(crate) fn place(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if self.holds_starts {
+        if self.are_starts_paused {
             return self.record_waits(now.steady_ms);
         }
         if !self.link.admits(CallPriority::Start) {
@@ -164,7 +164,7 @@
                 true => self.suspected_at(first),
                 false => None,
             },
-            is_patient: false,
+            waits_for_isolation: false,
         };
         if step.is_gang {
             return self.place_gang(key, &requirements, now, actions);
@@ -271,17 +271,17 @@
         id: TaskId,
         now_ms: u64,
     ) -> Option<WorkerKey> {
-        let is_patient = self.task(id)?.may_wait_for_isolation(now_ms);
+        let waits_for_isolation = self.task(id)?.may_wait_for_isolation(now_ms);
         let mut probe = TaskRequirements {
             suspected_at: self.suspected_at(id),
-            is_patient,
+            waits_for_isolation,
             ..requirements.clone()
         };
         if let Some(Reverse((_, worker))) = self.rank_workers(&probe, now_ms).pop() {
             return Some(worker);
         }
-        probe.is_patient = false;
-        if is_patient && !self.rank_workers(&probe, now_ms).is_empty() {
+        probe.waits_for_isolation = false;
+        if waits_for_isolation && !self.rank_workers(&probe, now_ms).is_empty() {
             let until_ms = self.jobs[key].task_mut(id)?.wait_for_isolation(now_ms);
             self.wake_ms = self.wake_ms.min(until_ms);
         }
@@ -326,7 +326,7 @@
             task: id,
             needs_permits: submission.needs_permits(),
             suspected_at: self.suspected_at(id),
-            is_patient: false,
+            waits_for_isolation: false,
         };
         let failed_on = self.jobs[key].task_mut(id).and_then(|task| task.failed_on);
         let mut ranked = self.rank_workers(&requirements, now.steady_ms);
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -63,11 +63,11 @@
         let mut dead = Vec::new();
         for key in self.workers.due(now_ms) {
             let worker = &self.workers[key];
-            let is_heard_out = !is_suspect
+            let has_had_its_chances = !is_suspect
                 || !worker.is_listed
                 || worker.misses_after_expiry >= MAX_MISSED_WHILE_SUSPECT;
             let has_expired =
-                worker.may_be_dead() && now_ms > worker.leases_expired_ms && is_heard_out;
+                worker.may_be_dead() && now_ms > worker.leases_expired_ms && has_had_its_chances;
             if worker.is_over() || has_expired && worker.holds_up() {
                 dead.push(key);
             } else if worker.can_be_polled() && now_ms >= worker.next_poll_ms {
@@ -368,7 +368,7 @@
             // Orders of a former owner are refused from this look on.
             RunPhase::Inherited => {
                 let id = &self.workers[key].entry.id;
-                self.doubtful_starts.note(id, task, number, now_ms);
+                self.doubtful_starts.add(id, task, number, now_ms);
                 self.lose_run(key, task, number, now_ms);
             }
             RunPhase::Stopped { since_ms } if sent_ms >= since_ms => {
--- a/crates/dispatch/src/owner/pricing.rs
+++ b/crates/dispatch/src/owner/pricing.rs
@@ -37,7 +37,7 @@
 /// Cost of a worker that is still warming up.
 const COLD_COST: i64 = 50_000;
 /// Cost of a worker on which something else may be the cause of a crash; more than all else.
-const BLURRED_COST: i64 = 1_000_000_000;
+const AMBIGUOUS_COST: i64 = 1_000_000_000;
 /// Cost of each thousandth of a core whose work is lost in a crash; more than that of a worker far
 /// from a task's data, as others would pay for it.
 const AT_STAKE_COST: i64 = 1_000;
@@ -55,7 +55,7 @@
     /// Where the task is suspected to have crashed a worker; `None` if it is not suspected.
     pub(crate) suspected_at: Option<Box<str>>,
     /// It waits for a worker on which nothing else is suspected.
-    pub(crate) is_patient: bool,
+    pub(crate) waits_for_isolation: bool,
 }
 
 impl Owner {
@@ -218,21 +218,21 @@
 /// it until it has shown that it is sound. None is kept from its turn for long: it waits for two
 /// seconds at most, and all else are costs.
 fn risk(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
-    let probes_cost = i64::from(worker.probes) * BLURRED_COST;
+    let probes_cost = i64::from(worker.probes) * AMBIGUOUS_COST;
     let Some(suspected_at) = &requirements.suspected_at else {
         return Some(probes_cost);
     };
-    if worker.probes > 0 && requirements.is_patient {
+    if worker.probes > 0 && requirements.waits_for_isolation {
         return None;
     }
     let suspects = worker.runs.values().filter(|run| run.is_suspect()).count();
     let at_stake_milli =
         worker.used.cpu_milli + worker.best_effort_milli + worker.long_running_milli;
     let same_host_cost = match **suspected_at == *worker.entry.address {
-        true => BLURRED_COST / 2,
+        true => AMBIGUOUS_COST / 2,
         false => 0,
     };
-    Some(suspects as i64 * BLURRED_COST + same_host_cost + at_stake_milli as i64 * AT_STAKE_COST)
+    Some(suspects as i64 * AMBIGUOUS_COST + same_host_cost + at_stake_milli as i64 * AT_STAKE_COST)
 }
 
 /// Lists what the fillers on a worker would like to use.
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -1,8 +1,8 @@
 //! Orders of the owner that go over relays.
 
-use crate::election::Survey;
+use crate::election::HostSurvey;
 use crate::event::Action;
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::Now;
 use crate::event::Reply;
 use crate::event::WorkerCall;
@@ -29,7 +29,7 @@
 impl Owner {
     /// Takes in which hosts there are.
     pub(crate) fn update_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
-        self.survey = Survey::of(hosts);
+        self.survey = HostSurvey::of(hosts);
         self.relays.update_hosts(&self.host, hosts);
     }
 
@@ -113,26 +113,26 @@
         worker.relay_until_ms = now_ms + PASSED_OVER_MS;
     }
 
-    pub(crate) fn handle_relay_opened(&mut self, link: LinkId, now: Now) {
-        self.relays.handle_opened(link, now.steady_ms);
+    pub(crate) fn handle_relay_opened(&mut self, conn: ConnectionId, now: Now) {
+        self.relays.handle_opened(conn, now.steady_ms);
     }
 
-    pub(crate) fn lose_relay(&mut self, link: LinkId, now: Now, actions: &mut Vec<Action>) {
-        let outcomes = self.relays.lose(link, now.steady_ms, actions);
+    pub(crate) fn lose_relay(&mut self, conn: ConnectionId, now: Now, actions: &mut Vec<Action>) {
+        let outcomes = self.relays.lose(conn, now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
     }
 
     /// Takes in what came of relayed orders.
     pub(crate) fn handle_relay_frame(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         bytes: &[u8],
         now: Now,
         actions: &mut Vec<Action>,
     ) {
         let outcomes = self
             .relays
-            .handle_frame(link, bytes, now.steady_ms, actions);
+            .handle_frame(conn, bytes, now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
     }
 
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -94,7 +94,7 @@
 
 impl Durations {
     /// Notes how long a run took that ended well.
-    pub(crate) fn note(&mut self, queue: &str, is_best_effort: bool, took_ms: u64) {
+    pub(crate) fn add(&mut self, queue: &str, is_best_effort: bool, took_ms: u64) {
         let mean_ms = self
             .mean_ms
             .entry((queue.into(), is_best_effort))
@@ -128,7 +128,7 @@
 impl Owner {
     /// Looks for stragglers and starts them elsewhere.
     pub(crate) fn replace_stragglers(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let is_due = now.steady_ms >= self.durations.next_search_ms && !self.holds_starts;
+        let is_due = now.steady_ms >= self.durations.next_search_ms && !self.are_starts_paused;
         if !is_due || !self.bounds.policy.replaces_stragglers {
             return;
         }
@@ -337,7 +337,7 @@
     let Some(projected_ms) = projected_ms(run) else {
         return false;
     };
-    let left_ms = projected_ms * u64::from(100 - run.percent.min(100)) / 100;
+    let remaining_ms = projected_ms * u64::from(100 - run.percent.min(100)) / 100;
     let saved = 100 - u64::from(run.first_percent.min(99));
-    left_ms.saturating_sub(still_ms) > whole_ms * saved / 100 * LEFT_PERCENT / 100 + MOVE_MS
+    remaining_ms.saturating_sub(still_ms) > whole_ms * saved / 100 * LEFT_PERCENT / 100 + MOVE_MS
 }
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -84,7 +84,7 @@
 }
 
 /// A step of an occurrence of which a task waits.
-struct Waiting {
+struct WaitingStep {
     job: JobKey,
     first: TaskId,
     since_ms: u64,
@@ -147,7 +147,7 @@
         }
     }
 
-    fn list_waiting(&self, now_ms: u64) -> Vec<Waiting> {
+    fn list_waiting(&self, now_ms: u64) -> Vec<WaitingStep> {
         let mut list = Vec::new();
         for key in &self.live {
             let job = &self.jobs[*key];
@@ -165,7 +165,7 @@
                         step: number as u16,
                         index: 0,
                     };
-                    list.push(Waiting {
+                    list.push(WaitingStep {
                         job: *key,
                         first,
                         since_ms,
@@ -179,7 +179,7 @@
     /// Gives the first task of a step that waits, and what for.
     fn find_wait_reason(
         &self,
-        waiting: &Waiting,
+        waiting: &WaitingStep,
         step: &Step,
         now_ms: u64,
     ) -> (TaskId, WaitReason) {
@@ -189,7 +189,7 @@
         });
         let is_waiting = |id: &TaskId| self.task(*id).is_some_and(|task| task.is_waiting());
         let id = tasks.clone().find(is_waiting).unwrap_or(waiting.first);
-        if self.holds_starts {
+        if self.are_starts_paused {
             return (id, WaitReason::Rules);
         }
         if !self.link.has_room(CallPriority::Start) {
@@ -230,7 +230,7 @@
     }
 
     /// Tells whether only evacuated failure domains have workers that could take a step.
-    fn is_evacuation_in_the_way(&self, waiting: &Waiting, step: &Step, now_ms: u64) -> bool {
+    fn is_evacuation_in_the_way(&self, waiting: &WaitingStep, step: &Step, now_ms: u64) -> bool {
         if self.evacuations.is_empty() {
             return false;
         }
@@ -239,7 +239,7 @@
     }
 
     /// Counts the workers of the service by what keeps the task from them.
-    fn count_exclusions(&self, waiting: &Waiting, step: &Step, now_ms: u64) -> WorkerCounts {
+    fn count_exclusions(&self, waiting: &WaitingStep, step: &Step, now_ms: u64) -> WorkerCounts {
         let submission = &self.jobs[waiting.job].submission;
         let requirements = TaskRequirements {
             step,
@@ -248,7 +248,7 @@
             task: waiting.first,
             needs_permits: submission.needs_permits(),
             suspected_at: None,
-            is_patient: false,
+            waits_for_isolation: false,
         };
         let mut counts = WorkerCounts::default();
         for (key, worker) in &self.workers {
--- a/crates/dispatch/src/owner/worker_removal.rs
+++ b/crates/dispatch/src/owner/worker_removal.rs
@@ -22,7 +22,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.record_removal(key, removal_reason, now.steady_ms, actions);
-        let fall = self.describe_fall(key, removal_reason, now.steady_ms);
+        let removed = self.describe_removal(key, removal_reason, now.steady_ms);
         self.record_unanswered(key, now.steady_ms);
         let runs: Vec<(TaskId, u32)> = self.workers[key].runs.keys().copied().collect();
         for (task, run) in runs {
@@ -47,7 +47,7 @@
             let key = self.workers.insert(again);
             self.worker_keys.insert(id, key);
         }
-        self.take_fall(fall, now, actions);
+        self.apply_removal(removed, now, actions);
         self.must_place = true;
     }
 }
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -232,7 +232,7 @@
             worker.is_recorded_silent = true;
             silent.push(SilentWorker {
                 worker: worker.entry.id.to_string(),
-                left_ms: worker.leases_expired_ms.saturating_sub(now_ms),
+                remaining_ms: worker.leases_expired_ms.saturating_sub(now_ms),
             });
         }
         Learned {
--- a/crates/dispatch/src/policy/answer_timeouts.rs
+++ b/crates/dispatch/src/policy/answer_timeouts.rs
@@ -54,15 +54,15 @@
 impl AnswerLatencies {
     /// Notes an answer that came so long after the worker could have given it.
     pub fn record_answer(&mut self, late_ms: u64, now_ms: u64) {
-        self.note(Some(late_ms), now_ms);
+        self.add(Some(late_ms), now_ms);
     }
 
     /// Notes that an answer was given up.
     pub fn record_missing(&mut self, now_ms: u64) {
-        self.note(None, now_ms);
+        self.add(None, now_ms);
     }
 
-    fn note(&mut self, late_ms: Option<u64>, now_ms: u64) {
+    fn add(&mut self, late_ms: Option<u64>, now_ms: u64) {
         let at_ms = now_ms;
         self.outcomes.push_back(Outcome { at_ms, late_ms });
         if self.outcomes.len() > MAX_KEPT {
--- a/crates/dispatch/src/policy/ordering.rs
+++ b/crates/dispatch/src/policy/ordering.rs
@@ -17,7 +17,7 @@
 
 /// What is known of a job that waits.
 #[derive(Debug, Clone, Copy)]
-pub struct Waiting {
+pub struct WaitingJob {
     /// Priority of its queue; 0 comes first.
     pub priority: u32,
     /// It has tasks that last until it is cancelled.
@@ -27,9 +27,9 @@
     /// Time by which its caller would like it done.
     pub due_ms: u64,
     /// Time after which its end is worth nothing to its caller.
-    pub worthless_ms: u64,
+    pub no_value_after_ms: u64,
     /// Time that the longest chain of its steps still takes, undisturbed.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
 }
 
 /// A job's place in the order; the least comes first.
@@ -39,7 +39,7 @@
 /// from ever running again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    is_worthless: bool,
+    has_no_value: bool,
     priority: u32,
     is_finite: bool,
     is_late: bool,
@@ -49,10 +49,10 @@
 
 impl Urgency {
     /// Gives the place of a job that waits at `now_ms`.
-    pub fn new(job: &Waiting, policy: &Policy, now_ms: u64) -> Self {
-        let fits = now_ms + job.left_ms <= job.due_ms;
+    pub fn new(job: &WaitingJob, policy: &Policy, now_ms: u64) -> Self {
+        let fits = now_ms + job.remaining_ms <= job.due_ms;
         Self {
-            is_worthless: now_ms > job.worthless_ms && !job.is_long_running,
+            has_no_value: now_ms > job.no_value_after_ms && !job.is_long_running,
             priority: job.priority,
             is_finite: !job.is_long_running,
             is_late: !fits && !job.is_long_running && policy.feasible_first,
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -11,7 +11,7 @@
 /// the keys of all jobs, so that it can be read without them.
 pub(crate) const OWNER_KEY: &str = "~owner";
 /// All keys of jobs come before this one.
-pub(crate) const BEHIND_JOBS: &str = "~";
+pub(crate) const AFTER_JOBS: &str = "~";
 /// Key of what the owner has learned, in the stream of progress.
 pub(crate) const LEARNED_KEY: &str = "learned";
 
@@ -328,7 +328,7 @@
     pub(crate) worker: String,
     /// Time after this record was written by which all that ran there has ended.
     #[prost(uint64, tag = "2")]
-    pub(crate) left_ms: u64,
+    pub(crate) remaining_ms: u64,
 }
 
 /// What was learned of one served image.
--- a/crates/dispatch/src/relay/inquiry.rs
+++ b/crates/dispatch/src/relay/inquiry.rs
@@ -1,6 +1,6 @@
 //! What hosts ask the owner over its connections to them, as rows of frames and back.
 
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::Reply;
 use crate::ids::JobId;
 use crate::job_table::JobState;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Asker {
     /// The owner's connection to it.
-    pub(crate) link: LinkId,
+    pub(crate) conn: ConnectionId,
     /// Number by which it knows the question.
     pub(crate) ticket: u64,
 }
@@ -58,14 +58,14 @@
     }
 }
 
-pub(super) fn inquiry(link: LinkId, row: QuestionRow) -> Inquiry {
+pub(super) fn inquiry(conn: ConnectionId, row: QuestionRow) -> Inquiry {
     let subject = match row.job {
         Some(job) => Subject::State(JobId(job)),
         None => Subject::Waiting(row.queue.into()),
     };
     let ticket = row.ticket;
     Inquiry {
-        asker: Asker { link, ticket },
+        asker: Asker { conn, ticket },
         subject,
     }
 }
--- a/crates/dispatch/src/relay/peer.rs
+++ b/crates/dispatch/src/relay/peer.rs
@@ -1,6 +1,6 @@
 //! One relay as its owner knows it: the connection, and what it was told over that.
 
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::WorkerCall;
 use crate::ids::JobId;
 use crate::relay::frames::JobText;
@@ -21,7 +21,7 @@
     /// There is none; one may be opened from then on.
     Closed { retry_ms: u64 },
     /// It is being opened, or the first orders are on their way.
-    Open { link: LinkId },
+    Open { conn: ConnectionId },
 }
 
 /// What a number in frames stands for.
@@ -75,7 +75,7 @@
     }
 
     /// Forgets the connection, and gives it if there was one.
-    pub(super) fn close(&mut self, retry_ms: u64) -> Option<LinkId> {
+    pub(super) fn close(&mut self, retry_ms: u64) -> Option<ConnectionId> {
         let phase = std::mem::replace(&mut self.phase, Phase::Closed { retry_ms });
         self.is_connected = false;
         self.is_leaving = false;
@@ -84,7 +84,7 @@
         self.texts.clear();
         self.frame = OrdersFrame::default();
         match phase {
-            Phase::Open { link } => Some(link),
+            Phase::Open { conn } => Some(conn),
             Phase::Closed { .. } => None,
         }
     }
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -3,7 +3,7 @@
 
 use crate::evacuations::Evacuations;
 use crate::event::Action;
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::OrderOutcome;
 use crate::event::WorkerCall;
 use crate::ids::JobId;
@@ -55,9 +55,9 @@
 /// Orders of owners under way at this host.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
-    sessions: BTreeMap<LinkId, Session>,
+    sessions: BTreeMap<ConnectionId, Session>,
     /// By the ticket of this host: whose they are, and their tickets there.
-    orders: HashMap<u64, (LinkId, u64)>,
+    orders: HashMap<u64, (ConnectionId, u64)>,
     answers: Vec<Answer>,
     is_leaving: bool,
 }
@@ -66,7 +66,7 @@
     /// Takes in orders of an owner.
     pub(crate) fn handle_frame(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         bytes: &[u8],
         evacuations: &Evacuations,
         now_ms: u64,
@@ -82,12 +82,12 @@
                     "relayed orders",
                     format!("step=decode why={error}"),
                 )));
-                actions.push(Action::CloseLink { link });
-                self.lose(link);
+                actions.push(Action::CloseConnection { conn });
+                self.lose(conn);
                 return;
             }
         };
-        let session = self.sessions.entry(link).or_default();
+        let session = self.sessions.entry(conn).or_default();
         session.token = frame.token;
         session.heard_ms = now_ms;
         self.answers.extend(frame.answers.iter().map(answer));
@@ -106,20 +106,20 @@
             session.texts.insert(JobId(text.job), text.text.into());
         }
         for row in &frame.orders {
-            self.handle_order_outcome(link, frame.token, row, evacuations, tickets, actions);
+            self.handle_order_outcome(conn, frame.token, row, evacuations, tickets, actions);
         }
     }
 
     fn handle_order_outcome(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         token: u64,
         row: &OrderRow,
         evacuations: &Evacuations,
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        let Some(session) = self.sessions.get_mut(&link) else {
+        let Some(session) = self.sessions.get_mut(&conn) else {
             return;
         };
         let call = order_call(row, |job| session.texts.get(&job).cloned());
@@ -140,7 +140,7 @@
             return;
         }
         *tickets += 1;
-        self.orders.insert(*tickets, (link, row.ticket));
+        self.orders.insert(*tickets, (conn, row.ticket));
         actions.push(Action::Order {
             ticket: *tickets,
             address: name.address.clone(),
@@ -153,10 +153,10 @@
 
     /// Takes in the end of an order, and tells whether it was one of an owner.
     pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: &OrderOutcome) -> bool {
-        let Some((link, ordered)) = self.orders.remove(&ticket) else {
+        let Some((conn, ordered)) = self.orders.remove(&ticket) else {
             return false;
         };
-        if let Some(session) = self.sessions.get_mut(&link) {
+        if let Some(session) = self.sessions.get_mut(&conn) {
             session.outcomes.push(outcome_row(ordered, outcome));
         }
         true
@@ -164,21 +164,21 @@
 
     /// Gives the connection of the owner that lives, if one does as far as its host is heard. An
     /// owner with an older token than the given one has a successor.
-    pub(crate) fn owner_link(&self, token: u64, now_ms: u64) -> Option<LinkId> {
-        let mut found: Option<(u64, LinkId)> = None;
-        for (link, session) in &self.sessions {
+    pub(crate) fn owner_connection(&self, token: u64, now_ms: u64) -> Option<ConnectionId> {
+        let mut found: Option<(u64, ConnectionId)> = None;
+        for (conn, session) in &self.sessions {
             let is_heard = now_ms <= session.heard_ms + SILENCE_MS;
             let is_newer = found.is_none_or(|(newest, _)| session.token > newest);
             if is_heard && session.token >= token && is_newer {
-                found = Some((session.token, *link));
+                found = Some((session.token, *conn));
             }
         }
-        found.map(|(_, link)| link)
+        found.map(|(_, conn)| conn)
     }
 
     /// Asks an owner.
-    pub(crate) fn ask(&mut self, link: LinkId, ticket: u64, subject: Subject) {
-        if let Some(session) = self.sessions.get_mut(&link) {
+    pub(crate) fn ask(&mut self, conn: ConnectionId, ticket: u64, subject: Subject) {
+        if let Some(session) = self.sessions.get_mut(&conn) {
             session.questions.push(question_row(ticket, subject));
         }
     }
@@ -194,13 +194,13 @@
     }
 
     /// Forgets an owner whose link is gone. What it ordered goes on.
-    pub(crate) fn lose(&mut self, link: LinkId) {
-        self.sessions.remove(&link);
+    pub(crate) fn lose(&mut self, conn: ConnectionId) {
+        self.sessions.remove(&conn);
     }
 
     /// Tells owners what came of their orders, and asks them.
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
-        for (link, session) in &mut self.sessions {
+        for (conn, session) in &mut self.sessions {
             let has_news = self.is_leaving && !session.was_told_leaving;
             if session.outcomes.is_empty() && session.questions.is_empty() && !has_news {
                 continue;
@@ -212,7 +212,7 @@
                 is_leaving: self.is_leaving,
             };
             actions.push(Action::SendFrame {
-                link: *link,
+                conn: *conn,
                 bytes: frame.encode_to_vec().into(),
             });
         }
--- a/crates/dispatch/src/relay/sessions.rs
+++ b/crates/dispatch/src/relay/sessions.rs
@@ -1,7 +1,7 @@
 //! The owner's connections to relays, and the orders under way over them.
 
 use crate::event::Action;
-use crate::event::LinkId;
+use crate::event::ConnectionId;
 use crate::event::OrderOutcome;
 use crate::event::Reply;
 use crate::event::WorkerCall;
@@ -78,7 +78,7 @@
     max_peers: usize,
     peers: SlotMap<RelayKey, Peer>,
     keys: HashMap<Box<str>, RelayKey>,
-    links: HashMap<LinkId, RelayKey>,
+    conns: HashMap<ConnectionId, RelayKey>,
     flights: BTreeMap<u64, Flight>,
     /// When which of them is overdue.
     due: BTreeSet<(u64, u64)>,
@@ -99,7 +99,7 @@
             max_peers: (descriptors / DESCRIPTORS_SHARE) as usize,
             peers: SlotMap::with_key(),
             keys: HashMap::new(),
-            links: HashMap::new(),
+            conns: HashMap::new(),
             flights: BTreeMap::new(),
             due: BTreeSet::new(),
             selections: HashMap::new(),
@@ -146,20 +146,20 @@
                 continue;
             }
             *tickets += 1;
-            let link = LinkId(*tickets);
-            peer.phase = Phase::Open { link };
+            let conn = ConnectionId(*tickets);
+            peer.phase = Phase::Open { conn };
             peer.heard_ms = now_ms;
-            self.links.insert(link, key);
-            actions.push(Action::OpenLink {
-                link,
+            self.conns.insert(conn, key);
+            actions.push(Action::OpenConnection {
+                conn,
                 address: peer.address.clone(),
             });
         }
     }
 
     /// Notes that a connection was made.
-    pub(crate) fn handle_opened(&mut self, link: LinkId, now_ms: u64) {
-        let Some(key) = self.links.get(&link).copied() else {
+    pub(crate) fn handle_opened(&mut self, conn: ConnectionId, now_ms: u64) {
+        let Some(key) = self.conns.get(&conn).copied() else {
             return;
         };
         let peer = &mut self.peers[key];
@@ -174,7 +174,7 @@
 
     /// Tells whether connections to relays are being made and none takes orders yet.
     pub(crate) fn are_all_opening(&self) -> bool {
-        !self.links.is_empty() && self.usable == 0
+        !self.conns.is_empty() && self.usable == 0
     }
 
     /// Tells how many relays take orders.
@@ -255,7 +255,7 @@
 
     /// Answers a host, if its connection is still there.
     pub(crate) fn answer(&mut self, asker: Asker, reply: &Reply) {
-        if let Some(key) = self.links.get(&asker.link) {
+        if let Some(key) = self.conns.get(&asker.conn) {
             let row = answer_row(asker.ticket, reply);
             self.peers[*key].frame.answers.push(row);
         }
@@ -264,7 +264,7 @@
     /// Sends what is to be said in this turn, and signs of life where nothing was for a while.
     pub(crate) fn flush(&mut self, token: u64, now_ms: u64, actions: &mut Vec<Action>) {
         for peer in self.peers.values_mut() {
-            let Phase::Open { link } = peer.phase else {
+            let Phase::Open { conn } = peer.phase else {
                 continue;
             };
             let is_quiet = !peer.is_connected || now_ms < peer.told_ms + HEARTBEAT_GAP_MS;
@@ -275,7 +275,7 @@
             peer.frame.token = token;
             let frame = std::mem::take(&mut peer.frame);
             actions.push(Action::SendFrame {
-                link,
+                conn,
                 bytes: frame.encode_to_vec().into(),
             });
         }
@@ -284,12 +284,12 @@
     /// Takes in what came of orders, if the link is one of these.
     pub(crate) fn handle_frame(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         bytes: &[u8],
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) -> Vec<RelayedOutcome> {
-        let Some(key) = self.links.get(&link).copied() else {
+        let Some(key) = self.conns.get(&conn).copied() else {
             return Vec::new();
         };
         let frame = match OutcomesFrame::decode(bytes) {
@@ -308,7 +308,7 @@
             self.peers[key].is_leaving = true;
         }
         for row in frame.questions {
-            self.inquiries.push(inquiry(link, row));
+            self.inquiries.push(inquiry(conn, row));
         }
         let mut outcomes = Vec::with_capacity(frame.outcomes.len());
         for row in frame.outcomes {
@@ -326,11 +326,11 @@
     /// Gives the ends of orders that went with a connection.
     pub(crate) fn lose(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) -> Vec<RelayedOutcome> {
-        match self.links.get(&link).copied() {
+        match self.conns.get(&conn).copied() {
             Some(key) => self.drop_peer(key, now_ms, actions),
             None => Vec::new(),
         }
@@ -381,9 +381,9 @@
         let unsent: HashSet<u64> = peer.frame.orders.iter().map(|row| row.ticket).collect();
         let retry_ms = RETRY_MS << peer.failures.min(MAX_DOUBLINGS);
         peer.failures += u32::from(!was_connected);
-        if let Some(link) = peer.close(now_ms + retry_ms) {
-            self.links.remove(&link);
-            actions.push(Action::CloseLink { link });
+        if let Some(conn) = peer.close(now_ms + retry_ms) {
+            self.conns.remove(&conn);
+            actions.push(Action::CloseConnection { conn });
         }
         let mut outcomes = Vec::new();
         for (ticket, flight) in &self.flights {
@@ -415,11 +415,11 @@
     /// Closes all connections, as the owner ends.
     pub(crate) fn close(&mut self, actions: &mut Vec<Action>) {
         for peer in self.peers.values_mut() {
-            if let Some(link) = peer.close(0) {
-                actions.push(Action::CloseLink { link });
+            if let Some(conn) = peer.close(0) {
+                actions.push(Action::CloseConnection { conn });
             }
         }
-        self.links.clear();
+        self.conns.clear();
         self.flights.clear();
         self.due.clear();
         self.selections.clear();
--- a/crates/dispatch/src/tail/mod.rs
+++ b/crates/dispatch/src/tail/mod.rs
@@ -69,7 +69,7 @@
 pub(crate) struct Tail {
     stream: Stream,
     /// Loads bring the keys behind this one; all if it is empty.
-    behind: Box<str>,
+    after_key: Box<str>,
     /// Offset from which to read on; `None` until loaded.
     next: Option<u64>,
     /// While loading: records so far, where the stream ended first, last key.
@@ -95,14 +95,14 @@
 impl Tail {
     /// Makes the tail of a whole stream. The salt must differ between hosts.
     pub(crate) fn new(stream: Stream, salt: u64) -> Self {
-        Self::behind(stream, "", salt)
+        Self::after_key(stream, "", salt)
     }
 
     /// Makes the tail of a stream of which only keys behind the given one are loaded.
-    pub(crate) fn behind(stream: Stream, key: &str, salt: u64) -> Self {
+    pub(crate) fn after_key(stream: Stream, key: &str, salt: u64) -> Self {
         Self {
             stream,
-            behind: key.into(),
+            after_key: key.into(),
             next: None,
             loading: None,
             loads: Vec::new(),
@@ -208,7 +208,7 @@
         }
         let after = match &self.loading {
             Some((_, _, last)) => last.clone(),
-            None => self.behind.clone(),
+            None => self.after_key.clone(),
         };
         *tickets += 1;
         self.loads.push(Flight::new(*tickets, now_ms, 0));
@@ -221,7 +221,7 @@
     }
 
     /// Reads at once, unless a read sent at `since_ms` or later is under way.
-    pub(crate) fn prompt(
+    pub(crate) fn read_now(
         &mut self,
         since_ms: u64,
         now_ms: u64,
@@ -233,7 +233,7 @@
     }
 
     /// Reads at once, unless a read sent after the given ticket is under way.
-    pub(crate) fn prompt_after(
+    pub(crate) fn read_now_after(
         &mut self,
         ticket: u64,
         now_ms: u64,
@@ -246,7 +246,7 @@
 
     /// Keeps one read under way that waits for a record. One from before the store's return may
     /// have been dropped there, and is not counted.
-    pub(crate) fn listen(
+    pub(crate) fn long_poll(
         &mut self,
         wait_ms: u64,
         now_ms: u64,
--- a/tests/fleet/carrying.rs
+++ b/tests/fleet/carrying.rs
@@ -132,9 +132,9 @@
                 }
                 self.replies.insert(request, reply);
             }
-            Action::OpenLink { link, address } => self.open_link(number, link, &address),
-            Action::SendFrame { link, bytes } => self.send_frame(number, link, bytes),
-            Action::CloseLink { link } => self.close_link(number, link),
+            Action::OpenConnection { conn, address } => self.connect(number, conn, &address),
+            Action::SendFrame { conn, bytes } => self.send_frame(number, conn, bytes),
+            Action::CloseConnection { conn } => self.disconnect(number, conn),
             Action::Note(note) => self.take_note(&note),
             Action::Disconnect { .. } | Action::Configured => {}
         }
--- a/tests/fleet/peers.rs
+++ b/tests/fleet/peers.rs
@@ -3,15 +3,15 @@
 use crate::fleet::CALL_MS;
 use crate::fleet::Delivery;
 use crate::fleet::Fleet;
+use goldcrestway_dispatch::ConnectionId;
 use goldcrestway_dispatch::Event;
-use goldcrestway_dispatch::LinkId;
 
 /// One end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct End {
     host: usize,
     life: u64,
-    link: LinkId,
+    conn: ConnectionId,
 }
 
 /// A connection.
@@ -32,8 +32,8 @@
 
 impl Peers {
     /// Gives the other end, unless the connection has gone silent.
-    fn other(&self, host: usize, life: u64, link: LinkId) -> Option<End> {
-        let own = End { host, life, link };
+    fn other(&self, host: usize, life: u64, conn: ConnectionId) -> Option<End> {
+        let own = End { host, life, conn };
         for pair in self.pairs.iter().filter(|pair| !pair.is_silent) {
             if pair.one == own {
                 return Some(pair.two);
@@ -52,12 +52,12 @@
 }
 
 impl Fleet {
-    pub(super) fn open_link(&mut self, number: usize, link: LinkId, address: &str) {
+    pub(super) fn connect(&mut self, number: usize, conn: ConnectionId, address: &str) {
         let life = self.hosts[number].life;
         let own = End {
             host: number,
             life,
-            link,
+            conn,
         };
         let count = self.hosts.len();
         let target = (0..count).find(|other| *relay_address(*other) == *address);
@@ -68,24 +68,24 @@
                 let other = End {
                     host,
                     life: self.hosts[host].life,
-                    link: LinkId::incoming(self.peers.opened),
+                    conn: ConnectionId::incoming(self.peers.opened),
                 };
                 self.peers.pairs.push(Pair {
                     one: own,
                     two: other,
                     is_silent: false,
                 });
-                Event::LinkOpened { link }
+                Event::ConnectionOpened { conn }
             }
-            None => Event::LinkLost { link },
+            None => Event::ConnectionLost { conn },
         };
         let delivery = Delivery::ToEntry(number, life, event);
         self.deliveries.push((self.now_ms + CALL_MS, delivery));
     }
 
-    pub(super) fn send_frame(&mut self, number: usize, link: LinkId, bytes: Box<[u8]>) {
+    pub(super) fn send_frame(&mut self, number: usize, conn: ConnectionId, bytes: Box<[u8]>) {
         let life = self.hosts[number].life;
-        let Some(other) = self.peers.other(number, life, link) else {
+        let Some(other) = self.peers.other(number, life, conn) else {
             return;
         };
         self.frame_bytes += bytes.len() as u64;
@@ -93,7 +93,7 @@
         let out_ms = self.hosts[number].sending_ms(self.now_ms, length);
         let in_ms = self.hosts[other.host].receiving_ms(self.now_ms + out_ms, length);
         let event = Event::Frame {
-            link: other.link,
+            conn: other.conn,
             bytes,
         };
         let at_ms = self.now_ms + CALL_MS + out_ms + in_ms;
@@ -101,15 +101,15 @@
         self.deliveries.push((at_ms, delivery));
     }
 
-    pub(super) fn close_link(&mut self, number: usize, link: LinkId) {
+    pub(super) fn disconnect(&mut self, number: usize, conn: ConnectionId) {
         let life = self.hosts[number].life;
-        if let Some(other) = self.peers.other(number, life, link) {
+        if let Some(other) = self.peers.other(number, life, conn) {
             self.tell_lost(other);
         }
         let own = End {
             host: number,
             life,
-            link,
+            conn,
         };
         self.peers
             .pairs
@@ -139,7 +139,7 @@
     }
 
     fn tell_lost(&mut self, end: End) {
-        let event = Event::LinkLost { link: end.link };
+        let event = Event::ConnectionLost { conn: end.conn };
         let delivery = Delivery::ToEntry(end.host, end.life, event);
         self.deliveries.push((self.now_ms + CALL_MS, delivery));
     }
--- a/tests/policy_ordering.rs
+++ b/tests/policy_ordering.rs
@@ -2,49 +2,49 @@
 
 use goldcrestway_dispatch::policy::Policy;
 use goldcrestway_dispatch::policy::ordering::Urgency;
-use goldcrestway_dispatch::policy::ordering::Waiting;
+use goldcrestway_dispatch::policy::ordering::WaitingJob;
 use googletest::prelude::*;
 
 const NOW_MS: u64 = 100_000;
 
 /// A job of best-effort tasks that can still make its objective.
-const JOB: Waiting = Waiting {
+const JOB: WaitingJob = WaitingJob {
     priority: 2,
     is_long_running: false,
     has_started: false,
     due_ms: NOW_MS + 6_000,
-    worthless_ms: NOW_MS + 22_000,
-    left_ms: 3_400,
+    no_value_after_ms: NOW_MS + 22_000,
+    remaining_ms: 3_400,
 };
 
 /// Two jobs, the first of which is to go first.
 struct Case {
     name: &'static str,
-    first: Waiting,
-    second: Waiting,
+    first: WaitingJob,
+    second: WaitingJob,
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "one that can still make it before one that can't",
         first: JOB,
-        second: Waiting {
+        second: WaitingJob {
             due_ms: NOW_MS + 3_000,
             ..JOB
         },
     },
     Case {
         name: "one whose last step is short can still make it",
-        first: Waiting {
+        first: WaitingJob {
             due_ms: NOW_MS + 3_000,
-            left_ms: 1_700,
+            remaining_ms: 1_700,
             ..JOB
         },
         second: JOB,
     },
     Case {
         name: "one that has begun before one that has not",
-        first: Waiting {
+        first: WaitingJob {
             has_started: true,
             due_ms: NOW_MS + 7_000,
             ..JOB
@@ -54,14 +54,14 @@
     Case {
         name: "the first due of equals",
         first: JOB,
-        second: Waiting {
+        second: WaitingJob {
             due_ms: NOW_MS + 6_001,
             ..JOB
         },
     },
     Case {
         name: "a late one of a more urgent queue before all of this one",
-        first: Waiting {
+        first: WaitingJob {
             priority: 0,
             due_ms: NOW_MS,
             ..JOB
@@ -70,23 +70,23 @@
     },
     Case {
         name: "a late one before one that is worth nothing any more",
-        first: Waiting {
+        first: WaitingJob {
             due_ms: NOW_MS,
             ..JOB
         },
-        second: Waiting {
+        second: WaitingJob {
             priority: 0,
             due_ms: 0,
-            worthless_ms: NOW_MS - 1,
+            no_value_after_ms: NOW_MS - 1,
             ..JOB
         },
     },
     Case {
         name: "one that lasts is never late",
-        first: Waiting {
+        first: WaitingJob {
             is_long_running: true,
             due_ms: 0,
-            worthless_ms: 0,
+            no_value_after_ms: 0,
             ..JOB
         },
         second: JOB,
@@ -113,17 +113,17 @@
 fn half_of_an_overload_of_two_ends_in_time() {
     const WORK_MS: u64 = 2_000;
     const ALLOWED_MS: u64 = 5_000;
-    let mut waiting: Vec<Waiting> = Vec::new();
+    let mut waiting: Vec<WaitingJob> = Vec::new();
     let policy = Policy::default();
     let mut in_time = 0;
     let mut came = 0;
     for now_ms in (0_u64..60_000).step_by(WORK_MS as usize) {
         for came_ms in [now_ms.saturating_sub(1_000), now_ms] {
             came += 1;
-            waiting.push(Waiting {
+            waiting.push(WaitingJob {
                 due_ms: came_ms + ALLOWED_MS,
-                worthless_ms: came_ms + 3 * ALLOWED_MS,
-                left_ms: WORK_MS,
+                no_value_after_ms: came_ms + 3 * ALLOWED_MS,
+                remaining_ms: WORK_MS,
                 ..JOB
             });
         }
