--- a/crates/dispatch/src/appender.rs
+++ b/crates/dispatch/src/appender.rs
@@ -1,4 +1,4 @@
-//! Appends to one stream under an epoch, one after the other.
+//! Fenced appends to one stream, one at a time.
 
 use crate::event::Action;
 use crate::event::AppendOutcome;
@@ -6,19 +6,20 @@
 use crate::event::Stream;
 use crate::owner::records_bytes;
 
-/// Signs of life while nothing else is to be said. Followers claim after three missing ones.
+/// Interval of heartbeats while there is nothing else to append. Followers claim ownership after
+/// three missing ones.
 pub(crate) const HEARTBEAT_MS: u64 = 250;
-/// Time after which an append without an answer is repeated. The store answers in 4 ms,
+/// Time after which an append without an answer is retried. The store answers in 4 ms,
 /// and in 240 ms when it is sixty times slower.
 const APPEND_TIMEOUT_MS: u64 = 700;
-/// Pause before a refused append is repeated.
+/// Pause before a refused append is retried.
 const RETRY_MS: u64 = 60;
 
 /// Keys and values.
 pub(crate) type Records = Vec<(Box<str>, Box<[u8]>)>;
 
-/// Appends to one stream: one at a time, so that their order is that of the log. A repeat
-/// has the sequence number of the first try, which makes it harmless.
+/// Appends to one stream, one at a time, so that their order is that of the log. A retry has the
+/// sequence number of the first attempt, so a duplicate has no effect.
 #[derive(Debug)]
 pub(crate) struct Appender {
     stream: Stream,
@@ -88,8 +89,8 @@
         });
     }
 
-    /// Takes in the end of an append. Gives `None` if it is none of this lane, else whether
-    /// its records are stored.
+    /// Handles the outcome of an append. Gives `None` if this appender did not send it, else
+    /// whether its records are stored.
     pub(crate) fn take(
         &mut self,
         ticket: u64,
--- a/crates/dispatch/src/bounds.rs
+++ b/crates/dispatch/src/bounds.rs
@@ -1,35 +1,35 @@
-//! Times that the platform's operators have agreed on, and the project's own.
+//! Limits agreed with the platform's operators, and the scheduler's own.
 
 use crate::policy::Policy;
 
-/// Bounds that differ between deployments.
+/// Limits that differ between deployments.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bounds {
     /// Longest lease of a task that a worker grants.
     pub max_lease_ms: u64,
-    /// Time for which the state of a finished job must be told.
+    /// Time for which callers can query the state of a finished job.
     pub status_ms: u64,
     /// How early a scheduled occurrence may start.
     pub early_ms: u64,
-    /// Time for which a served user may wait too long before it counts as harm.
+    /// Time for which a service may exceed its latency target before it counts as harm to users.
     pub harm_ms: u64,
-    /// Time after its acknowledgement by which a version of the rules decides everywhere.
+    /// Time after its acknowledgement by which all hosts apply a version of the rules.
     pub rules_in_force_ms: u64,
-    /// Time after its acknowledgement from which on an evacuated failure domain gets nothing new.
+    /// Time after its acknowledgement by which an evacuated failure domain gets no new tasks.
     pub evacuation_ms: u64,
     /// Share of a core that this host has, in thousandths. Hosts with more claim first.
     pub cpu_permille: u64,
-    /// What this host's link carries each way.
+    /// Bandwidth of this host's link in each direction.
     pub link_bytes_per_s: u64,
-    /// Files and connections that this host may have open.
+    /// File descriptors that this host may have open.
     pub descriptors: u64,
-    /// Where other hosts reach this one, to have their orders relayed; empty if nowhere.
+    /// Address at which this host relays orders of other hosts; empty if it does not.
     pub relay_address: Box<str>,
-    /// Largest record that the store takes.
+    /// Largest record that the store accepts.
     pub max_record_bytes: u64,
-    /// Parts of the stream of jobs. All hosts must use the same number.
+    /// Partitions of the stream of jobs. All hosts must use the same number.
     pub job_partitions: u8,
-    /// Which mechanisms are in use.
+    /// Mechanisms that are enabled.
     pub policy: Policy,
 }
 
--- a/crates/dispatch/src/config.rs
+++ b/crates/dispatch/src/config.rs
@@ -1,8 +1,8 @@
-//! The operator's rules and the list of workers, in the product's words.
+//! The operator's rules and the entries of workers, as decoded from the platform's streams.
 
 use crate::incarnation::Incarnation;
 
-/// Resources: what a task asks for, or what a worker has.
+/// Resources that a task requests, or that a worker has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Resources {
     /// Processor time in thousandths of a core.
@@ -14,14 +14,14 @@
 }
 
 impl Resources {
-    /// Tells whether `requested` fits in.
+    /// Tells whether `requested` fits into these resources.
     pub fn can_fit(self, requested: Resources) -> bool {
         self.cpu_milli >= requested.cpu_milli
             && self.memory_mb >= requested.memory_mb
             && self.accelerators >= requested.accelerators
     }
 
-    /// Adds up.
+    /// Adds the resources.
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli + other.cpu_milli,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes away, down to nothing.
+    /// Subtracts the resources, saturating at zero.
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -40,7 +40,7 @@
     }
 }
 
-/// A queue of jobs: where callers reach it and how its jobs are treated.
+/// A queue of jobs: where callers reach it, and how its jobs are scheduled.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Queue {
     /// Its name.
@@ -51,43 +51,43 @@
     pub path_prefix: Box<str>,
     /// Service whose workers run its tasks.
     pub service: Box<str>,
-    /// 0 comes first.
+    /// Priority of its jobs; 0 comes first.
     pub priority: u32,
-    /// Runs of a task that may fail.
+    /// Failed runs of a task after which its job fails.
     pub max_attempts: u32,
-    /// How many times its longest chain of work a job may take, in thousandths.
+    /// Time that a job may take as a multiple of its longest chain of steps, in thousandths.
     pub stretch_permille: u64,
-    /// Time on top of that.
+    /// Time allowed in addition.
     pub target_latency_ms: u64,
-    /// Its policy lets only some workers run a step.
+    /// Set if a worker needs a permit to run a step.
     pub permits: Option<PermitRules>,
 }
 
-/// What asking for permits takes, and how long they hold.
+/// How long requests for permits take, and how long permits are valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitRules {
-    /// Time that each call takes.
+    /// Time that each request takes.
     pub decision_ms: u64,
-    /// Time more for each worker named.
+    /// Additional time for each worker named.
     pub worker_us: u64,
-    /// Time for which a permit holds.
+    /// Time for which a permit is valid.
     pub validity_ms: u64,
 }
 
 /// The rules in force.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Config {
-    /// Rises with each change, in uneven steps.
+    /// Increases with each change, not necessarily by 1.
     pub version: u64,
     /// All queues.
     pub queues: Box<[Queue]>,
-    /// Longest head of a caller's request.
+    /// Largest head of a caller's request.
     pub max_head_bytes: usize,
-    /// Longest body of a caller's request.
+    /// Largest body of a caller's request.
     pub max_body_bytes: usize,
-    /// Longest time for a caller's request to come in.
+    /// Longest time to receive a caller's request.
     pub max_request_ms: u64,
-    /// Longest silence of a caller between requests.
+    /// Longest idle time of a caller's connection between requests.
     pub max_idle_ms: u64,
 }
 
@@ -112,47 +112,47 @@
     }
 }
 
-/// A worker as it reports itself.
+/// The entry that a worker writes about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEntry {
     /// Its name.
     pub id: Box<str>,
-    /// The start of which this tells.
+    /// The incarnation that wrote it.
     pub incarnation: Incarnation,
     /// Service whose tasks it runs.
     pub service: Box<str>,
-    /// Where it takes orders.
+    /// Address at which it takes orders.
     pub address: Box<str>,
     /// Its failure domain.
     pub failure_domain: Box<str>,
-    /// It is about to leave and must get nothing new.
+    /// It is draining: it must get no new tasks.
     pub is_leaving: bool,
-    /// Time after its start for which it stays slow.
+    /// Time for which it is still slow after its start.
     pub cold_ms: u64,
-    /// What it has.
+    /// Its resources.
     pub resources: Resources,
     /// Its rack.
     pub rack: Box<str>,
-    /// Its labels, its rack among them.
+    /// Its labels, which include its rack.
     pub labels: Box<[Box<str>]>,
 }
 
-/// What a value of the platform's streams says, or what is wrong with it.
+/// A decoded value of the platform's streams, or what is wrong with it.
 pub type Decoded<T> = Result<T, Box<str>>;
 
 /// Reads which failure domain a record evacuates, given its key and its value.
 pub type EvacuationDecoder = fn(&str, &[u8]) -> Option<Decoded<Box<str>>>;
 
-/// Functions that read values of the platform's streams into the product's types.
-/// They differ with the platform, so whoever embeds an entry passes them in.
+/// Functions that decode values of the platform's streams. They depend on the platform, so the
+/// program that embeds an [`Entry`](crate::Entry) passes them in.
 #[derive(Debug, Clone, Copy)]
 pub struct Decoders {
-    /// Reads the rules; the error says what is wrong.
+    /// Decodes the rules; the error says what is wrong.
     pub config: fn(&[u8]) -> Decoded<Config>,
     /// Reads which failure domain a record of the rules evacuates, given its key and its value;
-    /// without a value it takes the evacuation back. `None` if the record is about something else;
+    /// an empty value revokes the evacuation. `None` if the record is about something else;
     /// the error says what is wrong.
     pub evacuation: EvacuationDecoder,
-    /// Reads a worker's report, given its id; the error says what is wrong.
+    /// Decodes a worker's entry, given its id; the error says what is wrong.
     pub worker: fn(&str, &[u8]) -> Decoded<WorkerEntry>,
 }
--- a/crates/dispatch/src/event.rs
+++ b/crates/dispatch/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions and what comes out.
+//! Events that the decisions take in, and actions that they return.
 
 use crate::ids::JobId;
 use crate::ids::StepId;
@@ -9,38 +9,38 @@
 use goldcrestway_core::Note;
 use std::rc::Rc;
 
-/// The time at which something happens.
+/// The time of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Now {
-    /// Milliseconds of a clock that never steps.
+    /// Milliseconds of a monotonic clock.
     pub steady_ms: u64,
-    /// Milliseconds since 1970, which may step.
+    /// Milliseconds since 1970. This clock may jump.
     pub wall_ms: u64,
 }
 
 /// A keyed stream of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stream {
-    /// Jobs as submitted, and cancellations. Every entry host appends, to any of the parts.
+    /// Submitted jobs and cancellations, by partition. Every entry host appends, to any partition.
     Jobs(u8),
     /// Progress of jobs, task by task. Only the owner appends, and only a host that is
-    /// about to become owner reads it.
+    /// about to become the owner reads it.
     Progress,
-    /// States of jobs as callers are told them, and the owner's signs of life. Only the
-    /// owner appends; every entry host follows.
+    /// Published states of jobs, and the owner's heartbeats. Only the owner appends; every
+    /// entry host follows it.
     States,
     /// The operator's rules.
     Rules,
-    /// The workers' reports about themselves.
+    /// Entries that workers write about themselves.
     Workers,
 }
 
-/// What fences an append: a later epoch shuts earlier ones out.
+/// Fences an append: the store rejects appends of earlier epochs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fence {
     /// The owner's token.
     pub epoch: u64,
-    /// Number of the append within the epoch. A repeat has the same one.
+    /// Number of the append within the epoch. A retry has the same one.
     pub sequence: u64,
 }
 
@@ -51,54 +51,54 @@
     pub offset: u64,
     /// Its key.
     pub key: Box<str>,
-    /// Its value; empty if the key is dropped.
+    /// Its value; empty if the key is deleted.
     pub value: Box<[u8]>,
 }
 
-/// How an append ended.
+/// Outcome of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// It stands at this offset.
+    /// The records are stored.
     Stored {
         /// Offset of the first record.
         offset: u64,
     },
-    /// A later epoch has shut this one out.
+    /// The store has accepted an append of a later epoch.
     Fenced,
-    /// Nothing was done, and trying again makes sense.
+    /// Nothing was stored, and a retry makes sense.
     Refused,
-    /// It may stand there now or later.
+    /// The records may be stored now or later.
     Unknown,
 }
 
-/// How a read ended.
+/// Outcome of a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// Records from the asked offset on.
+    /// Records from the requested offset on.
     Records {
         /// The records.
         records: Vec<StoredRecord>,
-        /// Offset after the last one that the stream holds.
+        /// Offset after the last record of the stream.
         end: u64,
     },
-    /// The asked offset is no longer kept.
+    /// The requested offset is no longer retained.
     Trimmed,
-    /// It brought nothing.
+    /// The read failed.
     Failed(ReadFault),
 }
 
-/// Why a read brought nothing.
+/// Why a read failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadFault {
-    /// No connection was to be had, so the store has not seen it.
+    /// There was no connection, so the store has not received it.
     NotSent,
-    /// It was sent, and no answer came in time.
+    /// It was sent and timed out.
     NoAnswer,
-    /// The store refused it, or answered what can't be read.
+    /// The store rejected it, or its answer can't be decoded.
     Refused,
 }
 
-/// A page of the newest record of each key.
+/// A page of a load: the newest record of each key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Page {
     /// The records.
@@ -109,39 +109,38 @@
     pub has_more: bool,
 }
 
-/// How loading a page ended.
+/// Outcome of loading a page.
 pub type LoadOutcome = Result<Page, ReadFault>;
 
-/// How long the answer to a read is awaited. What a host on a thin link asks for may take
-/// it seconds to receive; given up after a fixed time, the same bytes would be asked for
-/// again and again, and such a host would never have read what it must know. So an answer
-/// is given up when it does not begin, or when nothing more of it comes.
+/// Timeouts of a read. A host on a slow link may need seconds to receive an answer. With one
+/// fixed timeout it would request the same bytes again and again and never finish reading. So
+/// an answer times out when it does not begin, or when it stalls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadTimeouts {
-    /// Time in which the first bytes must come.
+    /// Time until the first bytes.
     pub first_byte_ms: u64,
-    /// Longest pause between bytes after that.
+    /// Longest pause between bytes after those.
     pub stall_ms: u64,
 }
 
-/// How a run ended at a worker.
+/// Why a run exited. Logs print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitReason {
-    /// Well.
+    /// It succeeded.
     Done,
-    /// Badly, through its own or its worker's fault.
+    /// It failed, by its own fault or its worker's.
     Failed,
-    /// By an order.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of its gang exited.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// A run that a worker lists as present.
+/// A run that is present at a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunReport {
     /// Its task.
@@ -150,71 +149,72 @@
     pub run: u32,
     /// Its latest checkpoint; empty for none.
     pub checkpoint: Box<str>,
-    /// How far it is; a lasting task is at work at 100.
+    /// Progress in percent; a long-running task is ready at 100.
     pub percent: u32,
-    /// For a task that serves, the tail of its latency in milliseconds; for any other,
-    /// the processor time in use, in thousandths of a core. Over the last half second.
+    /// For a service, its tail latency in milliseconds; for any other task, the processor time in
+    /// use, in thousandths of a core. Over the last half second.
     pub gauge: u64,
 }
 
-/// A run that a worker lists as ended.
+/// A run that has exited at a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunExit {
-    /// Number of the end at that worker.
+    /// Number of the exit at that worker.
     pub number: u64,
     /// Its task.
     pub task: TaskId,
     /// Its number.
     pub run: u32,
-    /// How it ended.
+    /// Why it exited.
     pub exit_reason: ExitReason,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: Box<str>,
 }
 
-/// What a worker lists.
+/// What a worker reports in answer to a poll.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerReport {
-    /// Which start of the worker answers.
+    /// The incarnation that answers.
     pub incarnation: Incarnation,
     /// Present runs.
     pub runs: Vec<RunReport>,
-    /// Ends that it was not yet told to forget.
+    /// Exits that were not acknowledged yet.
     pub exits: Vec<RunExit>,
 }
 
-/// Why a worker refused an order and did nothing.
+/// Why a worker refused an order, of which nothing was done. Logs print the variants by their
+/// names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
     /// It has seen a higher token.
     Fence,
-    /// A run with this or a higher number was stopped or ended there.
+    /// A run with this or a higher number was stopped or has exited there.
     Old,
-    /// The lease in the order was over.
+    /// The lease in the order had expired.
     Late,
-    /// It has no room.
+    /// It lacks the resources.
     Room,
-    /// Another incarnation lives at this address; the one that was meant is dead.
+    /// Another incarnation runs at this address; the addressed one is dead.
     Gone,
-    /// It is unwell or overloaded.
+    /// It is unhealthy or overloaded.
     Unwell,
-    /// The permit is missing, or holds no more.
+    /// The permit is missing or has expired.
     Permit,
     /// It does not understand the order.
     Faulty,
 }
 
-/// How an order to a worker ended.
+/// Outcome of an order to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Carried out. A look gives what the worker lists.
+    /// It was carried out.
     Done {
         /// The worker's clock.
         clock_ms: u64,
-        /// What it lists, in answer to a look.
+        /// Its report, in answer to a poll.
         report: Option<WorkerReport>,
     },
-    /// Refused; nothing was done.
+    /// The worker refused it; nothing was done.
     Refused(Refusal),
     /// It was not sent, so nothing was done.
     NotSent,
@@ -222,14 +222,14 @@
     Unknown,
 }
 
-/// How a call for permits ended.
+/// Outcome of a request for permits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PermitOutcome {
-    /// Of the workers named, these may run the step.
+    /// Of the named workers, these may run the step.
     Permitted {
         /// Worker and permit.
         rows: Vec<(Box<str>, Box<str>)>,
-        /// Time for which the permits hold.
+        /// Time for which the permits are valid.
         validity_ms: u64,
     },
     /// No answer, or a refusal.
@@ -243,8 +243,8 @@
     reason = "The comment of each variant covers its fields."
 )]
 pub enum WorkerCall {
-    /// Start a run, and let all that runs there live until the given time of the
-    /// worker's clock.
+    /// Start a run, and extend the leases of all runs there to the given time of the worker's
+    /// clock.
     Start {
         task: TaskId,
         run: u32,
@@ -254,16 +254,16 @@
         /// Empty if the queue needs none.
         permit: Box<str>,
     },
-    /// Stop a run, and never start it later.
+    /// Stop a run, and reject later orders to start it.
     Stop { task: TaskId, run: u32 },
-    /// Let the run work at this share, from 0 to 100.
+    /// Set the CPU share of a run, from 0 to 100 percent.
     SetShare {
         task: TaskId,
         run: u32,
         percent: u32,
     },
-    /// Tell what runs and what has ended, forget the ends up to `acknowledged_exit`, let all that
-    /// runs live until the given time, and wait for an end if none is there.
+    /// Report what runs and what has exited, forget exits up to `acknowledged_exit`, extend the
+    /// leases of all runs to the given time, and wait for an exit if there is none.
     Poll {
         acknowledged_exit: u64,
         lease_until_ms: Option<u64>,
@@ -271,32 +271,32 @@
     },
 }
 
-/// A connection to another entry host. Those that this host opens are numbered by its
-/// decisions, those that come in by whoever listens.
+/// A connection to another entry host. The decisions number outgoing connections, the listener
+/// numbers incoming ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
 impl ConnectionId {
-    /// Numbers the connections that come in.
+    /// Bit that marks incoming connections.
     const INCOMING: u64 = 1 << 63;
 
-    /// Makes the id of a connection that has come in.
+    /// Makes the id of an incoming connection.
     pub fn incoming(number: u64) -> Self {
         Self(number | Self::INCOMING)
     }
 
-    /// Gives the number without what tells the two kinds apart.
+    /// Gives the number without the bit that marks incoming connections.
     pub fn number(self) -> u64 {
         self.0 & !Self::INCOMING
     }
 
-    /// Tells whether the other host has opened it.
+    /// Tells whether the other host opened it.
     pub fn is_incoming(self) -> bool {
         self.0 & Self::INCOMING != 0
     }
 }
 
-/// Something that happened.
+/// An event that the decisions take in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[expect(
     missing_docs,
@@ -305,7 +305,7 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// A caller submits a job to a queue, and awaits the answer for so long.
+    /// A caller submits a job to a queue.
     Submit {
         request: u64,
         job: JobId,
@@ -320,65 +320,65 @@
         job: JobId,
         answer_timeout_ms: u64,
     },
-    /// A caller asks how many jobs of a queue wait.
+    /// A caller asks for the number of waiting jobs of a queue.
     Count { request: u64, queue: Box<str> },
     /// An append has ended.
     Appended { ticket: u64, outcome: AppendOutcome },
     /// A read has ended.
     Read { ticket: u64, outcome: ReadOutcome },
-    /// A page was loaded, or not.
+    /// Loading a page has ended.
     Loaded { ticket: u64, outcome: LoadOutcome },
     /// An order to a worker has ended.
     Ordered { ticket: u64, outcome: OrderOutcome },
-    /// A call for permits has ended.
+    /// A request for permits has ended.
     PermitsAnswered { ticket: u64, outcome: PermitOutcome },
-    /// A connection to another host was made.
+    /// A connection to another host is open.
     ConnectionOpened { conn: ConnectionId },
-    /// Another host has sent something.
+    /// Another host has sent a frame.
     Frame {
         conn: ConnectionId,
         bytes: Box<[u8]>,
     },
-    /// A connection to another host has ended, or could not be made.
+    /// A connection to another host has closed, or could not be opened.
     ConnectionLost { conn: ConnectionId },
-    /// A planned stop begins.
+    /// A planned shutdown begins.
     Stop,
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[expect(
     missing_docs,
     reason = "The comment of each variant covers its fields."
 )]
 pub enum Reply {
-    /// The job is accepted and stored, or its cancelling is.
+    /// The job or its cancellation is stored.
     Stored,
-    /// Where the job stands.
+    /// State of the job.
     State(JobState),
-    /// So many jobs wait.
+    /// Number of waiting jobs.
     Waiting(u64),
     /// No such job exists.
     NoSuchJob,
-    /// The rules in force know no such queue.
+    /// The rules in force have no such queue.
     NoSuchQueue,
-    /// The job has more tasks or text than can be kept on record; it was not stored and never will
-    /// be. A job may have so many tasks.
+    /// The job has more tasks or text than fit into a record; it was not stored and never will
+    /// be. `max_tasks` is the limit.
     TooLarge { max_tasks: u64 },
-    /// It was not done and will not be; asking again makes sense after the given time.
+    /// It was not done and will not be; a retry makes sense after the given time.
     NotDone { retry_after_ms: u64 },
-    /// It may have been done; asking again does no harm.
+    /// It may have been done; a retry is safe.
     Unknown,
 }
 
-/// Something to do.
+/// An action for the caller of the decisions to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[expect(
     missing_docs,
     reason = "The comment of each variant covers its fields."
 )]
 pub enum Action {
-    /// Append records to a stream, all or none.
+    /// Append records to a stream atomically.
     Append {
         ticket: u64,
         stream: Stream,
@@ -386,7 +386,7 @@
         records: Vec<(Box<str>, Box<[u8]>)>,
         timeout_ms: u64,
     },
-    /// Read a stream on from an offset, and wait for a record if none is there.
+    /// Read a stream from an offset, and wait for a record if there is none.
     Read {
         ticket: u64,
         stream: Stream,
@@ -394,14 +394,14 @@
         wait_ms: u64,
         timeouts: ReadTimeouts,
     },
-    /// Load the newest record of the keys that follow `after`.
+    /// Load the newest records of the keys that follow `after`.
     Load {
         ticket: u64,
         stream: Stream,
         after: Box<str>,
         timeouts: ReadTimeouts,
     },
-    /// Give an order to an incarnation of a worker.
+    /// Send an order to an incarnation of a worker.
     Order {
         ticket: u64,
         address: Box<str>,
@@ -410,31 +410,31 @@
         call: WorkerCall,
         timeout_ms: u64,
     },
-    /// Ask which of these workers may run a step.
+    /// Request permits: which of these workers may run a step.
     RequestPermits {
         ticket: u64,
         step: StepId,
         workers: Vec<Box<str>>,
         timeout_ms: u64,
     },
-    /// Connect to another entry host.
+    /// Open a connection to another entry host.
     OpenConnection {
         conn: ConnectionId,
         address: Box<str>,
     },
-    /// Send something to another entry host.
+    /// Send a frame to another entry host.
     SendFrame {
         conn: ConnectionId,
         bytes: Box<[u8]>,
     },
     /// Close a connection to another entry host.
     CloseConnection { conn: ConnectionId },
-    /// Drop the connections to a worker that is gone.
+    /// Close the connections to a removed worker.
     Disconnect { address: Box<str> },
     /// Answer a caller.
     Answer { request: u64, reply: Reply },
-    /// New rules are in force.
+    /// Apply the new rules, which are in force.
     Configured,
-    /// Say what happened.
+    /// Log an event.
     Note(Note),
 }
--- a/crates/dispatch/src/ids.rs
+++ b/crates/dispatch/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of jobs and tasks.
+//! Identifiers of jobs, steps and tasks.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Reads the 16 digits, or gives `None` for anything else.
+    /// Parses 16 hexadecimal digits; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != 16 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return None;
@@ -27,16 +27,16 @@
 pub struct TaskId {
     /// Its job.
     pub job: JobId,
-    /// Occurrence, counted from 0; always 0 in a job that runs once.
+    /// Number of the occurrence, from 0; always 0 for a job that runs once.
     pub occurrence: u32,
-    /// Step of the job, counted from 0.
+    /// Number of the step, from 0.
     pub step: u16,
-    /// Task of the step, counted from 0.
+    /// Number of the task in its step, from 0.
     pub index: u16,
 }
 
 impl TaskId {
-    /// Reads a name as [`fmt::Display`] writes it.
+    /// Parses what [`fmt::Display`] writes.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('.');
         let id = Self {
@@ -71,7 +71,7 @@
 }
 
 impl StepId {
-    /// Gives the step that a task is of.
+    /// Gives the step of a task.
     pub fn of(task: TaskId) -> Self {
         Self {
             job: task.job,
--- a/crates/dispatch/src/job_table.rs
+++ b/crates/dispatch/src/job_table.rs
@@ -1,4 +1,4 @@
-//! What the streams of jobs and progress say, as far as this host has read them.
+//! The jobs and the owner, as far as this host has read the streams.
 
 use crate::config::WorkerEntry;
 use crate::event::StoredRecord;
@@ -17,34 +17,34 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Where a job stands, as told to callers.
+/// State of a job as callers see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
     /// No task has started.
     Queued,
     /// A task has started.
     Running,
-    /// All tasks have ended well.
+    /// All tasks have succeeded.
     Completed,
-    /// A task has failed too often.
+    /// A task has used up its attempts.
     Failed,
     /// Its caller has cancelled it.
     Cancelled,
 }
 
 impl JobState {
-    /// Tells whether cancelling changes nothing any more.
+    /// Tells whether the job is over, so that cancelling it has no effect.
     pub(crate) fn is_over(self) -> bool {
         !matches!(self, JobState::Queued | JobState::Running)
     }
 }
 
-/// A job on record.
+/// A job as recorded in the streams.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct JobRecord {
-    /// The job, once its submission was read.
+    /// Its submission, once it was read.
     pub(crate) submission: Option<Rc<Submission>>,
-    /// Its cancelling was read.
+    /// Its cancellation was read.
     pub(crate) is_cancelled: bool,
     state: StateRecord,
 }
@@ -78,25 +78,26 @@
     Submitted(JobId),
     /// A job is cancelled.
     Cancelled(JobId),
-    /// The owner has given a sign of life, or there is a new one.
+    /// The owner has sent a heartbeat, or there is a new owner.
     Owner,
     /// A host has announced itself.
     Host,
-    /// Nothing that matters.
+    /// Nothing relevant.
     Nothing,
 }
 
-/// The progress of all jobs and what was learned, as a host that becomes owner reads it.
+/// State of the previous owner, as a host that becomes the owner reads it: the progress of all
+/// jobs, learned data and workers.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveredState {
     pub(crate) jobs: HashMap<JobId, Progress>,
     pub(crate) learned: Learned,
-    /// Workers as the former owner last saw them listed.
+    /// The last entries of workers that the previous owner has seen.
     pub(crate) workers: BTreeMap<Box<str>, WorkerEntry>,
 }
 
 impl RecoveredState {
-    /// Takes in one record of the stream of progress.
+    /// Applies a record of the stream of progress.
     pub(crate) fn apply(&mut self, record: &StoredRecord) {
         match Key::parse(&record.key) {
             Some(Key::Progress(id)) if !record.value.is_empty() => {
@@ -108,12 +109,12 @@
                 self.workers.remove(&id);
             }
             Some(Key::Worker(id)) => {
-                // One that can't be read is met with the platform's own list.
+                // One that can't be decoded is found again in the platform's own list.
                 if let Ok(worker) = WorkerRecord::decode(&*record.value) {
                     self.workers.insert(id.clone(), worker.entry(&id));
                 }
             }
-            // What can't be read is learned anew.
+            // What can't be decoded is learned again.
             Some(Key::Learned) => {
                 self.learned = Learned::decode(&*record.value).unwrap_or_default();
             }
@@ -122,18 +123,18 @@
     }
 }
 
-/// All jobs on record, and the owner.
+/// All jobs in the streams, the owner, and the entry hosts.
 #[derive(Debug, Default)]
 pub(crate) struct JobTable {
     pub(crate) jobs: HashMap<JobId, JobRecord>,
     pub(crate) owner: OwnerRecord,
     owner_offset: u64,
-    /// Entry hosts that have announced themselves, some of which may be gone.
+    /// Entry hosts that have announced themselves, some of which may be down for good.
     pub(crate) hosts: HashMap<Box<str>, HostRecord>,
 }
 
 impl JobTable {
-    /// Takes in one record. Records of a key may come again and in any order.
+    /// Applies a record. Records of a key may be repeated and come in any order.
     pub(crate) fn apply(&mut self, record: &StoredRecord) -> Change {
         match Key::parse(&record.key) {
             Some(Key::Submitted(id)) => self.submit(id, &record.value),
@@ -141,7 +142,7 @@
             Some(Key::State(id)) => self.state(id, &record.value),
             Some(Key::Owner) => self.own(record),
             Some(Key::Host(name)) => {
-                // What can't be read counts as a host without processor time.
+                // A record that can't be decoded counts as a host without processor time.
                 let host = HostRecord::decode(&*record.value).unwrap_or_default();
                 self.hosts.insert(name, host);
                 Change::Host
@@ -159,7 +160,7 @@
             return Change::Nothing;
         };
         let job = self.jobs.entry(id).or_default();
-        // A caller that got no answer submits again; it remains one job.
+        // A caller that got no answer submits again; this is still one job.
         if job.submission.is_some() {
             return Change::Nothing;
         }
@@ -188,8 +189,8 @@
         Change::Nothing
     }
 
-    /// Takes in the state of a job. States are facts and never go back, so older ones that
-    /// are read again change nothing.
+    /// Applies the state of a job. States never go back, so older ones that are read again have no
+    /// effect.
     pub(crate) fn set_state(&mut self, id: JobId, state: StateRecord) {
         let job = self.jobs.entry(id).or_default();
         if state.phase().stage() > job.phase().stage() {
@@ -201,7 +202,7 @@
         let Ok(owner) = OwnerRecord::decode(&*record.value) else {
             return Change::Nothing;
         };
-        // A claim may stand before another with a higher token that fences it.
+        // A claim may precede another one with a higher token that fences it.
         if owner.token > self.owner.token
             || (owner.token == self.owner.token && record.offset >= self.owner_offset)
         {
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decisions on jobs of many tasks, for entry hosts that keep nothing themselves.
+//! Decisions on jobs of many tasks, for entry hosts that store nothing themselves.
 //!
-//! All that must last stands in keyed streams of the platform's store: the submitted
+//! All durable state is in keyed streams of the platform's store: the submitted
 //! [jobs](Stream::Jobs), their [progress](Stream::Progress) and [states](Stream::States),
 //! the operator's [rules](Stream::Rules) and the [workers](Stream::Workers). Every entry
-//! host runs an [`Entry`], which accepts jobs by itself and answers for their state. One of them is
-//! the owner: it alone writes progress, under a token that also fences its orders to
-//! workers, and starts, watches and stops tasks.
+//! host runs an [`Entry`], which accepts jobs by itself and answers queries about their state. One
+//! of the hosts is the owner: it alone writes progress, under a token that also fences its orders
+//! to workers, and starts, monitors and stops tasks.
 //!
-//! Nothing here does input or output, reads a clock or starts a thread: [`Event`]s and
-//! a [`Now`] go in, [`Action`]s come out.
+//! The crate does no input or output, reads no clock and starts no thread: it takes [`Event`]s and
+//! a [`Now`], and returns [`Action`]s.
 //!
 //! ```
 //! use goldcrestway_dispatch::{Action, Bounds, Decoders, Entry, Event, Now};
@@ -21,11 +21,11 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Load { .. })));
 //! ```
 
-/// Calls to the store that a host has under way at once at most: the long polls of an owner
-/// (one for each part of the stream of jobs, one for the rules), as many reads beside them,
-/// loads, and appends of its own and of callers. Whoever carries them out must not let one
-/// wait for another: a read that waits behind a long poll is late by seconds, and a host
-/// that claims would lose its claim to the next one meanwhile.
+/// Maximum number of concurrent calls of a host to the store: the long polls of an owner (one for
+/// each partition of the stream of jobs, one for the rules), as many reads beside them, loads, and
+/// appends of its own and of callers. They must not wait for one another: a read that is queued
+/// behind a long poll is late by seconds, and a host that claims ownership would lose its claim to
+/// the next host meanwhile.
 pub const MAX_STORE_CALLS: usize = 32;
 
 mod appender;
--- a/crates/dispatch/src/owner/shares.rs
+++ b/crates/dispatch/src/owner/shares.rs
@@ -78,12 +78,12 @@
             worker.is_over_target = false;
             return;
         }
-        let throttles = self.bounds.policy.throttles;
+        let throttles_best_effort = self.bounds.policy.throttles_best_effort;
         if let Some(shift) = decide(
             worker,
             &self.interference,
             suspend_delays,
-            throttles,
+            throttles_best_effort,
             now_ms,
         ) {
             actions.push(Action::Note(Note::new(
@@ -216,7 +216,7 @@
     worker: &mut Worker,
     interference: &InterferenceModel,
     suspend_delays: SuspendDelays,
-    throttles: bool,
+    throttles_best_effort: bool,
     now_ms: u64,
 ) -> Option<Shift> {
     let may_shift = now_ms >= worker.next_share_change_ms;
@@ -243,8 +243,13 @@
                 headroom_loss: interference.coefficient(*serving, run.image) * cores,
             });
         let services: Vec<ColocatedService> = services.collect();
-        run.target_share_percent =
-            choose_share(before, &services, suspend_delays, may_shift, throttles);
+        run.target_share_percent = choose_share(
+            before,
+            &services,
+            suspend_delays,
+            may_shift,
+            throttles_best_effort,
+        );
         shift.suspended += u32::from(run.target_share_percent == 0 && before > 0);
         shift.slowed +=
             u32::from(run.target_share_percent > 0 && before > run.target_share_percent);
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -1,4 +1,4 @@
-//! Tasks as their owner knows them, and what was lost under them.
+//! Tasks as the owner knows them, and their lost runs.
 
 use crate::incarnation::Incarnation;
 use crate::owner::worker::WorkerKey;
@@ -6,26 +6,27 @@
 use crate::record::LostRunRecord;
 use std::collections::BTreeSet;
 
-/// A run of a task that is on record.
+/// A recorded run of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Placement {
     pub(crate) run: u32,
     pub(crate) worker: WorkerKey,
 }
 
-/// Times that the wait before the next run of a task doubles: from 30 ms to 1 s after a bad end.
-/// Tasks that last must run again within seconds where they can.
+/// Maximum number of times that the delay before the next run of a task doubles: from 30 ms to 1 s
+/// after a failure. Long-running tasks must run again within seconds where they can.
 const MAX_DOUBLINGS: u32 = 5;
-/// Time for which a task that is suspected waits for a worker on which nothing else is. A job that
-/// could run and does not for three seconds counts as lost.
+/// Time for which a suspected task waits for a worker without other suspects. A job that could run
+/// and does not for three seconds counts as lost.
 const ALONE_WAIT_MS: u64 = 2_000;
-/// Losses of a task that are kept until it is known what became of their workers.
+/// Maximum number of lost runs of a task that are kept until it is known whether their workers
+/// crashed.
 const MAX_LOST_RUNS: usize = 4;
-/// Time for which a task that may have had its last starts waits until it is known whether workers
-/// have crashed. Those that crash are back within twice a lease, mostly.
+/// Time for which a task that may have used up its starts waits until it is known whether its
+/// workers have crashed. Workers that crash are mostly back within twice a lease.
 const SETTLE_MS: u64 = 6_000;
 
-/// A run that went with a worker that was given up.
+/// A run that was lost with a removed worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct LostRun {
     pub(crate) worker: Box<str>,
@@ -34,14 +35,14 @@
     pub(crate) run: u32,
     /// The run may be the cause if the worker has crashed.
     pub(crate) is_suspect: bool,
-    /// Nothing else there may be.
+    /// No other run there may be the cause.
     pub(crate) is_sole_suspect: bool,
-    /// The worker has answered that the run is there.
+    /// The worker had confirmed the run.
     pub(crate) is_confirmed: bool,
 }
 
 impl LostRun {
-    /// Tells whether the run was there for certain and may have crashed the worker. What a new owner
+    /// Tells whether the run was confirmed and may have crashed the worker. A run that a new owner
     /// has never seen there is not suspected: after an outage that would be all tasks of a domain.
     pub(crate) fn may_be_cause(&self) -> bool {
         self.is_suspect && self.is_confirmed
@@ -79,30 +80,30 @@
     /// Number of its latest run; 0 before the first.
     pub(crate) run: u32,
     pub(crate) failures: u32,
-    /// Its run, if one may be on a worker.
+    /// Its current run, if one may be on a worker.
     pub(crate) placement: Option<Placement>,
-    /// A second run beside it, of a step that allows copies.
+    /// A speculative second run, if its step allows copies.
     pub(crate) copy: Option<Placement>,
     pub(crate) checkpoint: Box<str>,
     /// Earliest time of the next run.
     pub(crate) not_before_ms: u64,
-    /// Runs in a row that ended badly, or were refused, before they had worked for a while.
+    /// Consecutive runs that failed or were refused before they had run for a while.
     pub(crate) failed_starts: u32,
-    /// Worker on which it failed last; another one is tried first.
+    /// Worker on which it failed last; others are tried first.
     pub(crate) failed_on: Option<WorkerKey>,
-    /// Until when its next run waits for a worker on which nothing else is suspected, if it does.
+    /// Until when its next run waits for a worker without other suspects, if it does.
     pub(crate) isolation_until_ms: Option<u64>,
-    /// What speaks against it when its workers crash.
+    /// Evidence that it crashes its workers.
     pub(crate) suspicion: Suspicion,
-    /// Runs that went with workers of which it is not known whether they have crashed.
+    /// Runs lost with removed workers that may or may not have crashed.
     pub(crate) lost_runs: Vec<LostRun>,
-    /// When the newest of them was.
+    /// When the newest of them was lost.
     pub(crate) lost_ms: u64,
 }
 
 impl Task {
-    /// Lets go of a run that is over; its copy, if there is one, takes its place. Tells
-    /// whether the run was the task's at all.
+    /// Releases a run that is over; its copy, if there is one, takes its place. Tells whether the
+    /// run belonged to the task.
     pub(crate) fn release_run(&mut self, run: Placement) -> bool {
         if self.placement == Some(run) {
             self.placement = self.copy.take();
@@ -111,9 +112,8 @@
         self.copy.take_if(|copy| *copy == run).is_some()
     }
 
-    /// Has it wait before its next run: at first for as long as given, and twice as long with each
-    /// mishap in a row, so that a task which can't run anywhere does not keep store and workers
-    /// busy.
+    /// Delays its next run: at first by the given time, and by twice as much with each consecutive
+    /// failed start, so that a task which can't run anywhere does not keep store and workers busy.
     pub(crate) fn back_off(&mut self, first_ms: u64, now_ms: u64) {
         let doublings = self.failed_starts.min(MAX_DOUBLINGS);
         self.not_before_ms = now_ms + (first_ms << doublings);
@@ -129,8 +129,8 @@
         self.suspicion.is_open() || self.lost_runs.iter().any(LostRun::may_be_cause)
     }
 
-    /// Begins, or goes on, to wait for a worker on which nothing else is suspected, as there are
-    /// only others. Gives until when it waits.
+    /// Starts or continues to wait for a worker without other suspects, as there is none at
+    /// present. Gives until when it waits.
     pub(crate) fn wait_for_isolation(&mut self, now_ms: u64) -> u64 {
         *self
             .isolation_until_ms
@@ -143,7 +143,7 @@
             .is_none_or(|until_ms| now_ms < until_ms)
     }
 
-    /// Keeps a loss until it is known what became of its worker.
+    /// Keeps a lost run until it is known whether its worker crashed.
     pub(crate) fn record_lost_run(&mut self, lost_run: LostRun, now_ms: u64) {
         self.lost_ms = now_ms;
         if self.lost_runs.len() == MAX_LOST_RUNS {
@@ -152,21 +152,21 @@
         self.lost_runs.push(lost_run);
     }
 
-    /// Gives under how many of its runs workers may have crashed, where that is not known yet. A
-    /// gang may lose several in one run, which counts once.
+    /// Gives the number of its runs during which workers may have crashed, where that is not known
+    /// yet. A gang may lose several workers in one run, which counts once.
     pub(crate) fn unsettled(&self) -> u32 {
         let suspects = self.lost_runs.iter().filter(|lost_run| lost_run.is_suspect);
         let runs: BTreeSet<u32> = suspects.map(|lost_run| lost_run.run).collect();
         runs.len() as u32
     }
 
-    /// Gives until when it waits for what became of its workers, if it does.
+    /// Gives until when it waits to know whether its workers crashed, if it does.
     pub(crate) fn settles_ms(&self, now_ms: u64) -> Option<u64> {
         let until_ms = self.lost_ms + SETTLE_MS;
         (self.suspicion.awaits(self.unsettled()) && now_ms < until_ms).then_some(until_ms)
     }
 
-    /// Takes what was lost with a worker.
+    /// Removes and gives the runs that were lost with a worker.
     pub(crate) fn take_lost_runs(&mut self, worker: &str) -> Vec<LostRun> {
         self.lost_runs
             .extract_if(.., |lost_run| *lost_run.worker == *worker)
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the owner knows them.
+//! Workers and their runs, as the owner knows them.
 
 use crate::config::Resources;
 use crate::config::WorkerEntry;
@@ -20,128 +20,128 @@
     pub(crate) struct WorkerKey;
 }
 
-/// Looks in a row without an answer that make a worker silent.
+/// Consecutive polls without an answer after which a worker counts as silent.
 const MAX_MISSED_ANSWERS: u32 = 2;
 
-/// Why a worker is given up.
+/// Why a worker is removed. Logs print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RemovalReason {
     /// Another worker answers at its address.
     Replaced,
-    /// It has started again under its id.
+    /// It has restarted under its id.
     Restarted,
-    /// It gives no answer, or is listed no more, and its leases are over.
+    /// It does not answer, or is no longer listed, and its leases have expired.
     GivenUp,
 }
 
 impl RemovalReason {
-    /// Tells whether another incarnation is there in its place.
+    /// Tells whether another incarnation runs in its place.
     pub(crate) fn is_replaced(self) -> bool {
         matches!(self, RemovalReason::Replaced | RemovalReason::Restarted)
     }
 }
 
-/// What keeps a task from a worker.
+/// Why a worker can't take a task. Logs print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Exclusion {
     /// It is of another service.
     Service,
-    /// The platform lists it no more.
+    /// The platform no longer lists it.
     Unlisted,
     /// It has not answered this owner yet.
     Unheard,
-    /// It gives no answer, or is on record as silent.
+    /// It does not answer, or is recorded as silent.
     Silent,
-    /// It has started again, and has not reported itself since.
+    /// It has restarted, and the platform's list does not show the new incarnation yet.
     Unreported,
-    /// It is about to leave.
+    /// It is draining.
     Leaving,
-    /// It failed tasks or refused them just now.
+    /// It is avoided for a while, as it has failed or refused tasks.
     Shunned,
-    /// It has too little room.
+    /// It lacks the resources.
     Room,
     /// It lacks the label.
     Label,
-    /// It has as many tasks of the step as it may have.
+    /// It has the maximum number of tasks of the step.
     Spread,
-    /// A filler would disturb, or is disturbing, who serves there.
+    /// A best-effort task would slow down a service there, or already does.
     Disturbed,
-    /// Fillers have taken what is unused there.
+    /// Best-effort tasks already use its unused processor time.
     Crowded,
-    /// Something that may crash it is there already.
+    /// Another task that is suspected to crash workers is there already.
     Suspects,
-    /// No permit is held for it.
+    /// There is no valid permit for it.
     Permit,
-    /// Its failure domain is evacuated, and nothing else keeps the task from there.
+    /// Its failure domain is evacuated, and there is no other reason.
     Evacuated,
 }
 
-/// How far the order to start a run has come.
+/// Phase of a run, from the order to start it to its end. Logs print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunPhase {
     /// Its record is not stored yet; no order was sent.
     Recording,
-    /// The order is under way.
+    /// The order was sent and has no answer yet.
     Sent,
-    /// A former owner put it on record; the worker was not asked yet.
+    /// A previous owner has recorded it; the worker was not polled yet.
     Inherited,
-    /// An order got no answer; the run may be there, or come later.
+    /// The order timed out; the run may be there, or may start later.
     Doubtful { since_ms: u64 },
-    /// It is there.
+    /// The worker has confirmed it.
     Present { since_ms: u64 },
-    /// It must end; a stop is under way or waits to be sent again.
+    /// It must stop; an order to stop it was sent, or waits to be sent again.
     Stopping { again_ms: u64 },
-    /// The worker has agreed to stop it and will not start it later.
+    /// The worker has accepted the order to stop it, and will not start it later.
     Stopped { since_ms: u64 },
 }
 
-/// A run that is on a worker, or may be.
+/// A run that is, or may be, on a worker.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
     pub(crate) phase: RunPhase,
-    /// Room that it takes.
+    /// Resources that it reserves.
     pub(crate) resources: Resources,
-    /// Processor time that it would like, also if it takes none of its own.
+    /// Processor time that it requests, even if it reserves none.
     pub(crate) cpu_milli: u64,
-    /// What it runs, as the owner numbers it.
+    /// The owner's key of its image.
     pub(crate) image: ImageKey,
     pub(crate) is_best_effort: bool,
     pub(crate) is_long_running: bool,
     pub(crate) tail_latency_target_ms: u64,
-    /// Nobody awaits its end any more.
+    /// It is no longer a run of its task: nothing waits for its exit.
     pub(crate) is_orphan: bool,
-    /// It has been at work for long enough that a crash of its worker does not speak against it.
+    /// It has run for long enough that it is not suspected if its worker crashes.
     pub(crate) is_stable: bool,
-    /// Its task may have crashed a worker before, and this run is to tell.
+    /// Its task is suspected to have crashed a worker, and this run is the test.
     pub(crate) is_probe: bool,
-    /// Orders to start it that were sent.
+    /// Number of orders to start it that were sent.
     pub(crate) start_attempts: u32,
-    /// Its worker has answered that it is there.
+    /// Its worker has confirmed it at least once.
     pub(crate) was_confirmed: bool,
     pub(crate) checkpoint: Box<str>,
     pub(crate) percent: u32,
     /// When the order to start it was sent.
     pub(crate) started_ms: u64,
-    /// From where its pace is measured: its start, or for one that resumed from a
-    /// checkpoint what its first look told, and when.
+    /// Point from which its speed is measured: its start or, if it resumed from a checkpoint, the
+    /// first poll.
     pub(crate) first_percent: u32,
     pub(crate) first_ms: u64,
-    /// When its percent last rose.
+    /// When its progress last increased.
     pub(crate) progressed_ms: u64,
     pub(crate) gauge: u64,
-    /// The gauge as of the look before.
+    /// The gauge of the previous poll.
     pub(crate) previous_gauge: u64,
-    /// What its ease was of late, if it serves.
+    /// Recent headroom, if it is a service.
     pub(crate) baseline: Baseline,
-    /// Since when its tail is over its target.
+    /// Since when its tail latency is over its target.
     pub(crate) over_since_ms: Option<u64>,
-    /// Share at which it may work, as last ordered.
+    /// CPU share that the worker has last accepted.
     pub(crate) applied_share_percent: u32,
-    /// Share at which it should work.
+    /// CPU share that it should have.
     pub(crate) target_share_percent: u32,
-    /// An order to change its share is under way.
+    /// An order to change its CPU share was sent and has no answer yet.
     pub(crate) is_share_change_pending: bool,
-    /// Earliest time of the next such order, after one without effect.
+    /// Earliest time of the next such order after one that failed.
     pub(crate) share_retry_ms: u64,
 }
 
@@ -180,10 +180,10 @@
 }
 
 impl Run {
-    /// Has a run end of which no end is awaited any more, or awaits its end before the task
-    /// starts anew. Tells whether no order to start it was ever sent, so that it is simply
-    /// dropped. A run that waits for its second order is no such run: the first one had no
-    /// answer, and may be carried out seconds later unless a stop bars it.
+    /// Requests that a run stops, because nothing waits for its exit any more, or because its task
+    /// restarts after it. Tells whether no order to start it was ever sent, so that it can simply
+    /// be dropped. This is not so for a run that waits for its second order: the first one timed
+    /// out and may be carried out seconds later, unless an order to stop bars it.
     pub(crate) fn request_stop(&mut self) -> bool {
         match self.phase {
             RunPhase::Recording if self.start_attempts == 0 => return true,
@@ -197,67 +197,67 @@
 /// One worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
-    /// What was last reported of it; of another incarnation than this one, it may be, as the store
-    /// tells of one earlier or later than the worker itself.
+    /// Its last entry in the platform's list. The entry may be of another incarnation, as the store
+    /// may show a restart earlier or later than the worker itself.
     pub(crate) entry: WorkerEntry,
-    /// Which incarnation it is, by its own answers, or on record.
+    /// Its incarnation, by its own answers or as recorded.
     pub(crate) incarnation: Incarnation,
-    /// This incarnation has said that it is about to leave.
+    /// This incarnation has announced that it is draining.
     pub(crate) was_leaving: bool,
-    /// The platform's list has it.
+    /// The platform's list contains it.
     pub(crate) is_listed: bool,
-    /// It has answered this owner, so what runs there is known.
+    /// It has answered this owner, so its runs are known.
     pub(crate) is_known: bool,
-    /// Looks in a row without an answer.
+    /// Consecutive polls without an answer.
     pub(crate) missed_answers: u32,
-    /// When the first answer was missing that none has followed.
+    /// When the first of them was missed.
     pub(crate) first_missed_ms: Option<u64>,
-    /// Runs there of tasks that are suspected to crash workers, and have not shown otherwise yet.
+    /// Number of runs there of tasks that are suspected to crash workers and are not stable yet.
     pub(crate) probes: u32,
-    /// Those of them that were sent after its lease was over.
+    /// Missed answers to polls that were sent after its leases had expired.
     pub(crate) misses_after_expiry: u32,
-    /// Which of its relays carries its orders, and until when that is not the first one.
+    /// Index of the relay that carries its orders, and until when that is not the first one.
     pub(crate) relay_place: usize,
     pub(crate) relay_until_ms: u64,
-    /// It is on record as silent, so a successor may count on its lease running out.
+    /// It is recorded as silent, so a successor relies on the expiry of its leases.
     pub(crate) is_recorded_silent: bool,
-    /// Its clock, and when it was told.
+    /// Time of its clock, and when it was received.
     pub(crate) clock: Option<(u64, u64)>,
-    /// After this time nothing that runs there can be alive, if it stays silent.
+    /// Time after which nothing can run there any more if the worker stays silent.
     pub(crate) leases_expired_ms: u64,
-    /// A look is under way.
+    /// A poll was sent and has no answer yet.
     pub(crate) is_poll_pending: bool,
     pub(crate) next_poll_ms: u64,
     pub(crate) answered_ms: u64,
-    /// Newest end that was handled, and newest that is on record.
+    /// Number of the newest exit that was handled, and of the newest that is recorded.
     pub(crate) handled_exit: u64,
     pub(crate) recorded_exit: u64,
-    /// Newest end that it has forgotten, as it was told to.
+    /// Number of the newest exit that was acknowledged and that the worker has forgotten.
     pub(crate) forgotten_exit: u64,
     pub(crate) runs: BTreeMap<(TaskId, u32), Run>,
-    /// Room that its runs take.
+    /// Resources that its runs reserve.
     pub(crate) used: Resources,
-    /// Processor time that fillers there would like.
+    /// Processor time that best-effort runs there request.
     pub(crate) best_effort_milli: u64,
-    /// The half second that its next figures tell of.
+    /// The half second that the gauges of the next poll cover.
     pub(crate) window: UsageWindow,
-    /// Processor time kept by lasting tasks, which use a part of it.
+    /// Processor time reserved by long-running tasks, which use a part of it.
     pub(crate) long_running_milli: u64,
-    /// No new work before this time.
+    /// It gets no new tasks before this time.
     pub(crate) avoided_until_ms: u64,
-    /// Paces of runs that ended there of late, and when they did.
+    /// Speeds of runs that exited there recently, and when they did.
     pub(crate) ended_speeds: VecDeque<(u64, Speed)>,
-    /// Runs that failed there since the last one that ended well.
+    /// Runs that failed there since the last one that succeeded.
     pub(crate) consecutive_failures: u32,
-    /// A run there may have to be told to stop, or to change its share.
+    /// An order to stop a run there, or to change its CPU share, may be due.
     pub(crate) has_orders: bool,
-    /// It may have changed since it was last looked over.
+    /// It may have changed since the sets of workers were last refreshed.
     pub(crate) is_changed: bool,
-    /// When it needs attention, as of then.
+    /// Its time in the queue of due workers.
     pub(crate) queued_due_ms: Option<u64>,
-    /// When the shares of fillers may be changed again.
+    /// Earliest time of the next change of CPU shares.
     pub(crate) next_share_change_ms: u64,
-    /// Fillers work beside a served task that is over its target.
+    /// Best-effort tasks run beside a service that is over its target.
     pub(crate) is_over_target: bool,
 }
 
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Makes a worker of which only the name is known, from the record.
+    /// Makes a worker of which only the recorded id is known.
     pub(crate) fn unlisted(id: &str, leases_expired_ms: u64) -> Self {
         let mut worker = Self::new(
             WorkerEntry {
@@ -321,13 +321,13 @@
         worker
     }
 
-    /// Notes that an answer is missing.
+    /// Records a missed answer.
     pub(crate) fn record_missed_answer(&mut self, now_ms: u64) {
         self.missed_answers += 1;
         self.first_missed_ms.get_or_insert(now_ms);
     }
 
-    /// Takes a run for sound, as it has been at work for a while.
+    /// Marks a run as stable, as it has run for long enough.
     pub(crate) fn mark_stable(&mut self, task: TaskId, number: u32) {
         if let Some(run) = self.runs.get_mut(&(task, number)) {
             run.is_stable = true;
@@ -335,17 +335,17 @@
         }
     }
 
-    /// Tells whether it is taken for cut off or dead. One lost answer says little.
+    /// Tells whether it counts as unreachable or dead. One missed answer says little.
     pub(crate) fn is_silent(&self) -> bool {
         self.missed_answers >= MAX_MISSED_ANSWERS
     }
 
-    /// Tells whether something may be there that this owner can't see.
+    /// Tells whether something may run there that this owner can't see.
     pub(crate) fn is_in_doubt(&self) -> bool {
         !self.runs.is_empty() && (self.is_silent() || !self.is_known)
     }
 
-    /// Lists what runs there of a job.
+    /// Lists the runs of a job there.
     pub(crate) fn runs_of(&self, job: JobId) -> impl Iterator<Item = &Run> {
         let first = TaskId {
             job,
@@ -358,7 +358,7 @@
         own.map(|(_, run)| run)
     }
 
-    /// Tells what it is about, as far as looks go.
+    /// Gives its activity, which decides how often it is polled.
     pub(crate) fn activity(&self) -> Activity {
         if self.runs.is_empty() {
             return Activity::None;
@@ -371,28 +371,28 @@
         }
     }
 
-    /// Tells whether it may be dead, as far as its answers go.
+    /// Tells whether it may be dead, judging by its answers.
     pub(crate) fn may_be_dead(&self) -> bool {
         self.is_silent() || !self.is_known || self.entry.address.is_empty()
     }
 
-    /// Tells whether it is gone and nothing is left of it.
+    /// Tells whether it is no longer listed and nothing runs there or is awaited from it.
     pub(crate) fn is_over(&self) -> bool {
         !self.is_listed && self.runs.is_empty() && !self.is_poll_pending
     }
 
-    /// Tells whether something waits for it to be given up, if it is dead.
+    /// Tells whether something waits for its removal, if it is dead.
     pub(crate) fn holds_up(&self) -> bool {
         !self.runs.is_empty() || !self.is_listed
     }
 
-    /// Tells whether it can be looked at.
+    /// Tells whether it can be polled.
     pub(crate) fn can_be_polled(&self) -> bool {
         !self.entry.address.is_empty() && !self.is_poll_pending
     }
 
-    /// Gives when it is to be looked at, or may be given up; `None` if nothing but an answer or a
-    /// report will change that.
+    /// Gives when its next poll is due or it may be removed; `None` if only an answer or a new
+    /// entry can change that.
     pub(crate) fn next_due_ms(&self) -> Option<u64> {
         if self.is_over() {
             return Some(0);
@@ -403,32 +403,32 @@
         poll_ms.into_iter().chain(removal_ms).min()
     }
 
-    /// Takes in what the platform lists of it.
+    /// Updates its entry from the platform's list.
     pub(crate) fn update_entry(&mut self, entry: WorkerEntry) {
         self.is_listed = true;
         self.entry = entry;
         if !self.is_reported() {
-            // Only an answer tells which incarnation lives.
+            // Only an answer shows which incarnation is alive.
             self.next_poll_ms = 0;
             return;
         }
         self.was_leaving |= self.entry.is_leaving;
     }
 
-    /// Tells whether the report is of this incarnation. What another one had says nothing of its
-    /// room, nor of whether it leaves.
+    /// Tells whether its entry is of this incarnation. The entry of another one says nothing about
+    /// its resources, nor whether it is draining.
     pub(crate) fn is_reported(&self) -> bool {
         !self.entry.incarnation.differs_from(self.incarnation)
     }
 
-    /// Tells what keeps all new work from there, if anything does.
+    /// Gives why it can't take any new task, if so.
     pub(crate) fn exclusion(&self, now_ms: u64) -> Option<Exclusion> {
         let is_avoided = now_ms < self.avoided_until_ms;
         let avoided = is_avoided.then_some(Exclusion::Shunned);
         self.untimed_exclusion().or(avoided)
     }
 
-    /// The same but for what ends by time alone.
+    /// The same without reasons that pass with time alone.
     pub(crate) fn untimed_exclusion(&self) -> Option<Exclusion> {
         if !self.is_listed {
             return Some(Exclusion::Unlisted);
@@ -448,7 +448,7 @@
         None
     }
 
-    /// Gives how many tasks of a step fit there.
+    /// Gives how many tasks of a step fit.
     pub(crate) fn holds_of(&self, step: &Step) -> u32 {
         let mut free = self.free();
         let mut count = 0;
@@ -466,7 +466,7 @@
         self.entry.resources.minus(self.used)
     }
 
-    /// Gives the time of its clock, as estimated.
+    /// Gives the estimated time of its clock.
     pub(crate) fn clock_ms(&self, now_ms: u64) -> Option<u64> {
         let (clock_ms, at_ms) = self.clock?;
         Some(clock_ms + now_ms.saturating_sub(at_ms))
--- a/crates/dispatch/src/policy/shares.rs
+++ b/crates/dispatch/src/policy/shares.rs
@@ -99,13 +99,13 @@
     services: &[ColocatedService],
     suspend_delays: SuspendDelays,
     may_shift: bool,
-    throttles: bool,
+    throttles_best_effort: bool,
 ) -> u32 {
     let wishes = services.iter().map(|service| wish(service, suspend_delays));
     match wishes.min().unwrap_or(Wish::Raise) {
         Wish::Suspend => 0,
         _ if !may_shift => before,
-        _ if !throttles => 100,
+        _ if !throttles_best_effort => 100,
         Wish::Cut if before / 2 < SUSPEND_BELOW_PERCENT => 0,
         Wish::Cut => before / 2,
         Wish::Keep => before,
--- a/crates/dispatch/src/policy/switches.rs
+++ b/crates/dispatch/src/policy/switches.rs
@@ -9,7 +9,7 @@
     /// A new owner takes over what the former one has learned.
     pub inherits_interference: bool,
     /// Best-effort tasks beside a service over its target work at a smaller share. They are suspended all the same when that lasts.
-    pub throttles: bool,
+    pub throttles_best_effort: bool,
     /// Long-running tasks of one image are placed beside one another.
     pub keeps_images_together: bool,
     /// Tasks that stand still or crawl are started elsewhere.
@@ -27,7 +27,7 @@
         Self {
             learns_interference: true,
             inherits_interference: true,
-            throttles: true,
+            throttles_best_effort: true,
             keeps_images_together: true,
             replaces_stragglers: true,
             avoids_failing_workers: true,
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -1,21 +1,21 @@
-//! What stands in the streams of jobs and progress, encoded by `prost`.
+//! Records of the streams of jobs, progress and states, encoded by `prost`.
 //!
-//! The newest record of each key is kept for good, so a record holds the whole state
-//! of what its key names, and history may be dropped at any time.
+//! The store keeps the newest record of each key and may drop older ones at any time. So a record
+//! holds the whole state of what its key names.
 
 use crate::config::Resources;
 use crate::ids::JobId;
 use prost::Message;
 
-/// Key of the record that names the owner, in the streams of progress and states. It comes behind
+/// Key of the record that names the owner, in the streams of progress and states. It sorts after
 /// the keys of all jobs, so that it can be read without them.
 pub(crate) const OWNER_KEY: &str = "~owner";
-/// All keys of jobs come before this one.
+/// The keys of all jobs sort before this one.
 pub(crate) const AFTER_JOBS: &str = "~";
 /// Key of what the owner has learned, in the stream of progress.
 pub(crate) const LEARNED_KEY: &str = "learned";
 
-/// A step of a job: tasks that are alike.
+/// A step of a job: tasks of one kind.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Step {
     /// Number of its tasks.
@@ -33,13 +33,13 @@
     /// Rough estimate of a task's duration.
     #[prost(uint64, tag = "5")]
     pub estimated_ms: u64,
-    /// Earlier steps that must be done first.
+    /// Earlier steps that must be complete first.
     #[prost(uint32, repeated, tag = "6")]
     pub after: Vec<u32>,
     /// Tasks write checkpoints.
     #[prost(bool, tag = "7")]
     pub writes_checkpoints: bool,
-    /// Tasks work only together.
+    /// Tasks form a gang: they run only together.
     #[prost(bool, tag = "8")]
     pub is_gang: bool,
     /// Tasks are slowed when they run on several racks.
@@ -51,31 +51,31 @@
     /// Rack that holds the data; empty for none.
     #[prost(string, tag = "11")]
     pub data_rack: String,
-    /// Tasks of one occurrence that may share a worker; 0 for any number.
+    /// Maximum number of tasks of one occurrence on one worker; 0 for any number.
     #[prost(uint32, tag = "12")]
     pub max_per_worker: u32,
-    /// Copies of a task may run at once.
+    /// A second copy of a task may run at the same time.
     #[prost(bool, tag = "13")]
     pub is_speculative: bool,
-    /// Tasks serve until the job is cancelled and are restarted whenever they end.
+    /// Tasks are long-running: they run until the job is cancelled and restart when they exit.
     #[prost(bool, tag = "14")]
     pub is_long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run. Tasks of one image behave alike.
     #[prost(string, tag = "15")]
     pub image: String,
-    /// Tail latency that a serving task must stay below; 0 for none.
+    /// Target for the tail latency of a service; 0 for none.
     #[prost(uint64, tag = "16")]
     pub tail_latency_target_ms: u64,
-    /// Tasks take processor time that others leave unused, and no share of their own.
+    /// Tasks are best-effort: they use processor time that others leave unused, and reserve none.
     #[prost(bool, tag = "17")]
     pub is_best_effort: bool,
-    /// Tasks that may be away at once through acts of the system.
+    /// Maximum number of tasks that the scheduler itself may make unavailable at the same time.
     #[prost(uint32, tag = "18")]
     pub max_unavailable: u32,
 }
 
 impl Step {
-    /// Gives the room that a task takes on a worker.
+    /// Gives the resources that a task reserves on a worker.
     pub fn resources(&self) -> Resources {
         Resources {
             cpu_milli: if self.is_best_effort {
@@ -101,7 +101,7 @@
     /// Priority as of its acceptance.
     #[prost(uint32, tag = "3")]
     pub priority: u32,
-    /// Runs of a task that may fail, as of its acceptance.
+    /// Failed runs of a task after which the job fails, as of its acceptance.
     #[prost(uint32, tag = "4")]
     pub max_attempts: u32,
     /// Text that workers get with each task.
@@ -110,7 +110,7 @@
     /// Its steps.
     #[prost(message, repeated, tag = "6")]
     pub steps: Vec<Step>,
-    /// How often it runs; 0 for once, at once.
+    /// Number of scheduled occurrences; 0 for a single one that is due at once.
     #[prost(uint32, tag = "7")]
     pub repetitions: u32,
     /// When the first repetition is due, in milliseconds since 1970.
@@ -125,41 +125,40 @@
     /// Allowed time as a multiple of its work, in thousandths, as of its acceptance.
     #[prost(uint64, tag = "11")]
     pub stretch_permille: u64,
-    /// Time allowed on top, as of its acceptance.
+    /// Time allowed in addition, as of its acceptance.
     #[prost(uint64, tag = "12")]
     pub target_latency_ms: u64,
-    /// Time that a call for permits takes, and more for each worker named; as of its
-    /// acceptance.
+    /// Time that a request for permits takes, as of its acceptance.
     #[prost(uint64, tag = "13")]
     pub permit_decision_ms: u64,
-    /// See above, in microseconds.
+    /// Additional time for each worker named in the request, as of its acceptance.
     #[prost(uint64, tag = "14")]
     pub permit_worker_us: u64,
-    /// Time for which a permit holds; 0 if its tasks may start on any worker.
+    /// Time for which a permit is valid; 0 if its tasks may start on any worker.
     #[prost(uint64, tag = "15")]
     pub permit_validity_ms: u64,
 }
 
 impl Submission {
-    /// Gives how many tasks one occurrence has.
+    /// Gives the number of tasks of one occurrence.
     pub(crate) fn tasks(&self) -> u64 {
         self.steps.iter().map(|step| u64::from(step.count)).sum()
     }
 }
 
-/// Where a task stands on record.
+/// Recorded phase of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum TaskPhase {
-    /// It runs nowhere.
+    /// It has no run.
     Waiting = 0,
     /// Its run may be on its worker.
     Assigned = 1,
-    /// A run of it has ended well.
+    /// A run of it has succeeded.
     Done = 2,
 }
 
-/// One task on record.
+/// Recorded progress of a task.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct TaskProgress {
     #[prost(enumeration = "TaskPhase", tag = "1")]
@@ -176,34 +175,34 @@
     /// Checkpoint to resume from.
     #[prost(string, tag = "5")]
     pub(crate) checkpoint: String,
-    /// Run of a copy, and its worker.
+    /// Number of the run of its copy.
     #[prost(uint32, tag = "6")]
     pub(crate) copy_run: u32,
     /// Worker of the copy; empty for none.
     #[prost(string, tag = "7")]
     pub(crate) copy_worker: String,
-    /// Workers that have crashed under it.
+    /// Worker crashes during its runs.
     #[prost(uint32, tag = "8")]
     pub(crate) crashes: u32,
-    /// Crashes that it may have caused, under runs that were there for certain, since a run of it
-    /// was last sound.
+    /// Crashes that it may have caused, during runs that the workers had confirmed, since a run of
+    /// it was last stable.
     #[prost(uint32, tag = "9")]
     pub(crate) confirmed: u32,
-    /// Starts since there were so many crashes that they are counted.
+    /// Starts since the number of crashes reached the limit at which starts are counted.
     #[prost(uint32, tag = "13")]
     pub(crate) suspect_starts: u32,
-    /// Newest run of which a crash was counted.
+    /// Newest run for which a crash was counted.
     #[prost(uint32, tag = "10")]
     pub(crate) crashed_run: u32,
-    /// Address of the worker that it was last suspected to have crashed.
+    /// Address of the worker that it is suspected to have crashed last.
     #[prost(string, tag = "11")]
     pub(crate) crashed_address: String,
-    /// Runs that went with workers of which it is not known whether they have crashed.
+    /// Runs lost with removed workers that may or may not have crashed.
     #[prost(message, repeated, tag = "12")]
     pub(crate) lost_runs: Vec<LostRunRecord>,
 }
 
-/// A run that went with its worker.
+/// A run that was lost with its worker.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct LostRunRecord {
     #[prost(string, tag = "1")]
@@ -215,18 +214,18 @@
     /// The run may be the cause if the worker has crashed.
     #[prost(bool, tag = "4")]
     pub(crate) is_suspect: bool,
-    /// Nothing else there may be.
+    /// No other run there may be the cause.
     #[prost(bool, tag = "5")]
     pub(crate) is_sole_suspect: bool,
-    /// The worker has answered that the run is there.
+    /// The worker has confirmed that the run was there.
     #[prost(bool, tag = "6")]
     pub(crate) is_confirmed: bool,
-    /// When the worker that it went with had started, by its clock.
+    /// When that worker had started, by its clock.
     #[prost(uint64, optional, tag = "7")]
     pub(crate) started_wall_ms: Option<u64>,
 }
 
-/// One step on record. It is empty until a task of it has started.
+/// Recorded progress of a step. It is empty until a task of it has started.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct StepProgress {
     /// All tasks are done; the list is then empty.
@@ -236,7 +235,7 @@
     pub(crate) tasks: Vec<TaskProgress>,
 }
 
-/// One occurrence on record.
+/// Recorded progress of an occurrence.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct OccurrenceProgress {
     #[prost(uint32, tag = "1")]
@@ -245,7 +244,7 @@
     pub(crate) steps: Vec<StepProgress>,
 }
 
-/// Where a job stands on record.
+/// Recorded phase of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(crate) enum JobPhase {
@@ -253,16 +252,16 @@
     Queued = 0,
     /// A task has started.
     Running = 1,
-    /// All tasks have ended well.
+    /// All tasks have succeeded.
     Completed = 2,
-    /// A task has failed too often.
+    /// A task has used up its attempts.
     Failed = 3,
-    /// Its caller has cancelled it, and nothing of it runs.
+    /// Its caller has cancelled it, and none of its tasks runs.
     Cancelled = 4,
 }
 
 impl JobPhase {
-    /// Gives how far a job has come; it never goes back.
+    /// Gives the stage of a job, which never decreases.
     pub(crate) fn stage(self) -> u8 {
         match self {
             JobPhase::Queued => 0,
@@ -271,7 +270,7 @@
         }
     }
 
-    /// Tells whether nothing will happen any more.
+    /// Tells whether the phase will not change any more.
     pub(crate) fn is_final(self) -> bool {
         matches!(
             self,
@@ -285,10 +284,10 @@
 pub(crate) struct Progress {
     #[prost(enumeration = "JobPhase", tag = "1")]
     pub(crate) phase: i32,
-    /// Occurrences under way.
+    /// Open occurrences.
     #[prost(message, repeated, tag = "2")]
     pub(crate) occurrences: Vec<OccurrenceProgress>,
-    /// Number of the occurrence that comes next.
+    /// Number of the next occurrence.
     #[prost(uint32, tag = "3")]
     pub(crate) next_occurrence: u32,
     /// When it became final, in milliseconds since 1970.
@@ -297,8 +296,8 @@
 }
 
 impl Progress {
-    /// Leaves out what is not needed to go on, for a record that would be too large: checkpoints,
-    /// of which some work is done again, and what is not known yet of lost workers.
+    /// Shortens a record that would be too large: leaves out checkpoints, so that some work is done
+    /// again, and lost runs whose cause is not known yet.
     pub(crate) fn shorten(&mut self) {
         for occurrence in &mut self.occurrences {
             for task in occurrence.steps.iter_mut().flat_map(|step| &mut step.tasks) {
@@ -310,50 +309,50 @@
     }
 }
 
-/// What an owner has learned, for its successor: how fillers press served images, and
+/// Data that an owner hands to its successor: how best-effort images interfere with services, and
 /// which workers are silent.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Learned {
     #[prost(message, repeated, tag = "1")]
     pub(crate) images: Vec<LearnedImage>,
-    /// Workers that give no answer, and whose leases are not extended.
+    /// Workers that do not answer and whose leases are not extended.
     #[prost(message, repeated, tag = "2")]
     pub(crate) silent: Vec<SilentWorker>,
 }
 
-/// A worker that gives no answer.
+/// A worker that does not answer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct SilentWorker {
     #[prost(string, tag = "1")]
     pub(crate) worker: String,
-    /// Time after this record was written by which all that ran there has ended.
+    /// Time from the writing of this record until all leases there have expired.
     #[prost(uint64, tag = "2")]
     pub(crate) remaining_ms: u64,
 }
 
-/// What was learned of one served image.
+/// Interference learned for the image of a service.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct LearnedImage {
     #[prost(string, tag = "1")]
     pub(crate) image: String,
-    /// Ease by itself.
+    /// Headroom with no best-effort task beside it.
     #[prost(double, tag = "2")]
     pub(crate) solo_headroom: f64,
     #[prost(message, repeated, tag = "3")]
     pub(crate) coefficients: Vec<LearnedCoefficient>,
 }
 
-/// What was learned of one pair.
+/// Interference coefficient learned for a pair of images.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct LearnedCoefficient {
     #[prost(string, tag = "1")]
     pub(crate) best_effort_image: String,
-    /// Ease taken by each core.
+    /// Headroom lost per core that the best-effort image uses.
     #[prost(double, tag = "2")]
     pub(crate) coefficient: f64,
 }
 
-/// The state of a job as callers are told it.
+/// The published state of a job.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(crate) struct StateRecord {
     #[prost(enumeration = "JobPhase", tag = "1")]
@@ -363,7 +362,7 @@
     pub(crate) final_wall_ms: u64,
 }
 
-/// Who owns the progress of all jobs.
+/// The owner's record: who owns the progress of all jobs.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct OwnerRecord {
     /// Token of its orders, and epoch of its appends.
@@ -372,17 +371,17 @@
     /// Name of its host.
     #[prost(string, tag = "2")]
     pub(crate) host: String,
-    /// It is about to stop; another host should claim.
+    /// It is shutting down; another host should claim ownership.
     #[prost(bool, tag = "3")]
     pub(crate) is_leaving: bool,
-    /// Counts its signs of life.
+    /// Number of the heartbeat.
     #[prost(uint64, tag = "4")]
     pub(crate) heartbeat: u64,
-    /// It keeps connections to the other hosts and answers what they ask, so that they need not
+    /// It keeps connections to the other hosts and answers their queries, so that they need not
     /// read all jobs.
     #[prost(bool, tag = "5")]
     pub(crate) informs_hosts: bool,
-    /// Processor time of the strongest hosts, and how many are about as strong.
+    /// CPU share of the strongest hosts; `strong_hosts` is the number of hosts about as strong.
     #[prost(uint64, tag = "6")]
     pub(crate) strongest_permille: u64,
     #[prost(uint64, tag = "7")]
@@ -390,29 +389,29 @@
 }
 
 impl OwnerRecord {
-    /// Gives key and value as they are appended.
+    /// Gives the key and the value to append.
     pub(crate) fn row(&self) -> (Box<str>, Box<[u8]>) {
         (Key::Owner.text(), self.encode_to_vec().into())
     }
 }
 
-/// An entry host, as it announces itself.
+/// The announcement of an entry host.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(crate) struct HostRecord {
     /// Its share of a core, in thousandths.
     #[prost(uint64, tag = "1")]
     pub(crate) cpu_permille: u64,
-    /// Where it takes orders of an owner, to relay them; empty if nowhere.
+    /// Address at which it relays an owner's orders; empty if it does not.
     #[prost(string, tag = "2")]
     pub(crate) relay_address: String,
 }
 
-/// What a key of the streams of jobs and progress names.
+/// A parsed key of the streams of jobs, progress and states.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Key {
     /// A job as submitted.
     Submitted(JobId),
-    /// That a job is cancelled.
+    /// The cancellation of a job.
     Cancelled(JobId),
     /// The progress of a job.
     Progress(JobId),
@@ -424,7 +423,7 @@
     Learned,
     /// An entry host.
     Host(Box<str>),
-    /// A worker as the owner last saw it listed.
+    /// The last entry of a worker that the owner has seen.
     Worker(Box<str>),
 }
 
