--- a/crates/dispatch/src/owner/adopting.rs
+++ b/crates/dispatch/src/owner/adopting.rs
@@ -39,7 +39,7 @@
             return;
         }
         let foreign_ms = self.foreign_expiry_ms(now.steady_ms);
-        let progress = self.unread.remove(&id);
+        let progress = self.unread_progress.remove(&id);
         let (silent, recorded_as_silent) = (&self.silent, &self.recorded_silent);
         let listed = &self.recorded_workers;
         let (workers, keys) = (&mut self.workers, &mut self.worker_keys);
@@ -72,7 +72,7 @@
         let is_new = job.open_occurrences(now, &self.bounds);
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
-        self.live.push(key);
+        self.live_jobs.push(key);
         self.recover_runs(key);
         self.recover_lost_runs(key);
         self.must_place |= is_new;
--- a/crates/dispatch/src/owner/pricing.rs
+++ b/crates/dispatch/src/owner/costs.rs
@@ -67,7 +67,7 @@
     ) -> BinaryHeap<Reverse<(i64, WorkerKey)>> {
         let mut ranked = BinaryHeap::new();
         for (key, worker) in self.workers.open() {
-            if let Ok(cost) = self.price_at(key, worker, requirements, now_ms) {
+            if let Ok(cost) = self.permitted_cost(key, worker, requirements, now_ms) {
                 ranked.push(Reverse((cost, key)));
             }
         }
@@ -75,7 +75,7 @@
     }
 
     /// Gives the cost of a task on a worker, or why it can't go there.
-    pub(super) fn price_at(
+    pub(super) fn permitted_cost(
         &self,
         key: WorkerKey,
         worker: &Worker,
@@ -86,11 +86,11 @@
         if requirements.needs_permits && self.permits.permit(step, key, now_ms).is_none() {
             return Err(Exclusion::Permit);
         }
-        self.price(worker, requirements, now_ms)
+        self.placement_cost(worker, requirements, now_ms)
     }
 
     /// The same without a look at permits.
-    pub(super) fn price(
+    pub(super) fn placement_cost(
         &self,
         worker: &Worker,
         requirements: &TaskRequirements<'_>,
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -122,7 +122,7 @@
     /// Tells whether it may be at work, or may have been until just now. One that is being stopped
     /// is at work until it has ended. One of unknown fate whose worker has agreed to bar it was
     /// hardly there.
-    fn may_have_begun(&self) -> bool {
+    fn may_have_started(&self) -> bool {
         match self.phase {
             RunPhase::Recording => self.start_attempts > 0,
             RunPhase::Stopped { .. } => self.was_confirmed,
@@ -132,7 +132,7 @@
 
     /// Tells whether it may be the cause if its worker crashes.
     pub(crate) fn is_suspect(&self) -> bool {
-        !self.is_stable && self.may_have_begun()
+        !self.is_stable && self.may_have_started()
     }
 }
 
@@ -168,14 +168,14 @@
         now_ms: u64,
     ) -> RemovedWorker {
         let worker = &self.workers[key];
-        let begun = worker.runs.iter().filter(|(_, run)| run.may_have_begun());
-        let suspects: BTreeSet<TaskId> = begun
+        let started = worker.runs.iter().filter(|(_, run)| run.may_have_started());
+        let suspects: BTreeSet<TaskId> = started
             .clone()
             .filter(|(_, run)| run.is_suspect())
             .map(|((task, _), _)| self.unit(*task))
             .collect();
         let mut lost_runs = Vec::new();
-        for ((task, number), run) in begun {
+        for ((task, number), run) in started {
             // What had worked for a while is no explanation as long as there is another one.
             let is_counted = run.is_suspect() || suspects.is_empty() && !run.is_long_running;
             // Nobody can be met again at an address that is not known.
@@ -222,7 +222,7 @@
             self.record_lost_run(task, lost_run, removed.span, now.steady_ms);
         }
         if removed.is_replaced {
-            self.settle(&removed.worker, true, now, actions);
+            self.resolve_crash(&removed.worker, true, now, actions);
         }
     }
 
@@ -252,13 +252,13 @@
 
     /// Takes up what former owners have put on record of a job's losses.
     pub(super) fn recover_lost_runs(&mut self, key: JobKey) {
-        let mut inherited = Vec::new();
+        let mut recovered = Vec::new();
         self.jobs[key].for_each_task(|id, task| {
             for lost_run in &task.lost_runs {
-                inherited.push((id, lost_run.clone()));
+                recovered.push((id, lost_run.clone()));
             }
         });
-        for (task, lost_run) in inherited {
+        for (task, lost_run) in recovered {
             let lost = LostWorker::new(&lost_run, None);
             let lost = self.crashes.lost.entry(lost_run.worker).or_insert(lost);
             lost.tasks.insert(task);
@@ -268,19 +268,24 @@
     /// Learns from the first answer of an incarnation what became of those that were lost: the
     /// former one at its address, or under its id, has crashed, and one that answers itself has
     /// not.
-    pub(super) fn resolve_lost(&mut self, key: WorkerKey, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn resolve_lost_workers(
+        &mut self,
+        key: WorkerKey,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
         let worker = &self.workers[key];
-        let mut settled = Vec::new();
+        let mut resolved = Vec::new();
         for (id, lost) in &self.crashes.lost {
             if *id == worker.entry.id {
                 let has_crashed = lost.incarnation.differs_from(worker.incarnation);
-                settled.push((id.clone(), has_crashed));
+                resolved.push((id.clone(), has_crashed));
             } else if lost.address == worker.entry.address {
-                settled.push((id.clone(), true));
+                resolved.push((id.clone(), true));
             }
         }
-        for (id, has_crashed) in settled {
-            self.settle(&id, has_crashed, now, actions);
+        for (id, has_crashed) in resolved {
+            self.resolve_crash(&id, has_crashed, now, actions);
         }
     }
 
@@ -300,7 +305,7 @@
     }
 
     /// Counts the crash of a worker against what ran there, or drops what was kept of it.
-    fn settle(&mut self, id: &str, has_crashed: bool, now: Now, actions: &mut Vec<Action>) {
+    fn resolve_crash(&mut self, id: &str, has_crashed: bool, now: Now, actions: &mut Vec<Action>) {
         let Some(lost) = self.crashes.lost.remove(id) else {
             return;
         };
@@ -410,7 +415,7 @@
         if self.unit(task) == task
             && let Some(state) = self.jobs[key].task_mut(task)
         {
-            state.suspicion.record_start(state.unsettled());
+            state.suspicion.record_start(state.unresolved_crashes());
         }
     }
 
@@ -434,8 +439,8 @@
     }
 
     /// Gives until when a task waits for what became of its workers, if it does.
-    pub(super) fn settles_ms(&self, task: TaskId, now_ms: u64) -> Option<u64> {
-        self.task(self.unit(task))?.settles_ms(now_ms)
+    pub(super) fn undecided_until_ms(&self, task: TaskId, now_ms: u64) -> Option<u64> {
+        self.task(self.unit(task))?.undecided_until_ms(now_ms)
     }
 
     /// Takes in that a run has been at work for long enough: its task crashes nobody. Members of a
@@ -486,12 +491,13 @@
         if !state.is_suspect() {
             return None;
         }
-        let unsettled = state
+        let unresolved_crashes = state
             .lost_runs
             .iter()
             .rev()
             .find(|lost_run| lost_run.may_be_cause());
-        let address = unsettled.map_or(&state.suspicion.address, |lost_run| &lost_run.address);
+        let address =
+            unresolved_crashes.map_or(&state.suspicion.address, |lost_run| &lost_run.address);
         Some(address.clone())
     }
 }
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -123,7 +123,7 @@
         let Some(step) = job.step_mut(id) else {
             return;
         };
-        let mut rivals = Vec::new();
+        let mut duplicates = Vec::new();
         for (index, task) in step.tasks.iter_mut().enumerate() {
             let index = index as u16;
             if index != id.index && !is_gang {
@@ -131,14 +131,14 @@
             }
             task.is_done = true;
             let own = TaskId { index, ..id };
-            rivals.extend(task.placement.take().map(|run| (own, run)));
-            rivals.extend(task.copy.take().map(|run| (own, run)));
+            duplicates.extend(task.placement.take().map(|run| (own, run)));
+            duplicates.extend(task.copy.take().map(|run| (own, run)));
         }
         step.recount();
         job.is_dirty = true;
         job.has_waiting = true;
-        for (task, rival) in rivals {
-            self.stop_rival(task, rival);
+        for (task, duplicate) in duplicates {
+            self.stop_duplicate(task, duplicate);
         }
     }
 
@@ -237,17 +237,17 @@
         }
     }
 
-    fn stop_rival(&mut self, task: TaskId, rival: Placement) {
-        let Some(worker) = self.workers.get_mut(rival.worker) else {
+    fn stop_duplicate(&mut self, task: TaskId, duplicate: Placement) {
+        let Some(worker) = self.workers.get_mut(duplicate.worker) else {
             return;
         };
-        let Some(run) = worker.runs.get_mut(&(task, rival.run)) else {
+        let Some(run) = worker.runs.get_mut(&(task, duplicate.run)) else {
             return;
         };
         run.is_orphan = true;
         worker.has_orders = true;
         if run.request_stop() {
-            worker.remove(task, rival.run);
+            worker.remove(task, duplicate.run);
         }
     }
 
--- a/crates/dispatch/src/owner/gangs.rs
+++ b/crates/dispatch/src/owner/gangs.rs
@@ -9,9 +9,9 @@
 use crate::event::Now;
 use crate::ids::TaskId;
 use crate::owner::Owner;
+use crate::owner::costs::TaskRequirements;
 use crate::owner::job::JobKey;
 use crate::owner::job::StepState;
-use crate::owner::pricing::TaskRequirements;
 use crate::owner::task::Placement;
 use crate::owner::worker::WorkerKey;
 use std::cmp::Reverse;
@@ -45,7 +45,7 @@
             self.give_up(key, first, now, actions);
             return false;
         }
-        if let Some(until_ms) = self.settles_ms(first, now.steady_ms) {
+        if let Some(until_ms) = self.undecided_until_ms(first, now.steady_ms) {
             self.wake_ms = self.wake_ms.min(until_ms);
             return true;
         }
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -11,6 +11,7 @@
 
 mod adopting;
 mod calls;
+mod costs;
 mod crashes;
 mod ends;
 mod evacuating;
@@ -23,7 +24,6 @@
 mod permits;
 mod placing;
 mod polls;
-mod pricing;
 mod progress;
 mod relaying;
 mod shares;
@@ -158,9 +158,9 @@
     recorded_silent: BTreeSet<Box<str>>,
     jobs: SlotMap<JobKey, Job>,
     job_keys: HashMap<JobId, JobKey>,
-    live: Vec<JobKey>,
+    live_jobs: Vec<JobKey>,
     /// Progress of jobs that this owner has not read yet.
-    unread: HashMap<JobId, Progress>,
+    unread_progress: HashMap<JobId, Progress>,
     /// All jobs that stood in the store when this owner claimed are read.
     is_caught_up: bool,
     /// Workers as they are on record for a successor.
@@ -235,8 +235,8 @@
             recorded_silent: BTreeSet::new(),
             jobs: SlotMap::with_key(),
             job_keys: HashMap::new(),
-            live: Vec::new(),
-            unread: HashMap::new(),
+            live_jobs: Vec::new(),
+            unread_progress: HashMap::new(),
             is_caught_up: false,
             recorded_workers: recovered.workers,
             unrecorded_workers: BTreeSet::new(),
@@ -288,7 +288,7 @@
         let mut ids: Vec<JobId> = job_table.jobs.keys().copied().collect();
         ids.sort_unstable();
         owner.update_hosts(&job_table.hosts);
-        owner.unread = recovered.jobs;
+        owner.unread_progress = recovered.jobs;
         for id in ids {
             owner.adopt(id, job_table, now, actions);
         }
@@ -366,7 +366,7 @@
         }
         self.is_caught_up = true;
         // What is left is of jobs whose keys were dropped.
-        self.unread.clear();
+        self.unread_progress.clear();
         for worker in self.workers.values_mut() {
             worker.handled_exit = worker.recorded_exit;
             worker.next_poll_ms = 0;
@@ -429,7 +429,7 @@
     }
 
     fn open_due(&mut self, now: Now) {
-        for key in &self.live {
+        for key in &self.live_jobs {
             let job = &mut self.jobs[*key];
             if job.next_occurrence < job.submission.repetitions
                 && job.open_occurrences(now, &self.bounds)
--- a/crates/dispatch/src/owner/orphans.rs
+++ b/crates/dispatch/src/owner/orphans.rs
@@ -17,7 +17,7 @@
 impl Owner {
     /// Takes back a run that was given up and is at work all the same, while its task runs nowhere
     /// else. Stopped, it would still be there while the next one begins. Tells whether it was.
-    pub(super) fn take_back(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) -> bool {
+    pub(super) fn reclaim_run(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) -> bool {
         let Some(job_key) = self.job_keys.get(&row.task.job).copied() else {
             return false;
         };
@@ -53,7 +53,7 @@
     /// ended; without that, a new owner would start too much beside the tasks of a job that
     /// was cancelled just before, where workers start whatever they are told to.
     pub(super) fn add_orphan(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) {
-        let phase = match self.unread.contains_key(&row.task.job) {
+        let phase = match self.unread_progress.contains_key(&row.task.job) {
             true => RunPhase::Present { since_ms: now_ms },
             false => RunPhase::Stopping { again_ms: 0 },
         };
--- a/crates/dispatch/src/owner/permits.rs
+++ b/crates/dispatch/src/owner/permits.rs
@@ -11,7 +11,7 @@
 use crate::ids::JobId;
 use crate::ids::StepId;
 use crate::owner::Owner;
-use crate::owner::pricing::TaskRequirements;
+use crate::owner::costs::TaskRequirements;
 use crate::owner::worker::WorkerKey;
 use crate::record::Submission;
 use std::cmp::Reverse;
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -5,8 +5,8 @@
 use crate::ids::StepId;
 use crate::ids::TaskId;
 use crate::owner::Owner;
+use crate::owner::costs::TaskRequirements;
 use crate::owner::job::JobKey;
-use crate::owner::pricing::TaskRequirements;
 use crate::owner::task::Placement;
 use crate::owner::worker::RunPhase;
 use crate::owner::worker::WorkerKey;
@@ -35,21 +35,21 @@
     /// Tasks that may still be placed.
     left: usize,
     /// Fillers for which no worker was left: service, image and processor time.
-    hopeless: Vec<(Box<str>, ImageKey, u64)>,
+    unplaceable: Vec<(Box<str>, ImageKey, u64)>,
 }
 
 impl Pass {
     /// Tells whether a filler like this one, or a smaller one, has found no worker.
-    fn is_hopeless(&self, requirements: &TaskRequirements<'_>) -> bool {
+    fn is_known_unplaceable(&self, requirements: &TaskRequirements<'_>) -> bool {
         requirements.step.is_best_effort
-            && self.hopeless.iter().any(|(service, image, cpu_milli)| {
+            && self.unplaceable.iter().any(|(service, image, cpu_milli)| {
                 **service == *requirements.service
                     && *image == requirements.image
                     && *cpu_milli <= requirements.step.cpu_milli
             })
     }
 
-    fn record_hopeless(&mut self, requirements: &TaskRequirements<'_>) {
+    fn record_unplaceable(&mut self, requirements: &TaskRequirements<'_>) {
         let step = requirements.step;
         let is_plain =
             step.label.is_empty() && step.max_per_worker == 0 && !requirements.needs_permits;
@@ -59,7 +59,7 @@
                 requirements.image,
                 step.cpu_milli,
             );
-            self.hopeless.push(entry);
+            self.unplaceable.push(entry);
         }
     }
 }
@@ -75,7 +75,7 @@
             return;
         }
         let mut order = Vec::new();
-        for key in &self.live {
+        for key in &self.live_jobs {
             let job = &self.jobs[*key];
             if job.has_waiting {
                 order.push((
@@ -87,7 +87,7 @@
         order.sort_unstable();
         let mut pass = Pass {
             left: MAX_PLACED,
-            hopeless: Vec::new(),
+            unplaceable: Vec::new(),
         };
         for (_, key) in order {
             self.place_job(key, now, &mut pass, actions);
@@ -102,7 +102,7 @@
     /// Has tasks that wait for a worker tried again in time. A worker may open, and a served task
     /// may have ease to spare again, without any event: they would wait for good otherwise.
     fn wake_for_waits(&mut self, now_ms: u64) {
-        if !self.live.iter().any(|key| self.jobs[*key].has_waiting) {
+        if !self.live_jobs.iter().any(|key| self.jobs[*key].has_waiting) {
             return;
         }
         let avoided = self.workers.values().map(|worker| worker.avoided_until_ms);
@@ -169,7 +169,7 @@
         if step.is_gang {
             return self.place_gang(key, &requirements, now, actions);
         }
-        if pass.is_hopeless(&requirements) {
+        if pass.is_known_unplaceable(&requirements) {
             return true;
         }
         // The tasks of a step are alike: workers are ranked once, and only the one that
@@ -197,7 +197,7 @@
                 self.give_up(key, id, now, actions);
                 return false;
             }
-            if let Some(until_ms) = task.settles_ms(now.steady_ms) {
+            if let Some(until_ms) = task.undecided_until_ms(now.steady_ms) {
                 self.wake_ms = self.wake_ms.min(until_ms);
                 continue;
             }
@@ -215,14 +215,15 @@
                     // Its siblings may find one.
                     continue;
                 }
-                pass.record_hopeless(&requirements);
+                pass.record_unplaceable(&requirements);
                 return true;
             };
             self.assign(key, id, worker, now, actions);
             long_running_milli += step.cpu_milli;
             if is_suspect {
                 ranked = self.rank_workers(&requirements, now.steady_ms);
-            } else if let Ok(cost) = self.price(&self.workers[worker], &requirements, now.steady_ms)
+            } else if let Ok(cost) =
+                self.placement_cost(&self.workers[worker], &requirements, now.steady_ms)
             {
                 ranked.push(Reverse((cost, worker)));
             }
@@ -248,18 +249,18 @@
     /// lasting steps only.
     pub(super) fn long_running_use(&self, service: &str, step: &Step) -> (u64, u64) {
         let mut resources = 0;
-        let mut lasting = 0;
+        let mut long_running = 0;
         if !step.is_long_running {
-            return (resources, lasting);
+            return (resources, long_running);
         }
         for worker in self.workers.values() {
             let takes_new = worker.is_listed && !self.is_evacuated(worker);
             if takes_new && *worker.entry.service == *service {
                 resources += worker.entry.resources.cpu_milli;
-                lasting += worker.long_running_milli;
+                long_running += worker.long_running_milli;
             }
         }
-        (resources, lasting)
+        (resources, long_running)
     }
 
     /// Finds the worker on which a task does least harm if it crashes it, and where a crash tells
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -68,7 +68,7 @@
                 || worker.misses_after_expiry >= MAX_MISSED_WHILE_SUSPECT;
             let has_expired =
                 worker.may_be_dead() && now_ms > worker.leases_expired_ms && has_had_its_chances;
-            if worker.is_over() || has_expired && worker.holds_up() {
+            if worker.is_over() || has_expired && worker.is_removal_awaited() {
                 dead.push(key);
             } else if worker.can_be_polled() && now_ms >= worker.next_poll_ms {
                 let priority = match now_ms + renew_ms > worker.leases_expired_ms {
@@ -222,7 +222,7 @@
         worker.is_known = true;
         self.must_place |= !was_known;
         if !was_known {
-            self.resolve_lost(key, now, actions);
+            self.resolve_lost_workers(key, now, actions);
         }
         self.apply_run_exits(key, &report, now, actions);
         self.apply_run_reports(key, sent_ms, &report, now_ms, actions);
@@ -324,7 +324,7 @@
         for row in &report.runs {
             present.insert((row.task, row.run));
             let is_known = self.workers[key].runs.contains_key(&(row.task, row.run));
-            if !is_known && !self.take_back(key, row, now_ms) {
+            if !is_known && !self.reclaim_run(key, row, now_ms) {
                 self.add_orphan(key, row, now_ms);
             }
             let Some(run) = self.workers[key].runs.get_mut(&(row.task, row.run)) else {
@@ -345,7 +345,7 @@
             }
         }
         for ((task, number), phase) in absent {
-            self.take_absent(key, task, number, phase, sent_ms, now_ms, actions);
+            self.handle_absent(key, task, number, phase, sent_ms, now_ms, actions);
         }
     }
 
@@ -353,7 +353,7 @@
         clippy::too_many_arguments,
         reason = "These are what is known of one run."
     )]
-    fn take_absent(
+    fn handle_absent(
         &mut self,
         key: WorkerKey,
         task: TaskId,
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -24,7 +24,7 @@
 const MAX_LOST_RUNS: usize = 4;
 /// Time for which a task that may have used up its starts waits until it is known whether its
 /// workers have crashed. Workers that crash are mostly back within twice a lease.
-const SETTLE_MS: u64 = 6_000;
+const MAX_UNDECIDED_MS: u64 = 6_000;
 
 /// A run that was lost with a removed worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -154,16 +154,16 @@
 
     /// Gives the number of its runs during which workers may have crashed, where that is not known
     /// yet. A gang may lose several workers in one run, which counts once.
-    pub(crate) fn unsettled(&self) -> u32 {
+    pub(crate) fn unresolved_crashes(&self) -> u32 {
         let suspects = self.lost_runs.iter().filter(|lost_run| lost_run.is_suspect);
         let runs: BTreeSet<u32> = suspects.map(|lost_run| lost_run.run).collect();
         runs.len() as u32
     }
 
     /// Gives until when it waits to know whether its workers crashed, if it does.
-    pub(crate) fn settles_ms(&self, now_ms: u64) -> Option<u64> {
-        let until_ms = self.lost_ms + SETTLE_MS;
-        (self.suspicion.awaits(self.unsettled()) && now_ms < until_ms).then_some(until_ms)
+    pub(crate) fn undecided_until_ms(&self, now_ms: u64) -> Option<u64> {
+        let until_ms = self.lost_ms + MAX_UNDECIDED_MS;
+        (self.suspicion.awaits(self.unresolved_crashes()) && now_ms < until_ms).then_some(until_ms)
     }
 
     /// Removes and gives the runs that were lost with a worker.
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -7,8 +7,8 @@
 use crate::event::Now;
 use crate::ids::TaskId;
 use crate::owner::Owner;
+use crate::owner::costs::TaskRequirements;
 use crate::owner::job::JobKey;
-use crate::owner::pricing::TaskRequirements;
 use crate::owner::worker::Exclusion;
 use crate::policy::link::CallPriority;
 use crate::record::Step;
@@ -132,7 +132,7 @@
 
     /// Notes that all tasks whose turn has come wait, as nothing is placed.
     pub(super) fn record_waits(&mut self, now_ms: u64) {
-        for key in &self.live {
+        for key in &self.live_jobs {
             let job = &mut self.jobs[*key];
             let submission = job.submission.clone();
             for occurrence in &mut job.occurrences {
@@ -149,7 +149,7 @@
 
     fn list_waiting(&self, now_ms: u64) -> Vec<WaitingStep> {
         let mut list = Vec::new();
-        for key in &self.live {
+        for key in &self.live_jobs {
             let job = &self.jobs[*key];
             for occurrence in &job.occurrences {
                 for (number, state) in occurrence.steps.iter().enumerate() {
@@ -204,7 +204,7 @@
         let reason = match () {
             () if task.not_before_ms > now_ms => WaitReason::Pause,
             () if self.orphans.contains_key(&id) => WaitReason::Stray,
-            () if self.settles_ms(id, now_ms).is_some() => WaitReason::Fate,
+            () if self.undecided_until_ms(id, now_ms).is_some() => WaitReason::Fate,
             () if task
                 .isolation_until_ms
                 .is_some_and(|until_ms| now_ms < until_ms) =>
@@ -252,10 +252,10 @@
         };
         let mut counts = WorkerCounts::default();
         for (key, worker) in &self.workers {
-            match self.price_at(key, worker, &requirements, now_ms) {
+            match self.permitted_cost(key, worker, &requirements, now_ms) {
                 Ok(_) => {
                     counts.open += 1;
-                    counts.resources += worker.holds_of(step);
+                    counts.resources += worker.capacity_for(step);
                 }
                 Err(Exclusion::Service) => {}
                 Err(exclusion) => *counts.excluded.entry(exclusion).or_default() += 1,
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -382,7 +382,7 @@
     }
 
     /// Tells whether something waits for its removal, if it is dead.
-    pub(crate) fn holds_up(&self) -> bool {
+    pub(crate) fn is_removal_awaited(&self) -> bool {
         !self.runs.is_empty() || !self.is_listed
     }
 
@@ -399,7 +399,7 @@
         }
         let poll_ms = self.can_be_polled().then_some(self.next_poll_ms);
         let removal_ms =
-            (self.may_be_dead() && self.holds_up()).then_some(self.leases_expired_ms + 1);
+            (self.may_be_dead() && self.is_removal_awaited()).then_some(self.leases_expired_ms + 1);
         poll_ms.into_iter().chain(removal_ms).min()
     }
 
@@ -449,7 +449,7 @@
     }
 
     /// Gives how many tasks of a step fit.
-    pub(crate) fn holds_of(&self, step: &Step) -> u32 {
+    pub(crate) fn capacity_for(&self, step: &Step) -> u32 {
         let mut free = self.free();
         let mut count = 0;
         while count < step.count && free.can_fit(step.resources()) {
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -131,7 +131,7 @@
         let mut records = Vec::new();
         let mut bytes = 0;
         let mut written = Vec::new();
-        for key in &self.live {
+        for key in &self.live_jobs {
             let job = &self.jobs[*key];
             if !job.is_dirty || bytes > MAX_BATCH_BYTES {
                 continue;
@@ -274,7 +274,7 @@
             }
             !is_written
         });
-        let is_all_written = self.live.iter().all(|key| !self.jobs[*key].is_dirty);
+        let is_all_written = self.live_jobs.iter().all(|key| !self.jobs[*key].is_dirty);
         if self.is_caught_up && is_all_written {
             for key in self.workers.unrecorded() {
                 effects
@@ -383,7 +383,7 @@
     fn drop_final(&mut self) {
         let (jobs, keys, finished_jobs) =
             (&mut self.jobs, &mut self.job_keys, &mut self.finished_jobs);
-        self.live.retain(|key| {
+        self.live_jobs.retain(|key| {
             let job = &jobs[*key];
             let stays = !job.phase.is_final() || job.is_dirty;
             if !stays {
--- a/crates/dispatch/src/policy/suspicion.rs
+++ b/crates/dispatch/src/policy/suspicion.rs
@@ -92,8 +92,8 @@
     /// Notes that the task is about to start, after so many losses of which it is not known yet
     /// whether they were crashes. They count here as if they were: workers that crash may be back
     /// only long after their tasks run elsewhere.
-    pub fn record_start(&mut self, unsettled: u32) {
-        self.starts += u32::from(self.crashes + unsettled >= PROBATION_AT);
+    pub fn record_start(&mut self, unresolved_crashes: u32) {
+        self.starts += u32::from(self.crashes + unresolved_crashes >= PROBATION_AT);
     }
 
     /// Takes in that a start was refused.
@@ -109,8 +109,9 @@
 
     /// Tells whether it should not be started before it is known what became of the workers that it
     /// was lost with: if they have crashed, it has had its last starts.
-    pub fn awaits(&self, unsettled: u32) -> bool {
-        let may_be_used_up = self.starts >= STARTS_MORE && self.crashes + unsettled >= PROBATION_AT;
+    pub fn awaits(&self, unresolved_crashes: u32) -> bool {
+        let may_be_used_up =
+            self.starts >= STARTS_MORE && self.crashes + unresolved_crashes >= PROBATION_AT;
         may_be_used_up && !self.is_used_up()
     }
 
--- a/tests/policy_suspicion.rs
+++ b/tests/policy_suspicion.rs
@@ -272,9 +272,13 @@
 #[gtest]
 fn losses_that_may_be_crashes_count_towards_the_last_starts() {
     let mut suspicion = Suspicion::default();
-    for unsettled in 0..4 {
-        expect_that!(suspicion.awaits(unsettled), eq(false), "{unsettled} lost");
-        suspicion.record_start(unsettled);
+    for unresolved_crashes in 0..4 {
+        expect_that!(
+            suspicion.awaits(unresolved_crashes),
+            eq(false),
+            "{unresolved_crashes} lost"
+        );
+        suspicion.record_start(unresolved_crashes);
     }
     suspicion.record_start(4);
     expect_that!(suspicion.awaits(5), eq(true));
