--- a/crates/dispatch/src/lane.rs
+++ b/crates/dispatch/src/appender.rs
@@ -1,26 +1,27 @@
-//! Appends to one stream under an epoch, one after the other.
+//! Fenced appends to one stream, one at a time.
 
 use crate::event::Action;
-use crate::event::AppendEnd;
+use crate::event::AppendOutcome;
 use crate::event::Fence;
 use crate::event::Stream;
 use crate::owner::records_bytes;
 
-/// Signs of life while nothing else is to be said. Followers claim after three missing ones.
-pub(crate) const BEAT_MS: u64 = 250;
-/// Time after which an append without an answer is repeated. The store answers in 4 ms,
+/// Interval of heartbeats while there is nothing else to append. Followers claim ownership after
+/// three missing ones.
+pub(crate) const HEARTBEAT_MS: u64 = 250;
+/// Time after which an append without an answer is retried. The store answers in 4 ms,
 /// and in 240 ms when it is sixty times slower.
 const APPEND_TIMEOUT_MS: u64 = 700;
-/// Pause before a refused append is repeated.
+/// Pause before a refused append is retried.
 const RETRY_MS: u64 = 60;
 
 /// Keys and values.
 pub(crate) type Records = Vec<(Box<str>, Box<[u8]>)>;
 
-/// Appends to one stream: one at a time, so that their order is that of the log. A repeat
-/// has the sequence number of the first try, which makes it harmless.
+/// Appends to one stream, one at a time, so that their order is that of the log. A retry has the
+/// sequence number of the first attempt, so a duplicate has no effect.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct Appender {
     stream: Stream,
     sequence: u64,
     /// Records that are not stored yet.
@@ -33,7 +34,7 @@
     pub(crate) last_bytes: u64,
 }
 
-impl Lane {
+impl Appender {
     pub(crate) fn new(stream: Stream, sequence: u64, now_ms: u64) -> Self {
         Self {
             stream,
@@ -88,11 +89,16 @@
         });
     }
 
-    /// Takes in the end of an append. Gives `None` if it is none of this lane, else whether
-    /// its records are stored.
-    pub(crate) fn take(&mut self, ticket: u64, end: AppendEnd, now_ms: u64) -> Option<bool> {
+    /// Handles the outcome of an append. Gives `None` if this appender did not send it, else
+    /// whether its records are stored.
+    pub(crate) fn take(
+        &mut self,
+        ticket: u64,
+        outcome: AppendOutcome,
+        now_ms: u64,
+    ) -> Option<bool> {
         self.ticket.take_if(|own| *own == ticket)?;
-        let is_stored = matches!(end, AppendEnd::Stored { .. });
+        let is_stored = matches!(outcome, AppendOutcome::Stored { .. });
         if is_stored {
             self.sequence += 1;
             self.records = None;
--- a/crates/dispatch/src/entry/job_tails.rs
+++ b/crates/dispatch/src/entry/job_tails.rs
@@ -15,10 +15,10 @@
 }
 
 impl JobTails {
-    pub(crate) fn new(parts: u8, salt: u64) -> Self {
+    pub(crate) fn new(partitions: u8, salt: u64) -> Self {
         let mut tails = Vec::new();
-        for part in 0..parts.max(1) {
-            tails.push(Tail::new(Stream::Jobs(part), salt));
+        for partition in 0..partitions.max(1) {
+            tails.push(Tail::new(Stream::Jobs(partition), salt));
         }
         Self { tails }
     }
@@ -28,16 +28,16 @@
     }
 
     /// Gives the number of parts.
-    pub(crate) fn parts(&self) -> u8 {
+    pub(crate) fn partitions(&self) -> u8 {
         self.tails.len() as u8
     }
 
-    pub(crate) fn tail(&self, part: u8) -> Option<&Tail> {
-        self.tails.get(usize::from(part))
+    pub(crate) fn tail(&self, partition: u8) -> Option<&Tail> {
+        self.tails.get(usize::from(partition))
     }
 
-    pub(crate) fn tail_mut(&mut self, part: u8) -> Option<&mut Tail> {
-        self.tails.get_mut(usize::from(part))
+    pub(crate) fn tail_mut(&mut self, partition: u8) -> Option<&mut Tail> {
+        self.tails.get_mut(usize::from(partition))
     }
 
     /// Tells whether some part was loaded, so that jobs can be taken in.
@@ -56,7 +56,7 @@
     }
 
     /// Reads all parts that were not read to their end since the given ticket.
-    pub(crate) fn prompt_after(
+    pub(crate) fn read_now_after(
         &mut self,
         ticket: u64,
         now_ms: u64,
@@ -65,7 +65,7 @@
     ) {
         for tail in &mut self.tails {
             if !tail.is_fresh_after(ticket) {
-                tail.prompt_after(ticket, now_ms, tickets, actions);
+                tail.read_now_after(ticket, now_ms, tickets, actions);
             }
         }
     }
@@ -76,9 +76,9 @@
     }
 
     /// Notes since when the store answers this host.
-    pub(crate) fn note_contact(&mut self, contact_ms: u64) {
+    pub(crate) fn record_contact(&mut self, contact_ms: u64) {
         for tail in &mut self.tails {
-            tail.note_contact(contact_ms);
+            tail.record_contact(contact_ms);
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Reads all parts that were not read to their end since `since_ms`.
-    pub(crate) fn prompt(
+    pub(crate) fn read_now(
         &mut self,
         since_ms: u64,
         now_ms: u64,
@@ -106,13 +106,13 @@
     ) {
         for tail in &mut self.tails {
             if !tail.is_fresh_since(since_ms) {
-                tail.prompt(since_ms, now_ms, tickets, actions);
+                tail.read_now(since_ms, now_ms, tickets, actions);
             }
         }
     }
 
     /// Keeps one read of each part under way that waits for a record.
-    pub(crate) fn listen(
+    pub(crate) fn long_poll(
         &mut self,
         wait_ms: u64,
         now_ms: u64,
@@ -120,7 +120,7 @@
         actions: &mut Vec<Action>,
     ) {
         for tail in &mut self.tails {
-            tail.listen(wait_ms, now_ms, tickets, actions);
+            tail.long_poll(wait_ms, now_ms, tickets, actions);
         }
     }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decisions on jobs of many tasks, for entry hosts that keep nothing themselves.
+//! Decisions on jobs of many tasks, for entry hosts that store nothing themselves.
 //!
-//! All that must last stands in keyed streams of the platform's store: the submitted
+//! All durable state is in keyed streams of the platform's store: the submitted
 //! [jobs](Stream::Jobs), their [progress](Stream::Progress) and [states](Stream::States),
 //! the operator's [rules](Stream::Rules) and the [workers](Stream::Workers). Every entry
-//! host runs an [`Entry`], which accepts jobs by itself and answers for their state. One of them is
-//! the owner: it alone writes progress, under a token that also fences its orders to
-//! workers, and starts, watches and stops tasks.
+//! host runs an [`Entry`], which accepts jobs by itself and answers queries about their state. One
+//! of the hosts is the owner: it alone writes progress, under a token that also fences its orders
+//! to workers, and starts, monitors and stops tasks.
 //!
-//! Nothing here does input or output, reads a clock or starts a thread: [`Event`]s and
-//! a [`Now`] go in, [`Action`]s come out.
+//! The crate does no input or output, reads no clock and starts no thread: it takes [`Event`]s and
+//! a [`Now`], and returns [`Action`]s.
 //!
 //! ```
 //! use goldcrestway_dispatch::{Action, Bounds, Decoders, Entry, Event, Now};
@@ -21,13 +21,14 @@
 //! assert!(actions.iter().any(|action| matches!(action, Action::Load { .. })));
 //! ```
 
-/// Calls to the store that a host has under way at once at most: the long polls of an owner
-/// (one for each part of the stream of jobs, one for the rules), as many reads beside them,
-/// loads, and appends of its own and of callers. Whoever carries them out must not let one
-/// wait for another: a read that waits behind a long poll is late by seconds, and a host
-/// that claims would lose its claim to the next one meanwhile.
-pub const STORE_CALLS_MOST: usize = 32;
+/// Maximum number of concurrent calls of a host to the store: the long polls of an owner (one for
+/// each partition of the stream of jobs, one for the rules), as many reads beside them, loads, and
+/// appends of its own and of callers. They must not wait for one another: a read that is queued
+/// behind a long poll is late by seconds, and a host that claims ownership would lose its claim to
+/// the next host meanwhile.
+pub const MAX_STORE_CALLS: usize = 32;
 
+mod appender;
 mod bounds;
 mod config;
 mod election;
@@ -36,8 +37,7 @@
 mod event;
 mod ids;
 mod incarnation;
-mod lane;
-mod ledger;
+mod job_table;
 mod owner;
 pub mod policy;
 mod record;
@@ -52,40 +52,40 @@
 pub use config::EvacuationDecoder;
 pub use config::PermitRules;
 pub use config::Queue;
-pub use config::Room;
+pub use config::Resources;
 pub use config::WorkerEntry;
 pub use entry::Ages;
 pub use entry::Entry;
 pub use entry::Found;
 pub use evacuations::Evacuations;
 pub use event::Action;
-pub use event::AdviceEnd;
-pub use event::AppendEnd;
+pub use event::AppendOutcome;
+pub use event::ConnectionId;
 pub use event::Event;
+pub use event::ExitReason;
 pub use event::Fence;
-pub use event::LinkId;
-pub use event::Listed;
-pub use event::ListedEnd;
-pub use event::ListedRun;
-pub use event::Manner;
+pub use event::LoadOutcome;
 pub use event::Now;
-pub use event::OrderEnd;
+pub use event::OrderOutcome;
 pub use event::Page;
-pub use event::PageEnd;
-pub use event::ReadEnd;
+pub use event::PermitOutcome;
 pub use event::ReadFault;
-pub use event::ReadPatience;
+pub use event::ReadOutcome;
+pub use event::ReadTimeouts;
 pub use event::Refusal;
 pub use event::Reply;
+pub use event::RunExit;
+pub use event::RunReport;
 pub use event::StoredRecord;
 pub use event::Stream;
 pub use event::WorkerCall;
+pub use event::WorkerReport;
 pub use ids::JobId;
 pub use ids::StepId;
 pub use ids::TaskId;
 pub use incarnation::Incarnation;
-pub use ledger::JobState;
-pub use owner::Figures;
-pub use owner::Wait;
+pub use job_table::JobState;
+pub use owner::OwnerStats;
+pub use owner::WaitReason;
 pub use record::Step;
 pub use record::Submission;
--- a/crates/dispatch/src/owner/evacuating.rs
+++ b/crates/dispatch/src/owner/evacuating.rs
@@ -11,7 +11,7 @@
 
 impl Owner {
     /// Takes in which failure domains are evacuated.
-    pub(crate) fn note_evacuations(&mut self, evacuations: Rc<Evacuations>) {
+    pub(crate) fn set_evacuations(&mut self, evacuations: Rc<Evacuations>) {
         self.evacuations = evacuations;
         // What waited for a domain may have its turn there again.
         self.must_place = true;
@@ -19,9 +19,9 @@
 
     /// Starts nothing while the rules are so old that a failure domain may have been evacuated
     /// unheard.
-    pub(crate) fn hold_starts(&mut self, holds: bool) {
-        self.must_place |= self.holds_starts && !holds;
-        self.holds_starts = holds;
+    pub(crate) fn pause_starts(&mut self, is_paused: bool) {
+        self.must_place |= self.are_starts_paused && !is_paused;
+        self.are_starts_paused = is_paused;
     }
 
     /// Tells whether a worker gets nothing new, as its failure domain is evacuated.
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -3,22 +3,22 @@
 
 use crate::evacuations::Evacuations;
 use crate::event::Action;
-use crate::event::LinkId;
-use crate::event::OrderEnd;
+use crate::event::ConnectionId;
+use crate::event::OrderOutcome;
 use crate::event::WorkerCall;
 use crate::ids::JobId;
-use crate::relay::frames::EndsFrame;
-use crate::relay::frames::OrderEndRow;
+use crate::relay::frames::OrderOutcomeRow;
 use crate::relay::frames::OrderRow;
 use crate::relay::frames::OrdersFrame;
+use crate::relay::frames::OutcomesFrame;
 use crate::relay::frames::QuestionRow;
 use crate::relay::inquiry::Answer;
 use crate::relay::inquiry::Subject;
 use crate::relay::inquiry::answer;
 use crate::relay::inquiry::question_row;
-use crate::relay::rows::end_row;
 use crate::relay::rows::order_call;
-use crate::relay::sessions::SIGN_GAP_MS;
+use crate::relay::rows::outcome_row;
+use crate::relay::sessions::HEARTBEAT_GAP_MS;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use prost::Message;
@@ -36,7 +36,7 @@
 
 /// Time without a word of an owner after which it counts as silent: two signs of life, and a turn
 /// of a busy host.
-const SILENCE_MS: u64 = 2 * SIGN_GAP_MS + 500;
+const SILENCE_MS: u64 = 2 * HEARTBEAT_GAP_MS + 500;
 
 /// What one owner has told, and what it is to be told.
 #[derive(Debug, Default)]
@@ -48,25 +48,25 @@
     /// By the numbers that the owner has given them.
     workers: HashMap<u32, Name>,
     texts: HashMap<JobId, Rc<str>>,
-    ends: Vec<OrderEndRow>,
+    outcomes: Vec<OrderOutcomeRow>,
     was_told_leaving: bool,
 }
 
 /// Orders of owners under way at this host.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
-    sessions: BTreeMap<LinkId, Session>,
+    sessions: BTreeMap<ConnectionId, Session>,
     /// By the ticket of this host: whose they are, and their tickets there.
-    orders: HashMap<u64, (LinkId, u64)>,
+    orders: HashMap<u64, (ConnectionId, u64)>,
     answers: Vec<Answer>,
     is_leaving: bool,
 }
 
 impl Relay {
     /// Takes in orders of an owner.
-    pub(crate) fn take_frame(
+    pub(crate) fn handle_frame(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         bytes: &[u8],
         evacuations: &Evacuations,
         now_ms: u64,
@@ -82,12 +82,12 @@
                     "relayed orders",
                     format!("step=decode why={error}"),
                 )));
-                actions.push(Action::CloseLink { link });
-                self.lose(link);
+                actions.push(Action::CloseConnection { conn });
+                self.lose(conn);
                 return;
             }
         };
-        let session = self.sessions.entry(link).or_default();
+        let session = self.sessions.entry(conn).or_default();
         session.token = frame.token;
         session.heard_ms = now_ms;
         self.answers.extend(frame.answers.iter().map(answer));
@@ -106,37 +106,41 @@
             session.texts.insert(JobId(text.job), text.text.into());
         }
         for row in &frame.orders {
-            self.take_order(link, frame.token, row, evacuations, tickets, actions);
+            self.handle_order_outcome(conn, frame.token, row, evacuations, tickets, actions);
         }
     }
 
-    fn take_order(
+    fn handle_order_outcome(
         &mut self,
-        link: LinkId,
+        conn: ConnectionId,
         token: u64,
         row: &OrderRow,
         evacuations: &Evacuations,
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        let Some(session) = self.sessions.get_mut(&link) else {
+        let Some(session) = self.sessions.get_mut(&conn) else {
             return;
         };
         let call = order_call(row, |job| session.texts.get(&job).cloned());
         let name = session.workers.get(&row.worker);
         let (Some(call), Some(name)) = (call, name) else {
             // The owner will order it by itself.
-            session.ends.push(end_row(row.ticket, &OrderEnd::NotSent));
+            session
+                .outcomes
+                .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
             return;
         };
         // The order may have waited on the way here, and the owner have sent it by older rules.
         let is_start = matches!(call, WorkerCall::Start { .. });
         if is_start && evacuations.covers(&name.failure_domain) {
-            session.ends.push(end_row(row.ticket, &OrderEnd::NotSent));
+            session
+                .outcomes
+                .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
             return;
         }
         *tickets += 1;
-        self.orders.insert(*tickets, (link, row.ticket));
+        self.orders.insert(*tickets, (conn, row.ticket));
         actions.push(Action::Order {
             ticket: *tickets,
             address: name.address.clone(),
@@ -148,33 +152,33 @@
     }
 
     /// Takes in the end of an order, and tells whether it was one of an owner.
-    pub(crate) fn take_end(&mut self, ticket: u64, end: &OrderEnd) -> bool {
-        let Some((link, ordered)) = self.orders.remove(&ticket) else {
+    pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: &OrderOutcome) -> bool {
+        let Some((conn, ordered)) = self.orders.remove(&ticket) else {
             return false;
         };
-        if let Some(session) = self.sessions.get_mut(&link) {
-            session.ends.push(end_row(ordered, end));
+        if let Some(session) = self.sessions.get_mut(&conn) {
+            session.outcomes.push(outcome_row(ordered, outcome));
         }
         true
     }
 
     /// Gives the connection of the owner that lives, if one does as far as its host is heard. An
     /// owner with an older token than the given one has a successor.
-    pub(crate) fn owner_link(&self, token: u64, now_ms: u64) -> Option<LinkId> {
-        let mut found: Option<(u64, LinkId)> = None;
-        for (link, session) in &self.sessions {
+    pub(crate) fn owner_connection(&self, token: u64, now_ms: u64) -> Option<ConnectionId> {
+        let mut found: Option<(u64, ConnectionId)> = None;
+        for (conn, session) in &self.sessions {
             let is_heard = now_ms <= session.heard_ms + SILENCE_MS;
             let is_newer = found.is_none_or(|(newest, _)| session.token > newest);
             if is_heard && session.token >= token && is_newer {
-                found = Some((session.token, *link));
+                found = Some((session.token, *conn));
             }
         }
-        found.map(|(_, link)| link)
+        found.map(|(_, conn)| conn)
     }
 
     /// Asks an owner.
-    pub(crate) fn ask(&mut self, link: LinkId, ticket: u64, subject: Subject) {
-        if let Some(session) = self.sessions.get_mut(&link) {
+    pub(crate) fn ask(&mut self, conn: ConnectionId, ticket: u64, subject: Subject) {
+        if let Some(session) = self.sessions.get_mut(&conn) {
             session.questions.push(question_row(ticket, subject));
         }
     }
@@ -190,25 +194,25 @@
     }
 
     /// Forgets an owner whose link is gone. What it ordered goes on.
-    pub(crate) fn lose(&mut self, link: LinkId) {
-        self.sessions.remove(&link);
+    pub(crate) fn lose(&mut self, conn: ConnectionId) {
+        self.sessions.remove(&conn);
     }
 
     /// Tells owners what came of their orders, and asks them.
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
-        for (link, session) in &mut self.sessions {
+        for (conn, session) in &mut self.sessions {
             let has_news = self.is_leaving && !session.was_told_leaving;
-            if session.ends.is_empty() && session.questions.is_empty() && !has_news {
+            if session.outcomes.is_empty() && session.questions.is_empty() && !has_news {
                 continue;
             }
             session.was_told_leaving = self.is_leaving;
-            let frame = EndsFrame {
-                ends: std::mem::take(&mut session.ends),
+            let frame = OutcomesFrame {
+                outcomes: std::mem::take(&mut session.outcomes),
                 questions: std::mem::take(&mut session.questions),
                 is_leaving: self.is_leaving,
             };
             actions.push(Action::SendFrame {
-                link: *link,
+                conn: *conn,
                 bytes: frame.encode_to_vec().into(),
             });
         }
