--- a/crates/dispatch/src/owner/calls.rs
+++ b/crates/dispatch/src/owner/calls.rs
@@ -60,7 +60,7 @@
         let Some(order) = self.orders.remove(&ticket) else {
             return;
         };
-        self.record_lateness(order, &outcome, now.steady_ms);
+        self.record_latency(order, &outcome, now.steady_ms);
         let Order {
             worker, purpose, ..
         } = order;
@@ -97,11 +97,11 @@
     /// has started again, and what it was told by its former clock it grants for as long as it ever
     /// does. Answers to orders tell that before a look does.
     fn set_clock(&mut self, key: WorkerKey, clock_ms: u64, now_ms: u64) {
-        let longest_ms = now_ms + self.max_lease_span_ms();
+        let expired_ms = now_ms + self.max_lease_span_ms();
         let worker = &mut self.workers[key];
         let expected_ms = worker.clock_ms(now_ms);
         if expected_ms.is_some_and(|expected_ms| expected_ms.abs_diff(clock_ms) > CLOCK_JUMP_MS) {
-            worker.leases_expired_ms = worker.leases_expired_ms.max(longest_ms);
+            worker.leases_expired_ms = worker.leases_expired_ms.max(expired_ms);
             worker.next_poll_ms = now_ms;
         }
         worker.clock = Some((clock_ms, now_ms));
@@ -109,7 +109,7 @@
 
     /// Learns what answers take. One that came before its wait was over tells nothing, as the
     /// worker may have given it at any time.
-    fn record_lateness(&mut self, order: Order, outcome: &OrderOutcome, now_ms: u64) {
+    fn record_latency(&mut self, order: Order, outcome: &OrderOutcome, now_ms: u64) {
         let took_ms = now_ms.saturating_sub(order.sent_ms);
         match outcome {
             OrderOutcome::NotSent => {}
--- a/crates/dispatch/src/owner/costs.rs
+++ b/crates/dispatch/src/owner/costs.rs
@@ -31,11 +31,11 @@
 /// gets on with all of them.
 const SAME_IMAGE_GAIN: i64 = 14_000;
 /// Cost, in thousandths of a core, of a worker far from a task's data.
-const FAR_COST: i64 = 1_000_000;
+const REMOTE_DATA_COST: i64 = 1_000_000;
 /// Cost of a worker whose last run failed.
-const SUSPECT_COST: i64 = 20_000;
+const FAILED_RUN_COST: i64 = 20_000;
 /// Cost of a worker that is still warming up.
-const COLD_COST: i64 = 50_000;
+const WARM_UP_COST: i64 = 50_000;
 /// Cost of a worker on which something else may be the cause of a crash; more than all else.
 const AMBIGUOUS_COST: i64 = 1_000_000_000;
 /// Cost of each thousandth of a core whose work is lost in a crash; more than that of a worker far
@@ -103,21 +103,21 @@
             return Err(exclusion);
         }
         check_fit(worker, requirements)?;
-        let disturbance = self
-            .disturbance(worker, requirements, now_ms)
+        let interference_cost = self
+            .interference_cost(worker, requirements, now_ms)
             .ok_or(Exclusion::Disturbed)?;
-        let cost = cost(worker, requirements).ok_or(Exclusion::Crowded)?;
-        let risk = risk(worker, requirements).ok_or(Exclusion::Suspects)?;
+        let cost = resource_cost(worker, requirements).ok_or(Exclusion::Crowded)?;
+        let crash_risk_cost = crash_risk_cost(worker, requirements).ok_or(Exclusion::Suspects)?;
         // Asked last, so that it is told only where nothing else keeps the task from there.
         if self.is_evacuated(worker) {
             return Err(Exclusion::Evacuated);
         }
-        Ok(cost + disturbance + risk)
+        Ok(cost + interference_cost + crash_risk_cost)
     }
 
     /// Gives the cost of what a task would do to those that serve on a worker, or what
     /// fillers there would do to it; `None` if that is too much.
-    fn disturbance(
+    fn interference_cost(
         &self,
         worker: &Worker,
         requirements: &TaskRequirements<'_>,
@@ -125,15 +125,15 @@
     ) -> Option<i64> {
         let step = requirements.step;
         if step.is_best_effort {
-            let own = (requirements.image, step.cpu_milli as f64 / 1_000.0);
-            return self.headroom_loss_cost(worker, own, now_ms);
+            let own_usage = (requirements.image, step.cpu_milli as f64 / 1_000.0);
+            return self.headroom_loss_cost(worker, own_usage, now_ms);
         }
         if step.tail_latency_target_ms == 0 {
             return Some(0);
         }
         let headroom_loss = self
             .interference
-            .headroom_loss(requirements.image, &demands(worker));
+            .headroom_loss(requirements.image, &best_effort_demands(worker));
         let mut cost = (headroom_loss * HEADROOM_LOSS_COST) as i64;
         if !self.bounds.policy.keeps_images_together {
             return Some(cost);
@@ -152,14 +152,19 @@
 
     /// Gives the cost of a filler for those that serve on a worker; `None` if it would
     /// take more ease than a task there can spare.
-    fn headroom_loss_cost(&self, worker: &Worker, own: ImageUsage, now_ms: u64) -> Option<i64> {
+    fn headroom_loss_cost(
+        &self,
+        worker: &Worker,
+        own_usage: ImageUsage,
+        now_ms: u64,
+    ) -> Option<i64> {
         let mut others = None;
-        let mut most: f64 = 0.0;
+        let mut max_loss: f64 = 0.0;
         for run in worker.runs.values() {
             if run.tail_latency_target_ms == 0 {
                 continue;
             }
-            let headroom_loss = self.interference.headroom_loss(run.image, &[own]);
+            let headroom_loss = self.interference.headroom_loss(run.image, &[own_usage]);
             // A task over its target gets no further filler that may be the cause, and none
             // at all when it has been so for long.
             if let Some(since_ms) = run.over_since_ms {
@@ -172,15 +177,15 @@
             if headroom_loss < MIN_HEADROOM_LOSS {
                 continue;
             }
-            let others = others.get_or_insert_with(|| demands(worker));
-            let taken = headroom_loss + self.interference.headroom_loss(run.image, others);
-            let is_tight = self.interference.solo_headroom(run.image) - taken < MIN_HEADROOM;
-            if is_tight || taken > MAX_HEADROOM_LOSS {
+            let others = others.get_or_insert_with(|| best_effort_demands(worker));
+            let total_loss = headroom_loss + self.interference.headroom_loss(run.image, others);
+            let is_tight = self.interference.solo_headroom(run.image) - total_loss < MIN_HEADROOM;
+            if is_tight || total_loss > MAX_HEADROOM_LOSS {
                 return None;
             }
-            most = most.max(taken);
+            max_loss = max_loss.max(total_loss);
         }
-        Some((most * HEADROOM_LOSS_COST) as i64)
+        Some((max_loss * HEADROOM_LOSS_COST) as i64)
     }
 }
 
@@ -217,7 +222,7 @@
 /// than the one that it may have crashed, and there where least is lost. All others keep away from
 /// it until it has shown that it is sound. None is kept from its turn for long: it waits for two
 /// seconds at most, and all else are costs.
-fn risk(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
+fn crash_risk_cost(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
     let probes_cost = i64::from(worker.probes) * AMBIGUOUS_COST;
     let Some(suspected_at) = &requirements.suspected_at else {
         return Some(probes_cost);
@@ -236,37 +241,37 @@
 }
 
 /// Lists what the fillers on a worker would like to use.
-fn demands(worker: &Worker) -> Vec<ImageUsage> {
-    let mut demands = Vec::new();
+fn best_effort_demands(worker: &Worker) -> Vec<ImageUsage> {
+    let mut best_effort_demands = Vec::new();
     for run in worker.runs.values() {
         if run.is_best_effort {
-            demands.push((run.image, run.cpu_milli as f64 / 1_000.0));
+            best_effort_demands.push((run.image, run.cpu_milli as f64 / 1_000.0));
         }
     }
-    demands
+    best_effort_demands
 }
 
 /// Gives the cost of putting a task on a worker; `None` if it would only slow down what
 /// is there.
-fn cost(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
+fn resource_cost(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
     let step = requirements.step;
-    let spare = spare_milli(worker);
-    let mut cost = -spare;
+    let unused_milli = unused_milli(worker);
+    let mut cost = -unused_milli;
     if !step.is_best_effort && !step.is_long_running {
         // The tightest fit leaves large holes whole.
         cost = worker.free().cpu_milli as i64;
     }
     if step.is_best_effort {
         // Fillers share what is unused: one too many slows all of them.
-        if spare < step.cpu_milli as i64 && worker.best_effort_milli > 0 {
+        if unused_milli < step.cpu_milli as i64 && worker.best_effort_milli > 0 {
             return None;
         }
     }
     if worker.consecutive_failures > 0 {
-        cost += SUSPECT_COST;
+        cost += FAILED_RUN_COST;
     }
     if worker.entry.cold_ms > 0 {
-        cost += COLD_COST;
+        cost += WARM_UP_COST;
     }
     if !step.data_rack.is_empty()
         && !worker
@@ -275,13 +280,13 @@
             .iter()
             .any(|label| **label == *step.data_rack)
     {
-        cost += FAR_COST;
+        cost += REMOTE_DATA_COST;
     }
     Some(cost)
 }
 
 /// Gives the processor time that is expected to be unused on a worker.
-fn spare_milli(worker: &Worker) -> i64 {
+fn unused_milli(worker: &Worker) -> i64 {
     let unused_by_long_running = worker.long_running_milli * (100 - LONG_RUNNING_USE_PERCENT) / 100;
     worker.entry.resources.cpu_milli as i64 - worker.used.cpu_milli as i64
         + unused_by_long_running as i64
--- a/crates/dispatch/src/owner/gangs.rs
+++ b/crates/dispatch/src/owner/gangs.rs
@@ -30,17 +30,17 @@
         let Some(state) = self.jobs[key].step_mut(first) else {
             return false;
         };
-        let is_whole = state.tasks.iter().all(|task| task.is_waiting());
-        let waits = state.tasks.iter().map(|task| task.not_before_ms);
-        let not_before_ms = waits.max().unwrap_or(0);
-        if !is_whole || not_before_ms > now.steady_ms {
+        let is_fully_waiting = state.tasks.iter().all(|task| task.is_waiting());
+        let not_before = state.tasks.iter().map(|task| task.not_before_ms);
+        let not_before_ms = not_before.max().unwrap_or(0);
+        if !is_fully_waiting || not_before_ms > now.steady_ms {
             // The end of the last member that still runs comes with an event of its own.
-            if is_whole {
+            if is_fully_waiting {
                 self.wake_ms = self.wake_ms.min(not_before_ms);
             }
             return true;
         }
-        align(state);
+        align_members(state);
         if self.is_used_up(first) {
             self.give_up(key, first, now, actions);
             return false;
@@ -54,7 +54,7 @@
         if members.any(|member| self.has_orphan(member)) {
             return true;
         }
-        let Some(workers) = self.find_gang(requirements, count, now.steady_ms) else {
+        let Some(workers) = self.find_gang_workers(requirements, count, now.steady_ms) else {
             return true;
         };
         for (index, worker) in workers.into_iter().enumerate() {
@@ -89,12 +89,12 @@
             };
             worker.has_orders = true;
             if run.request_stop() {
-                self.lose_member(placement.worker, key, task, placement.run);
+                self.drop_member(placement.worker, key, task, placement.run);
             }
         }
     }
 
-    fn lose_member(&mut self, worker: WorkerKey, key: JobKey, id: TaskId, run: u32) {
+    fn drop_member(&mut self, worker: WorkerKey, key: JobKey, id: TaskId, run: u32) {
         self.workers[worker].remove(id, run);
         let job = &mut self.jobs[key];
         if let Some(task) = job.task_mut(id) {
@@ -107,7 +107,7 @@
     }
 
     /// Finds workers for all members: on one rack if that matters and is possible.
-    fn find_gang(
+    fn find_gang_workers(
         &self,
         requirements: &TaskRequirements<'_>,
         count: usize,
@@ -119,16 +119,17 @@
                 racks.insert(&worker.entry.rack);
             }
             for rack in racks {
-                if let Some(workers) = self.fill_gang(requirements, count, Some(rack), now_ms) {
+                if let Some(workers) = self.choose_workers(requirements, count, Some(rack), now_ms)
+                {
                     return Some(workers);
                 }
             }
         }
-        self.fill_gang(requirements, count, None, now_ms)
+        self.choose_workers(requirements, count, None, now_ms)
     }
 
     /// Takes the best workers one after the other, each for as many members as it holds.
-    fn fill_gang(
+    fn choose_workers(
         &self,
         requirements: &TaskRequirements<'_>,
         count: usize,
@@ -163,7 +164,7 @@
 
 /// Brings all members to one run number and one checkpoint. Checkpoints of a gang are
 /// valid for all members; the greatest in the order of text is the furthest.
-fn align(state: &mut StepState) {
+fn align_members(state: &mut StepState) {
     let run = state.tasks.iter().map(|task| task.run).max().unwrap_or(0);
     let checkpoint = state
         .tasks
--- a/crates/dispatch/src/owner/job.rs
+++ b/crates/dispatch/src/owner/job.rs
@@ -59,8 +59,8 @@
 
     /// Notes whether some of its tasks wait, of which there were so many before. Those that wait
     /// while others of them get their turn have not waited for long.
-    pub(crate) fn record_wait(&mut self, waits: bool, before: u32, now_ms: u64) {
-        let since_ms = match self.waiting < before {
+    pub(crate) fn record_wait(&mut self, waits: bool, waiting_before: u32, now_ms: u64) {
+        let since_ms = match self.waiting < waiting_before {
             true => now_ms,
             false => self.waits_since_ms.unwrap_or(now_ms),
         };
@@ -99,9 +99,9 @@
 
     /// Tells whether the tasks of a step may start.
     pub(crate) fn is_open(&self, step: &Step) -> bool {
-        step.after.iter().all(|before| {
+        step.after.iter().all(|predecessor| {
             self.steps
-                .get(*before as usize)
+                .get(*predecessor as usize)
                 .is_some_and(StepState::is_done)
         })
     }
@@ -130,7 +130,7 @@
 }
 
 /// An objective counts as missed for good when it is missed by this factor.
-const WORTHLESS_FACTOR: u64 = 3;
+const NO_VALUE_FACTOR: u64 = 3;
 
 impl Job {
     /// Takes a job over from the record.
@@ -144,7 +144,7 @@
         let submission = record.submission.clone()?;
         let age_ms = now.wall_ms.saturating_sub(submission.accepted_wall_ms);
         let allowed_ms = submission.target_latency_ms
-            + chain_ms(&submission, |_| true) * submission.stretch_permille / 1_000;
+            + longest_chain_ms(&submission, |_| true) * submission.stretch_permille / 1_000;
         let arrived_ms = now.steady_ms.saturating_sub(age_ms);
         let mut job = Self {
             id,
@@ -155,7 +155,7 @@
             published: record.phase(),
             is_dirty: false,
             due_ms: arrived_ms + allowed_ms,
-            no_value_after_ms: arrived_ms + allowed_ms * WORTHLESS_FACTOR,
+            no_value_after_ms: arrived_ms + allowed_ms * NO_VALUE_FACTOR,
             final_wall_ms: 0,
             has_waiting: true,
             submission,
@@ -169,9 +169,9 @@
     fn resume(&mut self, progress: &Progress, mut worker: impl FnMut(&str) -> WorkerKey) {
         self.next_occurrence = progress.next_occurrence;
         self.final_wall_ms = progress.final_wall_ms;
-        for past in &progress.occurrences {
-            let mut occurrence = Occurrence::new(past.number, &self.submission);
-            for (state, step) in occurrence.steps.iter_mut().zip(&past.steps) {
+        for recorded in &progress.occurrences {
+            let mut occurrence = Occurrence::new(recorded.number, &self.submission);
+            for (state, step) in occurrence.steps.iter_mut().zip(&recorded.steps) {
                 resume_step(state, step, &mut worker);
             }
             self.occurrences.push(occurrence);
@@ -215,7 +215,7 @@
     /// anew with each of them: by its first time, all later ones would be long past their
     /// objective, and would wait behind everything else.
     pub(crate) fn waiting(&self, now: Now) -> WaitingJob {
-        let later_ms = self.later_ms(now);
+        let due_offset_ms = self.due_offset_ms(now);
         WaitingJob {
             priority: self.submission.priority,
             is_long_running: self
@@ -224,14 +224,14 @@
                 .iter()
                 .any(|step| step.is_long_running),
             has_started: self.phase != JobPhase::Queued,
-            due_ms: self.due_ms + later_ms,
-            no_value_after_ms: self.no_value_after_ms + later_ms,
+            due_ms: self.due_ms + due_offset_ms,
+            no_value_after_ms: self.no_value_after_ms + due_offset_ms,
             remaining_ms: self.remaining_ms(),
         }
     }
 
     /// Gives how long after the job came the first of its times that is not over was due.
-    fn later_ms(&self, now: Now) -> u64 {
+    fn due_offset_ms(&self, now: Now) -> u64 {
         let open = self
             .occurrences
             .iter()
@@ -249,8 +249,8 @@
     fn remaining_ms(&self) -> u64 {
         let mut longest_ms = 0;
         for occurrence in &self.occurrences {
-            let is_left = |number: usize| occurrence.steps[number].waiting > 0;
-            longest_ms = longest_ms.max(chain_ms(&self.submission, is_left));
+            let is_remaining = |number: usize| occurrence.steps[number].waiting > 0;
+            longest_ms = longest_ms.max(longest_chain_ms(&self.submission, is_remaining));
         }
         longest_ms
     }
@@ -341,12 +341,12 @@
 }
 
 /// Gives the work of the longest chain of those steps that are `counted`.
-fn chain_ms(submission: &Submission, counted: impl Fn(usize) -> bool) -> u64 {
+fn longest_chain_ms(submission: &Submission, counted: impl Fn(usize) -> bool) -> u64 {
     let mut ends_ms: Vec<u64> = Vec::with_capacity(submission.steps.len());
     for (number, step) in submission.steps.iter().enumerate() {
         let mut start_ms = 0;
-        for before in &step.after {
-            start_ms = start_ms.max(ends_ms.get(*before as usize).copied().unwrap_or(0));
+        for predecessor in &step.after {
+            start_ms = start_ms.max(ends_ms.get(*predecessor as usize).copied().unwrap_or(0));
         }
         let work_ms = match step.estimated_ms {
             0 => UNKNOWN_WORK_MS,
--- a/crates/dispatch/src/owner/link.rs
+++ b/crates/dispatch/src/owner/link.rs
@@ -10,12 +10,12 @@
 /// Bytes of the head and the fields of a call to a worker, as counted on the wire: looks are
 /// 215, and orders to start 260 without their texts.
 const POLL_BYTES: u64 = 215;
-const ORDER_BYTES: u64 = 260;
+const START_BYTES: u64 = 260;
 /// Bytes of an answer without a list, and of a run or an end in a list.
 const ANSWER_BYTES: u64 = 91;
 const ROW_BYTES: u64 = 55;
 /// Bytes of a call to the store without its records, and of the length and the name of one.
-const STORE_BYTES: u64 = 200;
+const STORE_CALL_BYTES: u64 = 200;
 const RECORD_BYTES: u64 = 10;
 /// Bytes of a look that is relayed, of an order to start beside the text, and of the end of an
 /// order and a row in it, with a part of the frame's own.
@@ -24,9 +24,9 @@
 const RELAYED_ANSWER_BYTES: u64 = 35;
 const RELAYED_ROW_BYTES: u64 = 42;
 /// Part of the orders to start of a job, one in so many, that take the text of the job with them.
-const TEXT_SHARE: usize = 4;
+const STARTS_PER_TEXT: usize = 4;
 /// Bytes of an answer to a caller.
-const CALLER_BYTES: u64 = 150;
+const CALLER_ANSWER_BYTES: u64 = 150;
 
 /// Gives the bytes of records in a call to the store, or in its answer.
 pub(crate) fn records_bytes<'a>(records: impl Iterator<Item = (&'a str, &'a [u8])>) -> u64 {
@@ -60,11 +60,11 @@
     /// Notes what the order to start a task takes, whose texts have so many bytes.
     pub(super) fn charge_start(&mut self, text_bytes: usize) {
         if self.has_relays() {
-            let out_bytes = RELAYED_START_BYTES + (text_bytes / TEXT_SHARE) as u64;
+            let out_bytes = RELAYED_START_BYTES + (text_bytes / STARTS_PER_TEXT) as u64;
             self.link.charge_shared(out_bytes, RELAYED_ANSWER_BYTES);
             return;
         }
-        let out_bytes = ORDER_BYTES + text_bytes as u64;
+        let out_bytes = START_BYTES + text_bytes as u64;
         self.link.charge(out_bytes, ANSWER_BYTES);
     }
 
@@ -90,11 +90,11 @@
             match action {
                 Action::Append { records, .. } => {
                     let rows = records.iter().map(|(key, value)| (&**key, &**value));
-                    let out_bytes = STORE_BYTES + records_bytes(rows);
+                    let out_bytes = STORE_CALL_BYTES + records_bytes(rows);
                     self.link.charge(out_bytes, ANSWER_BYTES);
                 }
-                Action::Read { .. } | Action::Load { .. } => self.link.charge(STORE_BYTES, 0),
-                Action::Answer { .. } => self.link.charge(CALLER_BYTES, 0),
+                Action::Read { .. } | Action::Load { .. } => self.link.charge(STORE_CALL_BYTES, 0),
+                Action::Answer { .. } => self.link.charge(CALLER_ANSWER_BYTES, 0),
                 _ => {}
             }
         }
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -17,16 +17,16 @@
 use goldcrestway_core::Note;
 
 /// Pause before a stop without an answer is sent again.
-const STOP_AGAIN_MS: u64 = 300;
+const STOP_RETRY_MS: u64 = 300;
 /// Time for which a worker that had no room gets nothing new.
-const NO_ROOM_MS: u64 = 400;
+const NO_ROOM_AVOID_MS: u64 = 400;
 /// Time for which a worker that is unwell or can't be reached gets nothing new.
-const UNWELL_MS: u64 = 1_500;
+const UNWELL_AVOID_MS: u64 = 1_500;
 /// Pause before a task that a worker did not understand is tried again, doubled with each further
 /// time.
-const FAULTY_MS: u64 = 1_000;
+const FAULTY_BACKOFF_MS: u64 = 1_000;
 /// Time for which a worker that refused for another reason gets nothing new.
-const UNREADY_MS: u64 = 1_000;
+const REFUSED_AVOID_MS: u64 = 1_000;
 
 impl Owner {
     /// Sends the order to start a run that is on record.
@@ -151,7 +151,7 @@
             }
             // An earlier order for the same run may still be on its way.
             _ if !is_first => run.phase = RunPhase::Stopping { again_ms: now_ms },
-            OrderOutcome::NotSent => self.refuse_start(key, task, number, UNWELL_MS, now_ms),
+            OrderOutcome::NotSent => self.on_refusal(key, task, number, UNWELL_AVOID_MS, now_ms),
             OrderOutcome::Refused(refusal) => {
                 actions.push(Action::Note(Note::new(
                     Code::StartRefused,
@@ -164,27 +164,27 @@
                 let avoid_ms = match refusal {
                     Refusal::Room => {
                         self.stats.refused_room += 1;
-                        NO_ROOM_MS
+                        NO_ROOM_AVOID_MS
                     }
                     Refusal::Permit => {
                         self.permits.drop_permit(StepId::of(task), key);
                         0
                     }
-                    Refusal::Unwell => UNWELL_MS,
+                    Refusal::Unwell => UNWELL_AVOID_MS,
                     // The worker is well: it is the task that waits, and tries another one.
                     Refusal::Faulty => 0,
-                    _ => UNREADY_MS,
+                    _ => REFUSED_AVOID_MS,
                 };
-                self.refuse_start(key, task, number, avoid_ms, now_ms);
+                self.on_refusal(key, task, number, avoid_ms, now_ms);
                 if refusal == Refusal::Faulty {
-                    self.hold_back(key, task, now_ms);
+                    self.back_off_task(key, task, now_ms);
                 }
             }
         }
         self.poll_soon(key, now_ms);
     }
 
-    fn refuse_start(
+    fn on_refusal(
         &mut self,
         key: WorkerKey,
         task: TaskId,
@@ -197,12 +197,12 @@
         self.lose_run(key, task, number, now_ms);
     }
 
-    fn hold_back(&mut self, worker: WorkerKey, id: TaskId, now_ms: u64) {
+    fn back_off_task(&mut self, worker: WorkerKey, id: TaskId, now_ms: u64) {
         let job = self.job_keys.get(&id.job).copied();
         let task = job.and_then(|job| self.jobs[job].task_mut(id));
         if let Some(task) = task {
             task.failed_on = Some(worker);
-            task.back_off(FAULTY_MS, now_ms);
+            task.back_off(FAULTY_BACKOFF_MS, now_ms);
         }
     }
 
@@ -227,7 +227,7 @@
                     if !self.link.admits(CallPriority::Control) {
                         continue;
                     }
-                    *again_ms = now_ms + answer_timeout_ms + STOP_AGAIN_MS;
+                    *again_ms = now_ms + answer_timeout_ms + STOP_RETRY_MS;
                     due.push((key, *task, *number));
                 }
             }
@@ -252,7 +252,7 @@
                 since_ms: now.steady_ms,
             },
             _ => RunPhase::Stopping {
-                again_ms: now.steady_ms + STOP_AGAIN_MS,
+                again_ms: now.steady_ms + STOP_RETRY_MS,
             },
         };
         self.set_phase(key, task, number, phase);
--- a/crates/dispatch/src/owner/orphans.rs
+++ b/crates/dispatch/src/owner/orphans.rs
@@ -73,21 +73,26 @@
             return false;
         };
         let worker = self.workers.get(worker);
-        let is_there = worker.is_some_and(|worker| worker.runs.contains_key(&(task, run)));
-        if !is_there {
+        let is_present = worker.is_some_and(|worker| worker.runs.contains_key(&(task, run)));
+        if !is_present {
             self.orphans.remove(&task);
         }
-        is_there
+        is_present
     }
 
     /// Makes a run of a task that may be of no job under way.
-    pub(super) fn make_unknown_run(&mut self, task: TaskId, phase: RunPhase, at: WorkerKey) -> Run {
+    pub(super) fn make_unknown_run(
+        &mut self,
+        task: TaskId,
+        phase: RunPhase,
+        worker: WorkerKey,
+    ) -> Run {
         if let Some(job) = self.job_keys.get(&task.job).copied() {
             return self.make_run(job, task, phase, 0);
         }
         let step = self.finished_step(task).unwrap_or_else(|| Step {
             // Nothing is known of it, so it may fill the worker.
-            cpu_milli: self.workers[at].entry.resources.cpu_milli,
+            cpu_milli: self.workers[worker].entry.resources.cpu_milli,
             ..Step::default()
         });
         Run::new(&step, ImageKey::default(), phase, 0)
--- a/crates/dispatch/src/owner/permits.rs
+++ b/crates/dispatch/src/owner/permits.rs
@@ -21,16 +21,16 @@
 pub(crate) const MAX_ASKED: usize = 30;
 /// Time before its end at which a permit is no longer used: a run is recorded first, which
 /// takes 20 to 100 ms.
-const SPARE_MS: u64 = 250;
+const EXPIRY_MARGIN_MS: u64 = 250;
 /// Time beyond what a call should take after which it is given up.
-const LATE_MS: u64 = 1_500;
+const CALL_SLACK_MS: u64 = 1_500;
 /// Pause after a call that failed.
 const RETRY_MS: u64 = 300;
 
 /// What the service has said of a worker.
 #[derive(Debug, Clone)]
-enum Verdict {
-    Barred,
+enum Decision {
+    Denied,
     Permitted { permit: Box<str>, until_ms: u64 },
 }
 
@@ -45,7 +45,7 @@
 /// All that is known of permits.
 #[derive(Debug, Default)]
 pub(crate) struct Permits {
-    verdicts: HashMap<StepId, HashMap<WorkerKey, Verdict>>,
+    decisions: HashMap<StepId, HashMap<WorkerKey, Decision>>,
     /// The most urgent step that lacks permitted workers, as of the latest go at placing.
     wish: Option<StepId>,
     flight: Option<Flight>,
@@ -55,22 +55,22 @@
 impl Permits {
     /// Gives the permit for a worker, if there is one that still holds.
     pub(crate) fn permit(&self, step: StepId, worker: WorkerKey, now_ms: u64) -> Option<&str> {
-        match self.verdicts.get(&step)?.get(&worker)? {
-            Verdict::Permitted { permit, until_ms } if now_ms < *until_ms => Some(permit),
+        match self.decisions.get(&step)?.get(&worker)? {
+            Decision::Permitted { permit, until_ms } if now_ms < *until_ms => Some(permit),
             _ => None,
         }
     }
 
     /// Tells whether asking about a worker may bring a permit.
-    fn is_open(&self, step: StepId, worker: WorkerKey, now_ms: u64) -> bool {
-        let verdict = self
-            .verdicts
+    fn may_request(&self, step: StepId, worker: WorkerKey, now_ms: u64) -> bool {
+        let decision = self
+            .decisions
             .get(&step)
-            .and_then(|verdicts| verdicts.get(&worker));
-        match verdict {
+            .and_then(|decisions| decisions.get(&worker));
+        match decision {
             None => true,
-            Some(Verdict::Barred) => false,
-            Some(Verdict::Permitted { until_ms, .. }) => now_ms >= *until_ms,
+            Some(Decision::Denied) => false,
+            Some(Decision::Permitted { until_ms, .. }) => now_ms >= *until_ms,
         }
     }
 
@@ -86,33 +86,39 @@
 
     /// Drops a permit that a worker did not take.
     pub(crate) fn drop_permit(&mut self, step: StepId, worker: WorkerKey) {
-        if let Some(verdicts) = self.verdicts.get_mut(&step) {
-            verdicts.remove(&worker);
+        if let Some(decisions) = self.decisions.get_mut(&step) {
+            decisions.remove(&worker);
         }
     }
 
     /// Drops what is known for a job that is over.
     pub(crate) fn forget(&mut self, job: JobId) {
-        self.verdicts.retain(|step, _| step.job != job);
+        self.decisions.retain(|step, _| step.job != job);
     }
 
-    fn learn(&mut self, flight: Flight, outcome: PermitOutcome, now_ms: u64, names: &[Box<str>]) {
+    fn apply_outcome(
+        &mut self,
+        flight: Flight,
+        outcome: PermitOutcome,
+        now_ms: u64,
+        names: &[Box<str>],
+    ) {
         let PermitOutcome::Permitted { rows, validity_ms } = outcome else {
             self.retry_ms = now_ms + RETRY_MS;
             return;
         };
-        let until_ms = now_ms + validity_ms.saturating_sub(SPARE_MS);
-        let verdicts = self.verdicts.entry(flight.step).or_default();
+        let until_ms = now_ms + validity_ms.saturating_sub(EXPIRY_MARGIN_MS);
+        let decisions = self.decisions.entry(flight.step).or_default();
         for (worker, name) in flight.asked.into_iter().zip(names) {
             let row = rows.iter().find(|(id, _)| id == name);
-            let verdict = match row {
-                Some((_, permit)) => Verdict::Permitted {
+            let decision = match row {
+                Some((_, permit)) => Decision::Permitted {
                     permit: permit.clone(),
                     until_ms,
                 },
-                None => Verdict::Barred,
+                None => Decision::Denied,
             };
-            verdicts.insert(worker, verdict);
+            decisions.insert(worker, decision);
         }
     }
 }
@@ -160,7 +166,7 @@
         while asked.len() < MAX_ASKED
             && let Some(Reverse((_, worker))) = ranked.pop()
         {
-            if self.permits.is_open(step_id, worker, now_ms) {
+            if self.permits.may_request(step_id, worker, now_ms) {
                 asked.push(worker);
             }
         }
@@ -175,7 +181,7 @@
                 .iter()
                 .map(|worker| self.workers[*worker].entry.id.clone())
                 .collect(),
-            timeout_ms: submission.permit_call_ms(asked.len()) + LATE_MS,
+            timeout_ms: submission.permit_call_ms(asked.len()) + CALL_SLACK_MS,
         });
         self.permits.flight = Some(Flight {
             ticket: *tickets,
@@ -186,8 +192,8 @@
 
     /// Takes in the answer to a call about workers, if it is one of this owner.
     pub(crate) fn handle_permit_outcome(&mut self, ticket: u64, outcome: PermitOutcome, now: Now) {
-        let is_own = |flight: &mut Flight| flight.ticket == ticket;
-        let Some(flight) = self.permits.flight.take_if(is_own) else {
+        let is_current = |flight: &mut Flight| flight.ticket == ticket;
+        let Some(flight) = self.permits.flight.take_if(is_current) else {
             return;
         };
         let mut names = Vec::with_capacity(flight.asked.len());
@@ -195,7 +201,8 @@
             let worker = self.workers.get(*worker);
             names.push(worker.map_or("".into(), |worker| worker.entry.id.clone()));
         }
-        self.permits.learn(flight, outcome, now.steady_ms, &names);
+        self.permits
+            .apply_outcome(flight, outcome, now.steady_ms, &names);
         self.must_place = true;
     }
 }
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -22,23 +22,23 @@
 
 /// Tasks placed in one go; what is left follows with the next event, so that looks and
 /// stops are not held up by a burst.
-const MAX_PLACED: usize = 400;
+const MAX_PLACED_PER_PASS: usize = 400;
 /// Time after which tasks that wait are tried again though nothing has happened.
-const TRIED_AGAIN_MS: u64 = 500;
+const RETRY_INTERVAL_MS: u64 = 500;
 /// Part of a service's room, in percent, that lasting tasks which never ran may fill up to.
 /// A lasting task earns a quarter of what quick ones earn in the same room, and never
 /// gives it back.
 const MAX_LONG_RUNNING_PERCENT: u64 = 85;
 
 /// What one go at placing has come to.
-struct Pass {
+struct PlacementPass {
     /// Tasks that may still be placed.
-    left: usize,
+    remaining: usize,
     /// Fillers for which no worker was left: service, image and processor time.
     unplaceable: Vec<(Box<str>, ImageKey, u64)>,
 }
 
-impl Pass {
+impl PlacementPass {
     /// Tells whether a filler like this one, or a smaller one, has found no worker.
     fn is_known_unplaceable(&self, requirements: &TaskRequirements<'_>) -> bool {
         requirements.step.is_best_effort
@@ -85,41 +85,47 @@
             }
         }
         order.sort_unstable();
-        let mut pass = Pass {
-            left: MAX_PLACED,
+        let mut pass = PlacementPass {
+            remaining: MAX_PLACED_PER_PASS,
             unplaceable: Vec::new(),
         };
         for (_, key) in order {
             self.place_job(key, now, &mut pass, actions);
-            if pass.left == 0 {
+            if pass.remaining == 0 {
                 self.must_place = true;
                 return;
             }
         }
-        self.wake_for_waits(now.steady_ms);
+        self.schedule_retry(now.steady_ms);
     }
 
     /// Has tasks that wait for a worker tried again in time. A worker may open, and a served task
     /// may have ease to spare again, without any event: they would wait for good otherwise.
-    fn wake_for_waits(&mut self, now_ms: u64) {
+    fn schedule_retry(&mut self, now_ms: u64) {
         if !self.live_jobs.iter().any(|key| self.jobs[*key].has_waiting) {
             return;
         }
         let avoided = self.workers.values().map(|worker| worker.avoided_until_ms);
-        let opens_ms = avoided.filter(|until_ms| *until_ms > now_ms).min();
-        let latest_ms = now_ms + TRIED_AGAIN_MS;
+        let available_ms = avoided.filter(|until_ms| *until_ms > now_ms).min();
+        let latest_ms = now_ms + RETRY_INTERVAL_MS;
         self.wake_ms = self
             .wake_ms
-            .min(opens_ms.unwrap_or(latest_ms))
+            .min(available_ms.unwrap_or(latest_ms))
             .min(latest_ms);
     }
 
-    fn place_job(&mut self, key: JobKey, now: Now, pass: &mut Pass, actions: &mut Vec<Action>) {
+    fn place_job(
+        &mut self,
+        key: JobKey,
+        now: Now,
+        pass: &mut PlacementPass,
+        actions: &mut Vec<Action>,
+    ) {
         let submission = self.jobs[key].submission.clone();
-        let mut still_waits = false;
-        for at in 0..self.jobs[key].occurrences.len() {
+        let mut job_waits = false;
+        for position in 0..self.jobs[key].occurrences.len() {
             for (number, step) in submission.steps.iter().enumerate() {
-                let occurrence = &self.jobs[key].occurrences[at];
+                let occurrence = &self.jobs[key].occurrences[position];
                 if occurrence.steps[number].waiting == 0 || !occurrence.is_open(step) {
                     continue;
                 }
@@ -129,18 +135,18 @@
                     step: number as u16,
                     index: 0,
                 };
-                let waited = occurrence.steps[number].waiting;
-                let waits = self.place_step(key, first, step, now, pass, actions);
-                if waits && submission.needs_permits() {
+                let waiting_before = occurrence.steps[number].waiting;
+                let step_waits = self.place_step(key, first, step, now, pass, actions);
+                if step_waits && submission.needs_permits() {
                     self.permits.wish(StepId::of(first));
                 }
-                still_waits |= waits;
+                job_waits |= step_waits;
                 if let Some(state) = self.jobs[key].step_mut(first) {
-                    state.record_wait(waits, waited, now.steady_ms);
+                    state.record_wait(step_waits, waiting_before, now.steady_ms);
                 }
             }
         }
-        self.jobs[key].has_waiting = still_waits;
+        self.jobs[key].has_waiting = job_waits;
     }
 
     /// Places the waiting tasks of a step, and tells whether some still wait.
@@ -150,7 +156,7 @@
         first: TaskId,
         step: &Step,
         now: Now,
-        pass: &mut Pass,
+        pass: &mut PlacementPass,
         actions: &mut Vec<Action>,
     ) -> bool {
         let submission = self.jobs[key].submission.clone();
@@ -176,7 +182,7 @@
         // has just got a task is priced again.
         let mut ranked = self.rank_workers(&requirements, now.steady_ms);
         let (resources_milli, mut long_running_milli) =
-            self.long_running_use(&submission.service, step);
+            self.long_running_usage(&submission.service, step);
         for index in 0..step.count as u16 {
             let id = TaskId { index, ..first };
             if self.has_orphan(id) {
@@ -203,12 +209,12 @@
             }
             let is_suspect = task.is_suspect();
             let is_new = step.is_long_running && task.run == 0;
-            if is_new && Self::is_over_share(resources_milli, long_running_milli) {
+            if is_new && Self::is_long_running_limit_reached(resources_milli, long_running_milli) {
                 return true;
             }
             let worker = match is_suspect {
-                true => self.find_for_suspect(key, &requirements, id, now.steady_ms),
-                false => Self::take_best(&mut ranked, failed_on),
+                true => self.find_worker_for_suspect(key, &requirements, id, now.steady_ms),
+                false => Self::pop_best(&mut ranked, failed_on),
             };
             let Some(worker) = worker else {
                 if is_suspect {
@@ -227,11 +233,11 @@
             {
                 ranked.push(Reverse((cost, worker)));
             }
-            pass.left = match self.link.admits(CallPriority::Start) {
-                true => pass.left.saturating_sub(1),
+            pass.remaining = match self.link.admits(CallPriority::Start) {
+                true => pass.remaining.saturating_sub(1),
                 false => 0,
             };
-            if pass.left == 0 {
+            if pass.remaining == 0 {
                 return true;
             }
         }
@@ -241,21 +247,24 @@
     }
 
     /// Tells whether lasting tasks have as much of a service's room as new ones may fill up to.
-    pub(super) fn is_over_share(resources_milli: u64, long_running_milli: u64) -> bool {
+    pub(super) fn is_long_running_limit_reached(
+        resources_milli: u64,
+        long_running_milli: u64,
+    ) -> bool {
         long_running_milli * 100 >= resources_milli * MAX_LONG_RUNNING_PERCENT
     }
 
     /// Gives the room of a service and what lasting tasks keep of it, which matters to
     /// lasting steps only.
-    pub(super) fn long_running_use(&self, service: &str, step: &Step) -> (u64, u64) {
+    pub(super) fn long_running_usage(&self, service: &str, step: &Step) -> (u64, u64) {
         let mut resources = 0;
         let mut long_running = 0;
         if !step.is_long_running {
             return (resources, long_running);
         }
         for worker in self.workers.values() {
-            let takes_new = worker.is_listed && !self.is_evacuated(worker);
-            if takes_new && *worker.entry.service == *service {
+            let is_eligible = worker.is_listed && !self.is_evacuated(worker);
+            if is_eligible && *worker.entry.service == *service {
                 resources += worker.entry.resources.cpu_milli;
                 long_running += worker.long_running_milli;
             }
@@ -265,7 +274,7 @@
 
     /// Finds the worker on which a task does least harm if it crashes it, and where a crash tells
     /// most. While there are only such on which something else is suspected it waits, for a while.
-    fn find_for_suspect(
+    fn find_worker_for_suspect(
         &mut self,
         key: JobKey,
         requirements: &TaskRequirements<'_>,
@@ -291,7 +300,7 @@
 
     /// Takes the best worker for a task off the list; one on which it has failed before
     /// only if there is no other.
-    fn take_best(
+    fn pop_best(
         ranked: &mut BinaryHeap<Reverse<(i64, WorkerKey)>>,
         failed_on: Option<WorkerKey>,
     ) -> Option<WorkerKey> {
@@ -331,7 +340,7 @@
         };
         let failed_on = self.jobs[key].task_mut(id).and_then(|task| task.failed_on);
         let mut ranked = self.rank_workers(&requirements, now.steady_ms);
-        if let Some(worker) = Self::take_best(&mut ranked, failed_on)
+        if let Some(worker) = Self::pop_best(&mut ranked, failed_on)
             && Some(worker) != failed_on
         {
             self.assign(key, id, worker, now, actions);
--- a/crates/dispatch/src/owner/shares.rs
+++ b/crates/dispatch/src/owner/shares.rs
@@ -29,15 +29,15 @@
 
 /// Pause between two changes of the same worker: the tail is of the last half second, and
 /// an order takes a tenth of a second to have its effect.
-const PAUSE_MS: u64 = 700;
+const MIN_CHANGE_INTERVAL_MS: u64 = 700;
 /// Smallest change that is worth an order.
 const MIN_CHANGE_PERCENT: u32 = 5;
 
 /// What a decision on the fillers of a worker has changed.
 #[derive(Debug, Default)]
-struct Shift {
+struct ShareChanges {
     suspended: u32,
-    slowed: u32,
+    throttled: u32,
     raised: u32,
 }
 
@@ -52,10 +52,10 @@
         let suspend_delays = SuspendDelays::new(self.bounds.harm_ms);
         let worker = &mut self.workers[key];
         worker.is_over_target = false;
-        let is_new = has_new_gauges(worker) && self.bounds.policy.learns_interference;
-        let mut uses = uses(worker);
-        if is_new {
-            worker.window.close(&mut uses);
+        let has_new = has_new_gauges(worker) && self.bounds.policy.learns_interference;
+        let mut usage = usage(worker);
+        if has_new {
+            worker.window.close(&mut usage);
         }
         for run in worker.runs.values_mut() {
             if !is_serving(run) {
@@ -63,9 +63,9 @@
                 continue;
             }
             let headroom = headroom(run.tail_latency_target_ms, run.gauge);
-            if is_new {
+            if has_new {
                 self.interference
-                    .learn(run.image, &mut run.baseline, headroom, &uses);
+                    .learn(run.image, &mut run.baseline, headroom, &usage);
             }
             if headroom < 1.0 {
                 run.over_since_ms.get_or_insert(now_ms);
@@ -79,7 +79,7 @@
             return;
         }
         let throttles_best_effort = self.bounds.policy.throttles_best_effort;
-        if let Some(shift) = decide(
+        if let Some(changes) = choose_shares(
             worker,
             &self.interference,
             suspend_delays,
@@ -91,10 +91,10 @@
                 &*worker.entry.id,
                 format!(
                     "halted={} slowed={} raised={} {}",
-                    shift.suspended,
-                    shift.slowed,
-                    shift.raised,
-                    worst_served(worker, now_ms)
+                    changes.suspended,
+                    changes.throttled,
+                    changes.raised,
+                    describe_worst_serving_task(worker, now_ms)
                 ),
             )));
         }
@@ -119,9 +119,9 @@
                 let differs = run.applied_share_percent.abs_diff(run.target_share_percent)
                     >= MIN_CHANGE_PERCENT;
                 has_more |= is_stopping || differs;
-                let is_there = matches!(run.phase, RunPhase::Present { .. });
+                let is_present = matches!(run.phase, RunPhase::Present { .. });
                 if !differs
-                    || !is_there
+                    || !is_present
                     || run.is_share_change_pending
                     || now_ms < run.share_retry_ms
                 {
@@ -155,7 +155,7 @@
         run.is_share_change_pending = false;
         match outcome {
             OrderOutcome::Done { .. } => run.applied_share_percent = percent,
-            _ => run.share_retry_ms = now_ms + PAUSE_MS,
+            _ => run.share_retry_ms = now_ms + MIN_CHANGE_INTERVAL_MS,
         }
     }
 }
@@ -168,36 +168,36 @@
 /// Tells whether the figures of a look are new, and notes them. Workers tell the same ones
 /// for half a second, and learning from one twice would count it double.
 fn has_new_gauges(worker: &mut Worker) -> bool {
-    let mut is_new = false;
+    let mut has_new = false;
     for run in worker.runs.values_mut() {
-        is_new |= run.gauge != run.previous_gauge;
+        has_new |= run.gauge != run.previous_gauge;
         run.previous_gauge = run.gauge;
     }
-    is_new
+    has_new
 }
 
 /// Adds up what the fillers on a worker use, by image and by the latest look.
-fn uses(worker: &Worker) -> Vec<ImageUsage> {
-    let mut uses: Vec<ImageUsage> = Vec::new();
+fn usage(worker: &Worker) -> Vec<ImageUsage> {
+    let mut usage: Vec<ImageUsage> = Vec::new();
     for run in worker.runs.values() {
         if !run.is_best_effort || run.gauge == 0 {
             continue;
         }
         let cores = run.gauge as f64 / 1_000.0;
-        add_usage(&mut uses, run.image, cores);
+        add_usage(&mut usage, run.image, cores);
     }
-    uses
+    usage
 }
 
 /// Describes the served task on a worker that is worst off.
-fn worst_served(worker: &Worker, now_ms: u64) -> String {
+fn describe_worst_serving_task(worker: &Worker, now_ms: u64) -> String {
     let mut worst: Option<(f64, String)> = None;
     for ((task, _), run) in &worker.runs {
         if !is_serving(run) {
             continue;
         }
         let headroom = headroom(run.tail_latency_target_ms, run.gauge);
-        if worst.as_ref().is_none_or(|(least, _)| headroom < *least) {
+        if worst.as_ref().is_none_or(|(lowest, _)| headroom < *lowest) {
             let over_ms = run.over_since_ms.map_or(0, |since_ms| now_ms - since_ms);
             let text = format!(
                 "task={task} tail_ms={} target_ms={} over_ms={over_ms}",
@@ -212,53 +212,53 @@
 /// Chooses the share of each filler on a worker, and tells what has changed. Between two
 /// changes fillers are given time to show their effect; only a halt waits for nothing, since
 /// the time after which a wait counts as harm runs on.
-fn decide(
+fn choose_shares(
     worker: &mut Worker,
     interference: &InterferenceModel,
     suspend_delays: SuspendDelays,
     throttles_best_effort: bool,
     now_ms: u64,
-) -> Option<Shift> {
-    let may_shift = now_ms >= worker.next_share_change_ms;
-    let mut served = Vec::new();
+) -> Option<ShareChanges> {
+    let may_change = now_ms >= worker.next_share_change_ms;
+    let mut serving_tasks = Vec::new();
     for run in worker.runs.values() {
         if is_serving(run) {
             let over_ms = run.over_since_ms.map_or(0, |since_ms| now_ms - since_ms);
             let headroom = headroom(run.tail_latency_target_ms, run.gauge);
-            served.push((run.image, headroom, over_ms));
+            serving_tasks.push((run.image, headroom, over_ms));
         }
     }
-    let mut shift = Shift::default();
+    let mut changes = ShareChanges::default();
     for run in worker.runs.values_mut() {
         if !run.is_best_effort {
             continue;
         }
         let before = run.target_share_percent;
         let cores = run.cpu_milli as f64 / 1_000.0;
-        let services = served
+        let colocated = serving_tasks
             .iter()
-            .map(|(serving, headroom, over_ms)| ColocatedService {
+            .map(|(serving_image, headroom, over_ms)| ColocatedService {
                 headroom: *headroom,
                 over_ms: *over_ms,
-                headroom_loss: interference.coefficient(*serving, run.image) * cores,
+                headroom_loss: interference.coefficient(*serving_image, run.image) * cores,
             });
-        let services: Vec<ColocatedService> = services.collect();
+        let colocated: Vec<ColocatedService> = colocated.collect();
         run.target_share_percent = choose_share(
             before,
-            &services,
+            &colocated,
             suspend_delays,
-            may_shift,
+            may_change,
             throttles_best_effort,
         );
-        shift.suspended += u32::from(run.target_share_percent == 0 && before > 0);
-        shift.slowed +=
+        changes.suspended += u32::from(run.target_share_percent == 0 && before > 0);
+        changes.throttled +=
             u32::from(run.target_share_percent > 0 && before > run.target_share_percent);
-        shift.raised += u32::from(before < run.target_share_percent);
+        changes.raised += u32::from(before < run.target_share_percent);
     }
-    if shift.suspended + shift.slowed + shift.raised == 0 {
+    if changes.suspended + changes.throttled + changes.raised == 0 {
         return None;
     }
     worker.has_orders = true;
-    worker.next_share_change_ms = now_ms + PAUSE_MS;
-    Some(shift)
+    worker.next_share_change_ms = now_ms + MIN_CHANGE_INTERVAL_MS;
+    Some(changes)
 }
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -24,27 +24,27 @@
 use std::collections::HashSet;
 
 /// Pause between two searches, a third of the time between looks.
-const SEARCH_MS: u64 = 250;
+const SEARCH_INTERVAL_MS: u64 = 250;
 /// Oldest look by which tasks are judged.
-const FRESH_MS: u64 = 800;
+const MAX_POLL_AGE_MS: u64 = 800;
 /// A task without progress for so long stands still: a look tells of progress every 0.7 s
 /// at the latest, and is a tenth of a second old when it comes.
-const STILL_MS: u64 = 950;
+const MIN_STALL_MS: u64 = 950;
 /// Or for this part of the time that it should take in all, in percent, if that is longer.
-const STILL_PERCENT: u64 = 40;
+const MIN_STALL_PERCENT: u64 = 40;
 /// Earliest time, and part of the expected time in percent, at which a task is judged by
 /// its pace: by then it has been looked at once or twice.
-const JUDGE_MS: u64 = 500;
-const JUDGE_PERCENT: u64 = 40;
+const MIN_MEASURED_MS: u64 = 500;
+const MIN_MEASURED_PERCENT: u64 = 40;
 /// What a task must have left, in percent of the time of a whole run elsewhere, to be
 /// started again: less gains nothing over waiting.
-const LEFT_PERCENT: u64 = 160;
+const MIN_REMAINING_PERCENT: u64 = 160;
 /// Ends by which a worker is judged beside what runs there, and for how long each counts: until
 /// what began after it has shown its own pace.
-const MAX_ENDED: usize = 6;
-const ENDED_MS: u64 = 1_500;
+const MAX_ENDED_SPEEDS: usize = 6;
+const ENDED_SPEED_MS: u64 = 1_500;
 /// Time that stopping and starting again take.
-const MOVE_MS: u64 = 300;
+const RESTART_MS: u64 = 300;
 /// Time for which a worker with a straggler gets nothing new.
 const AVOID_MS: u64 = 1_500;
 /// Runs after which a task is left where it is: it may just be longer than its siblings.
@@ -53,33 +53,33 @@
 const MEAN_PERCENT: u64 = 5;
 /// How much longer than the mean of its queue a task may take of which nothing else is
 /// known: half of the jobs are within a factor of 1.6, nearly all within 3.
-const UNKNOWN_FACTOR: u64 = 3;
+const QUEUE_MEAN_FACTOR: u64 = 3;
 
 /// Siblings whose pace must be known before one of them is held against the others.
 const MIN_SPEEDS: usize = 3;
 /// Time that a task takes if its queue has ended none yet.
-const UNKNOWN_MS: u64 = 1_000;
+const DEFAULT_TASK_MS: u64 = 1_000;
 
 /// A step of one occurrence of a job.
 type StepKey = (JobKey, u32, u16);
 
 /// How long a whole run should take.
 #[derive(Debug, Clone, Copy)]
-struct Expected {
-    whole_ms: u64,
+struct ExpectedDuration {
+    total_ms: u64,
     /// Siblings tell; otherwise it is no more than what is usual in the queue.
-    is_known: bool,
+    is_measured: bool,
 }
 
 /// A run that is judged.
-struct Straggler {
+struct Candidate {
     worker: WorkerKey,
     task: TaskId,
     run: u32,
     job: JobKey,
 }
 
-impl Straggler {
+impl Candidate {
     fn step(&self) -> StepKey {
         (self.job, self.task.occurrence, self.task.step)
     }
@@ -111,7 +111,7 @@
     /// Notes how long a run took there that ended well.
     pub(crate) fn record_speed(&mut self, speed: Speed, now_ms: u64) {
         self.ended_speeds.push_back((now_ms, speed));
-        if self.ended_speeds.len() > MAX_ENDED {
+        if self.ended_speeds.len() > MAX_ENDED_SPEEDS {
             self.ended_speeds.pop_front();
         }
     }
@@ -120,7 +120,7 @@
     /// for slow without them.
     fn recent_speeds(&self, now_ms: u64) -> impl Iterator<Item = Speed> {
         let speeds = self.ended_speeds.iter();
-        let recent = speeds.filter(move |(at_ms, _)| now_ms < at_ms + ENDED_MS);
+        let recent = speeds.filter(move |(at_ms, _)| now_ms < at_ms + ENDED_SPEED_MS);
         recent.map(|(_, speed)| *speed)
     }
 }
@@ -132,40 +132,41 @@
         if !is_due || !self.bounds.policy.replaces_stragglers {
             return;
         }
-        self.durations.next_search_ms = now.steady_ms + SEARCH_MS;
-        let suspects = self.list_judged(now.steady_ms);
-        let expected = self.expect_all(&suspects);
-        let slow = self.list_slow_workers(&suspects, &expected, now.steady_ms);
-        for suspect in suspects {
-            let seen_ms = self.workers[suspect.worker].answered_ms;
-            let run = self.run(&suspect);
-            let expected = expected[&suspect.step()];
-            let is_held_up = slow.contains(&suspect.worker) && lags(run, expected, seen_ms);
-            if is_held_up || stands_still(run, expected, seen_ms) {
-                self.replace(&suspect, now, actions);
+        self.durations.next_search_ms = now.steady_ms + SEARCH_INTERVAL_MS;
+        let candidates = self.list_candidates(now.steady_ms);
+        let expected = self.estimate_all(&candidates);
+        let slow = self.list_slow_workers(&candidates, &expected, now.steady_ms);
+        for candidate in candidates {
+            let polled_ms = self.workers[candidate.worker].answered_ms;
+            let run = self.run(&candidate);
+            let expected = expected[&candidate.step()];
+            let is_slowed_down =
+                slow.contains(&candidate.worker) && is_lagging(run, expected, polled_ms);
+            if is_slowed_down || is_stalled(run, expected, polled_ms) {
+                self.replace(&candidate, now, actions);
             }
         }
     }
 
-    fn run(&self, suspect: &Straggler) -> &Run {
-        &self.workers[suspect.worker].runs[&(suspect.task, suspect.run)]
+    fn run(&self, candidate: &Candidate) -> &Run {
+        &self.workers[candidate.worker].runs[&(candidate.task, candidate.run)]
     }
 
     /// Gives for each step how long its tasks should take.
-    fn expect_all(&self, suspects: &[Straggler]) -> HashMap<StepKey, Expected> {
+    fn estimate_all(&self, candidates: &[Candidate]) -> HashMap<StepKey, ExpectedDuration> {
         let mut speeds: HashMap<StepKey, Vec<u64>> = HashMap::new();
-        for suspect in suspects {
-            let projected_ms = projected_ms(self.run(suspect));
+        for candidate in candidates {
+            let projected_ms = projected_ms(self.run(candidate));
             speeds
-                .entry(suspect.step())
+                .entry(candidate.step())
                 .or_default()
                 .extend(projected_ms);
         }
         let mut expected = HashMap::new();
-        for suspect in suspects {
-            expected.entry(suspect.step()).or_insert_with(|| {
-                let speeds = speeds.get_mut(&suspect.step());
-                self.expect(suspect, speeds.map_or(&mut [], |speeds| speeds))
+        for candidate in candidates {
+            expected.entry(candidate.step()).or_insert_with(|| {
+                let speeds = speeds.get_mut(&candidate.step());
+                self.estimate(candidate, speeds.map_or(&mut [], |speeds| speeds))
             });
         }
         expected
@@ -174,18 +175,18 @@
     /// Lists the workers that slow down what runs there, by the paces of their runs.
     fn list_slow_workers(
         &self,
-        suspects: &[Straggler],
-        expected: &HashMap<StepKey, Expected>,
+        candidates: &[Candidate],
+        expected: &HashMap<StepKey, ExpectedDuration>,
         now_ms: u64,
     ) -> HashSet<WorkerKey> {
         let mut speeds: HashMap<WorkerKey, Vec<Speed>> = HashMap::new();
-        for suspect in suspects {
-            let expected = expected[&suspect.step()];
-            let projected_ms = projected_ms(self.run(suspect));
-            if let Some(projected_ms) = projected_ms.filter(|_| expected.is_known) {
-                speeds.entry(suspect.worker).or_default().push(Speed {
+        for candidate in candidates {
+            let expected = expected[&candidate.step()];
+            let projected_ms = projected_ms(self.run(candidate));
+            if let Some(projected_ms) = projected_ms.filter(|_| expected.is_measured) {
+                speeds.entry(candidate.worker).or_default().push(Speed {
                     projected_ms,
-                    usual_ms: expected.whole_ms,
+                    usual_ms: expected.total_ms,
                 });
             }
         }
@@ -200,23 +201,24 @@
     }
 
     /// Lists the runs that may be stragglers: at work at full share, and looked at of late.
-    fn list_judged(&self, now_ms: u64) -> Vec<Straggler> {
+    fn list_candidates(&self, now_ms: u64) -> Vec<Candidate> {
         let mut list = Vec::new();
         for (worker, state) in &self.workers {
             // What was not looked at of late says nothing about its tasks.
-            if state.missed_answers > 0 || now_ms > state.answered_ms + FRESH_MS {
+            if state.missed_answers > 0 || now_ms > state.answered_ms + MAX_POLL_AGE_MS {
                 continue;
             }
             for ((task, number), run) in &state.runs {
                 let is_present = matches!(run.phase, RunPhase::Present { .. });
-                let is_slowed = run.target_share_percent < 100 || run.applied_share_percent < 100;
-                if !is_present || run.is_long_running || run.is_orphan || is_slowed {
+                let is_throttled =
+                    run.target_share_percent < 100 || run.applied_share_percent < 100;
+                if !is_present || run.is_long_running || run.is_orphan || is_throttled {
                     continue;
                 }
                 let Some(job) = self.job_keys.get(&task.job).copied() else {
                     continue;
                 };
-                list.push(Straggler {
+                list.push(Candidate {
                     worker,
                     task: *task,
                     run: *number,
@@ -230,9 +232,9 @@
     /// Gives the time that a task of this step should take: by the siblings that have
     /// ended, else by the pace of those that run. A job whose tasks all take long has no
     /// stragglers.
-    fn expect(&self, suspect: &Straggler, speeds: &mut [u64]) -> Expected {
-        let job = &self.jobs[suspect.job];
-        let task = suspect.task;
+    fn estimate(&self, candidate: &Candidate, speeds: &mut [u64]) -> ExpectedDuration {
+        let job = &self.jobs[candidate.job];
+        let task = candidate.task;
         let state = job
             .occurrences
             .iter()
@@ -242,30 +244,30 @@
             && state.ended > 0
         {
             let mean_ms = state.ended_ms / u64::from(state.ended);
-            return Expected {
-                whole_ms: mean_ms,
-                is_known: true,
+            return ExpectedDuration {
+                total_ms: mean_ms,
+                is_measured: true,
             };
         }
         if speeds.len() >= MIN_SPEEDS {
             speeds.sort_unstable();
-            return Expected {
-                whole_ms: speeds[(speeds.len() - 1) / 2],
-                is_known: true,
+            return ExpectedDuration {
+                total_ms: speeds[(speeds.len() - 1) / 2],
+                is_measured: true,
             };
         }
         let is_best_effort = job.step(task).is_some_and(|step| step.is_best_effort);
         let usual_ms = self
             .durations
             .usual_ms(&job.submission.queue, is_best_effort);
-        Expected {
-            whole_ms: usual_ms.unwrap_or(UNKNOWN_MS) * UNKNOWN_FACTOR,
-            is_known: false,
+        ExpectedDuration {
+            total_ms: usual_ms.unwrap_or(DEFAULT_TASK_MS) * QUEUE_MEAN_FACTOR,
+            is_measured: false,
         }
     }
 
-    fn replace(&mut self, straggler: &Straggler, now: Now, actions: &mut Vec<Action>) {
-        let Straggler {
+    fn replace(&mut self, straggler: &Candidate, now: Now, actions: &mut Vec<Action>) {
+        let Candidate {
             worker,
             task: id,
             run: number,
@@ -310,34 +312,35 @@
 /// Gives the time that a run takes in all at the pace that it has shown so far.
 fn projected_ms(run: &Run) -> Option<u64> {
     // Progress is known as of the latest look that told of some.
-    let worked_ms = run.progressed_ms.saturating_sub(run.first_ms);
-    let done = u64::from(run.percent.saturating_sub(run.first_percent));
-    if worked_ms < JUDGE_MS || done == 0 {
+    let measured_ms = run.progressed_ms.saturating_sub(run.first_ms);
+    let progress_percent = u64::from(run.percent.saturating_sub(run.first_percent));
+    if measured_ms < MIN_MEASURED_MS || progress_percent == 0 {
         return None;
     }
-    Some(worked_ms * 100 / done)
+    Some(measured_ms * 100 / progress_percent)
 }
 
 /// Tells whether a run has made no progress for so long that it stands still, as of the look at
 /// `seen_ms`.
-fn stands_still(run: &Run, expected: Expected, seen_ms: u64) -> bool {
-    let still_ms = seen_ms.saturating_sub(run.progressed_ms);
-    still_ms >= STILL_MS.max(expected.whole_ms * STILL_PERCENT / 100)
+fn is_stalled(run: &Run, expected: ExpectedDuration, polled_ms: u64) -> bool {
+    let stalled_ms = polled_ms.saturating_sub(run.progressed_ms);
+    stalled_ms >= MIN_STALL_MS.max(expected.total_ms * MIN_STALL_PERCENT / 100)
 }
 
 /// Tells whether a run would end sooner if it were started elsewhere, as of the look at
 /// `seen_ms`.
-fn lags(run: &Run, expected: Expected, seen_ms: u64) -> bool {
-    let whole_ms = expected.whole_ms;
-    let still_ms = seen_ms.saturating_sub(run.progressed_ms);
-    let worked_ms = run.progressed_ms.saturating_sub(run.first_ms);
-    if !expected.is_known || worked_ms < whole_ms * JUDGE_PERCENT / 100 {
+fn is_lagging(run: &Run, expected: ExpectedDuration, polled_ms: u64) -> bool {
+    let total_ms = expected.total_ms;
+    let stalled_ms = polled_ms.saturating_sub(run.progressed_ms);
+    let measured_ms = run.progressed_ms.saturating_sub(run.first_ms);
+    if !expected.is_measured || measured_ms < total_ms * MIN_MEASURED_PERCENT / 100 {
         return false;
     }
     let Some(projected_ms) = projected_ms(run) else {
         return false;
     };
     let remaining_ms = projected_ms * u64::from(100 - run.percent.min(100)) / 100;
-    let saved = 100 - u64::from(run.first_percent.min(99));
-    remaining_ms.saturating_sub(still_ms) > whole_ms * saved / 100 * LEFT_PERCENT / 100 + MOVE_MS
+    let unsaved_percent = 100 - u64::from(run.first_percent.min(99));
+    remaining_ms.saturating_sub(stalled_ms)
+        > total_ms * unsaved_percent / 100 * MIN_REMAINING_PERCENT / 100 + RESTART_MS
 }
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -19,9 +19,9 @@
 use std::fmt::Formatter;
 
 /// Pause between two searches for steps that wait for long.
-const SEARCH_MS: u64 = 1_000;
+const SEARCH_INTERVAL_MS: u64 = 1_000;
 /// Time after which a step that waits is told of.
-const LONG_MS: u64 = 2_000;
+const REPORT_AFTER_MS: u64 = 2_000;
 /// Steps that are told of in one search, those that have waited for longest.
 const MAX_REPORTED: usize = 10;
 
@@ -96,30 +96,30 @@
         if now.steady_ms < self.next_waits_ms {
             return;
         }
-        self.next_waits_ms = now.steady_ms + SEARCH_MS;
+        self.next_waits_ms = now.steady_ms + SEARCH_INTERVAL_MS;
         self.stats.waits = [0; WaitReason::ALL.len()];
         let mut waiting = self.list_waiting(now.steady_ms);
         waiting.sort_by_key(|step| step.since_ms);
-        for (place, step) in waiting.iter().enumerate() {
+        for (position, step) in waiting.iter().enumerate() {
             let submission = self.jobs[step.job].submission.clone();
-            let Some(asked) = submission.steps.get(usize::from(step.first.step)) else {
+            let Some(definition) = submission.steps.get(usize::from(step.first.step)) else {
                 continue;
             };
-            let (task, reason) = self.find_wait_reason(step, asked, now.steady_ms);
+            let (task, reason) = self.find_wait_reason(step, definition, now.steady_ms);
             self.stats.waits[reason as usize] += 1;
-            if place >= MAX_REPORTED {
+            if position >= MAX_REPORTED {
                 continue;
             }
             let mut detail = format!(
                 "why={reason:?} since_ms={} tasks={}",
                 now.steady_ms - step.since_ms,
-                asked.count
+                definition.count
             );
             if matches!(
                 reason,
                 WaitReason::Worker | WaitReason::Alone | WaitReason::Evacuation
             ) {
-                let counts = self.count_exclusions(step, asked, now.steady_ms);
+                let counts = self.count_exclusions(step, definition, now.steady_ms);
                 detail.push_str(&counts.to_string());
             }
             actions.push(Action::Note(Note::new(
@@ -156,7 +156,7 @@
                     let Some(since_ms) = state.waits_since_ms else {
                         continue;
                     };
-                    if state.waiting == 0 || now_ms < since_ms + LONG_MS {
+                    if state.waiting == 0 || now_ms < since_ms + REPORT_AFTER_MS {
                         continue;
                     }
                     let first = TaskId {
@@ -213,29 +213,29 @@
             }
             () if step.is_long_running
                 && task.run == 0
-                && self.is_share_full(waiting.job, step) =>
+                && self.is_long_running_share_full(waiting.job, step) =>
             {
                 WaitReason::Share
             }
-            () if self.is_evacuation_in_the_way(waiting, step, now_ms) => WaitReason::Evacuation,
+            () if self.is_blocked_by_evacuation(waiting, step, now_ms) => WaitReason::Evacuation,
             () => WaitReason::Worker,
         };
         (id, reason)
     }
 
-    fn is_share_full(&self, job: JobKey, step: &Step) -> bool {
+    fn is_long_running_share_full(&self, job: JobKey, step: &Step) -> bool {
         let (resources_milli, long_running_milli) =
-            self.long_running_use(&self.jobs[job].submission.service, step);
-        Self::is_over_share(resources_milli, long_running_milli)
+            self.long_running_usage(&self.jobs[job].submission.service, step);
+        Self::is_long_running_limit_reached(resources_milli, long_running_milli)
     }
 
     /// Tells whether only evacuated failure domains have workers that could take a step.
-    fn is_evacuation_in_the_way(&self, waiting: &WaitingStep, step: &Step, now_ms: u64) -> bool {
+    fn is_blocked_by_evacuation(&self, waiting: &WaitingStep, step: &Step, now_ms: u64) -> bool {
         if self.evacuations.is_empty() {
             return false;
         }
         let counts = self.count_exclusions(waiting, step, now_ms);
-        counts.open == 0 && counts.excluded.contains_key(&Exclusion::Evacuated)
+        counts.eligible == 0 && counts.excluded.contains_key(&Exclusion::Evacuated)
     }
 
     /// Counts the workers of the service by what keeps the task from them.
@@ -254,8 +254,8 @@
         for (key, worker) in &self.workers {
             match self.permitted_cost(key, worker, &requirements, now_ms) {
                 Ok(_) => {
-                    counts.open += 1;
-                    counts.resources += worker.capacity_for(step);
+                    counts.eligible += 1;
+                    counts.capacity += worker.capacity_for(step);
                 }
                 Err(Exclusion::Service) => {}
                 Err(exclusion) => *counts.excluded.entry(exclusion).or_default() += 1,
@@ -269,16 +269,20 @@
 #[derive(Debug, Default)]
 struct WorkerCounts {
     /// Those that could take it.
-    open: u32,
+    eligible: u32,
     /// Tasks of the step that fit there.
-    resources: u32,
+    capacity: u32,
     excluded: BTreeMap<Exclusion, u32>,
 }
 
 impl Display for WorkerCounts {
     // A gang waits for room for all of its members.
     fn fmt(&self, formatter: &mut Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, " open={} room_for={}", self.open, self.resources)?;
+        write!(
+            formatter,
+            " open={} room_for={}",
+            self.eligible, self.capacity
+        )?;
         for (exclusion, count) in &self.excluded {
             write!(formatter, " {exclusion:?}={count}")?;
         }
