--- a/crates/dispatch/src/owner/costs.rs
+++ b/crates/dispatch/src/owner/costs.rs
@@ -255,15 +255,15 @@
 /// is there.
 fn resource_cost(worker: &Worker, requirements: &TaskRequirements<'_>) -> Option<i64> {
     let step = requirements.step;
-    let unused_milli = unused_milli(worker);
-    let mut cost = -unused_milli;
+    let available_milli = unused_milli(worker);
+    let mut cost = -available_milli;
     if !step.is_best_effort && !step.is_long_running {
         // The tightest fit leaves large holes whole.
         cost = worker.free().cpu_milli as i64;
     }
     if step.is_best_effort {
         // Fillers share what is unused: one too many slows all of them.
-        if unused_milli < step.cpu_milli as i64 && worker.best_effort_milli > 0 {
+        if available_milli < step.cpu_milli as i64 && worker.best_effort_milli > 0 {
             return None;
         }
     }
