--- a/crates/dispatch/src/owner/calls.rs
+++ b/crates/dispatch/src/owner/calls.rs
@@ -125,7 +125,7 @@
     }
 
     /// Gives an order, over a relay of its worker if there is one.
-    pub(super) fn order(
+    pub(super) fn send_order(
         &mut self,
         worker: WorkerKey,
         purpose: Purpose,
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -233,7 +233,7 @@
             )));
             self.finish(key, JobPhase::Failed, now, actions);
         } else if is_gang {
-            self.break_gang(key, id);
+            self.stop_gang(key, id);
         }
     }
 
@@ -285,7 +285,7 @@
             step.recount();
         }
         if is_gang {
-            self.break_gang(job_key, id);
+            self.stop_gang(job_key, id);
         }
     }
 }
--- a/crates/dispatch/src/owner/gangs.rs
+++ b/crates/dispatch/src/owner/gangs.rs
@@ -69,7 +69,7 @@
 
     /// Stops the other members of a gang of which one is gone. Left alone they would wait
     /// for it for seconds, hold room meanwhile and end for nothing.
-    pub(crate) fn break_gang(&mut self, key: JobKey, id: TaskId) {
+    pub(crate) fn stop_gang(&mut self, key: JobKey, id: TaskId) {
         let Some(state) = self.jobs[key].step_mut(id) else {
             return;
         };
--- a/crates/dispatch/src/owner/job.rs
+++ b/crates/dispatch/src/owner/job.rs
@@ -37,7 +37,7 @@
     /// Tasks that run nowhere.
     pub(crate) waiting: u32,
     /// Since when some of them could run and don't.
-    pub(crate) waits_since_ms: Option<u64>,
+    pub(crate) waiting_since_ms: Option<u64>,
     /// Runs that ended well under this owner, and the time that they took together.
     pub(crate) ended: u32,
     pub(crate) ended_ms: u64,
@@ -62,9 +62,9 @@
     pub(crate) fn record_wait(&mut self, waits: bool, waiting_before: u32, now_ms: u64) {
         let since_ms = match self.waiting < waiting_before {
             true => now_ms,
-            false => self.waits_since_ms.unwrap_or(now_ms),
+            false => self.waiting_since_ms.unwrap_or(now_ms),
         };
-        self.waits_since_ms = waits.then_some(since_ms);
+        self.waiting_since_ms = waits.then_some(since_ms);
     }
 
     pub(crate) fn recount(&mut self) {
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -323,7 +323,7 @@
         job.has_waiting = false;
         job.is_dirty = true;
         let id = job.id;
-        self.permits.forget(id);
+        self.permits.remove_job(id);
         self.crashes.forget(id);
         self.orphans.retain(|task, _| task.job != id);
         self.stop_runs(id);
@@ -408,7 +408,7 @@
             self.next_place_ms =
                 now.steady_ms + placing_gap_ms(evaluated, self.bounds.cpu_permille);
         }
-        self.ask_permits(now, tickets, actions);
+        self.request_permits(now, tickets, actions);
         self.send_share_changes(now.steady_ms, tickets, actions);
         self.write(now, tickets, actions);
         self.relays.flush(self.token, now.steady_ms, actions);
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -103,7 +103,7 @@
             permit,
         };
         let purpose = Purpose::Start { task, run: number };
-        self.order(key, purpose, call, now_ms, tickets, actions);
+        self.send_order(key, purpose, call, now_ms, tickets, actions);
     }
 
     /// Gives up a run that is not to be ordered any more. If an earlier order had no answer
@@ -235,7 +235,7 @@
         for (key, task, run) in due {
             let call = WorkerCall::Stop { task, run };
             let purpose = Purpose::Stop { task, run };
-            self.order(key, purpose, call, now_ms, tickets, actions);
+            self.send_order(key, purpose, call, now_ms, tickets, actions);
         }
     }
 
--- a/crates/dispatch/src/owner/permits.rs
+++ b/crates/dispatch/src/owner/permits.rs
@@ -47,7 +47,7 @@
 pub(crate) struct Permits {
     decisions: HashMap<StepId, HashMap<WorkerKey, Decision>>,
     /// The most urgent step that lacks permitted workers, as of the latest go at placing.
-    wish: Option<StepId>,
+    requested_step: Option<StepId>,
     flight: Option<Flight>,
     retry_ms: u64,
 }
@@ -75,13 +75,13 @@
     }
 
     /// Notes that a step waits for permitted workers. The first of a go is the most urgent.
-    pub(crate) fn wish(&mut self, step: StepId) {
-        self.wish.get_or_insert(step);
+    pub(crate) fn request(&mut self, step: StepId) {
+        self.requested_step.get_or_insert(step);
     }
 
     /// Forgets the wish of the go before.
     pub(crate) fn begin_pass(&mut self) {
-        self.wish = None;
+        self.requested_step = None;
     }
 
     /// Drops a permit that a worker did not take.
@@ -92,7 +92,7 @@
     }
 
     /// Drops what is known for a job that is over.
-    pub(crate) fn forget(&mut self, job: JobId) {
+    pub(crate) fn remove_job(&mut self, job: JobId) {
         self.decisions.retain(|step, _| step.job != job);
     }
 
@@ -137,12 +137,17 @@
 
 impl Owner {
     /// Asks about workers for the step that lacks permitted ones most urgently.
-    pub(crate) fn ask_permits(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
+    pub(crate) fn request_permits(
+        &mut self,
+        now: Now,
+        tickets: &mut u64,
+        actions: &mut Vec<Action>,
+    ) {
         let now_ms = now.steady_ms;
         if self.permits.flight.is_some() || now_ms < self.permits.retry_ms {
             return;
         }
-        let Some(step_id) = self.permits.wish.take() else {
+        let Some(step_id) = self.permits.requested_step.take() else {
             return;
         };
         let Some(key) = self.job_keys.get(&step_id.job).copied() else {
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -138,7 +138,7 @@
                 let waiting_before = occurrence.steps[number].waiting;
                 let step_waits = self.place_step(key, first, step, now, pass, actions);
                 if step_waits && submission.needs_permits() {
-                    self.permits.wish(StepId::of(first));
+                    self.permits.request(StepId::of(first));
                 }
                 job_waits |= step_waits;
                 if let Some(state) = self.jobs[key].step_mut(first) {
@@ -318,7 +318,7 @@
     }
 
     /// Starts a copy of a task that runs already, if a worker has room for it.
-    pub(crate) fn place_copy(
+    pub(crate) fn place_speculative_copy(
         &mut self,
         key: JobKey,
         id: TaskId,
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -146,7 +146,7 @@
             wait_ms,
         };
         self.stats.polls += 1;
-        self.order(
+        self.send_order(
             key,
             Purpose::Poll {
                 sent_ms: now_ms,
--- a/crates/dispatch/src/owner/shares.rs
+++ b/crates/dispatch/src/owner/shares.rs
@@ -136,7 +136,7 @@
             self.stats.share_changes += 1;
             let call = WorkerCall::SetShare { task, run, percent };
             let purpose = Purpose::SetShare { task, run, percent };
-            self.order(key, purpose, call, now_ms, tickets, actions);
+            self.send_order(key, purpose, call, now_ms, tickets, actions);
         }
     }
 
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -302,7 +302,7 @@
             ),
         )));
         if is_speculative {
-            self.place_copy(job, id, now, actions);
+            self.place_speculative_copy(job, id, now, actions);
         } else {
             self.set_phase(worker, id, number, RunPhase::Stopping { again_ms: 0 });
         }
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -153,7 +153,7 @@
             let job = &self.jobs[*key];
             for occurrence in &job.occurrences {
                 for (number, state) in occurrence.steps.iter().enumerate() {
-                    let Some(since_ms) = state.waits_since_ms else {
+                    let Some(since_ms) = state.waiting_since_ms else {
                         continue;
                     };
                     if state.waiting == 0 || now_ms < since_ms + REPORT_AFTER_MS {
