--- a/crates/dispatch/src/owner/calls.rs
+++ b/crates/dispatch/src/owner/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers that are under way: what each was for, and who takes in how it ended.
+//! Orders to workers that are in flight: their purposes, and the dispatch of their outcomes.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -11,16 +11,16 @@
 use crate::owner::worker::RemovalReason;
 use crate::owner::worker::WorkerKey;
 
-/// Time by which a worker's clock is off what was expected when it counts anew. Clocks are slow by
-/// 2% and answers late by seconds, which comes to less.
+/// Minimum difference between the actual and the expected time of a worker's clock that counts as a
+/// jump. Clocks that are slow by 2% and answers that are seconds late cause smaller differences.
 const CLOCK_JUMP_MS: u64 = 3_000;
 
-/// What an order in flight was for.
+/// Purpose of an order in flight.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Purpose {
     Poll {
         sent_ms: u64,
-        /// Newest end that the worker was told to forget.
+        /// Newest exit that the worker was told to forget.
         acknowledged_exit: u64,
     },
     Start {
@@ -44,12 +44,12 @@
     worker: WorkerKey,
     purpose: Purpose,
     sent_ms: u64,
-    /// Time for which the worker may hold its answer back.
+    /// Time for which the worker may delay its answer, as in a long poll.
     wait_ms: u64,
 }
 
 impl Owner {
-    /// Takes in the end of an order, if it is one of this owner.
+    /// Handles the outcome of an order, if this owner has sent it.
     pub(crate) fn handle_order_outcome(
         &mut self,
         ticket: u64,
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Takes in the time of a worker's clock. One that has jumped begins to count anew: the worker
-    /// has started again, and what it was told by its former clock it grants for as long as it ever
-    /// does. Answers to orders tell that before a look does.
+    /// Records the time of a worker's clock. If the clock has jumped, the worker has restarted, and
+    /// it honors leases that it was granted by its previous clock for as long as the longest lease
+    /// lasts. Answers to orders show a jump before the next poll does.
     fn set_clock(&mut self, key: WorkerKey, clock_ms: u64, now_ms: u64) {
         let expired_ms = now_ms + self.max_lease_span_ms();
         let worker = &mut self.workers[key];
@@ -107,8 +107,8 @@
         worker.clock = Some((clock_ms, now_ms));
     }
 
-    /// Learns what answers take. One that came before its wait was over tells nothing, as the
-    /// worker may have given it at any time.
+    /// Records the latency of an answer. An answer that came before its wait time had passed has no
+    /// known latency, as the worker may have sent it at any time.
     fn record_latency(&mut self, order: Order, outcome: &OrderOutcome, now_ms: u64) {
         let took_ms = now_ms.saturating_sub(order.sent_ms);
         match outcome {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Gives an order, over a relay of its worker if there is one.
+    /// Sends an order to a worker, over a relay if there is one for it.
     pub(super) fn send_order(
         &mut self,
         worker: WorkerKey,
--- a/crates/dispatch/src/owner/job.rs
+++ b/crates/dispatch/src/owner/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as their owner knows them.
+//! Jobs as the owner knows them, with their occurrences, steps and tasks.
 
 use crate::bounds::Bounds;
 use crate::event::Now;
@@ -22,23 +22,23 @@
 use std::rc::Rc;
 
 new_key_type! {
-    /// A job of the owner.
+    /// Key of a job in the owner's table of jobs.
     pub(crate) struct JobKey;
 }
 
-/// Work of a task when its caller gives no estimate.
+/// Assumed duration of a task without an estimate by its caller.
 const UNKNOWN_WORK_MS: u64 = 1_000;
 
-/// The tasks of one step of one occurrence.
+/// State of one step of one occurrence.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<Task>,
     pub(crate) done: u32,
-    /// Tasks that run nowhere.
+    /// Number of tasks that run nowhere and are not done.
     pub(crate) waiting: u32,
-    /// Since when some of them could run and don't.
+    /// Time since which some of its tasks could run and do not.
     pub(crate) waiting_since_ms: Option<u64>,
-    /// Runs that ended well under this owner, and the time that they took together.
+    /// Number of runs that ended successfully under this owner, and their total duration.
     pub(crate) ended: u32,
     pub(crate) ended_ms: u64,
 }
@@ -57,8 +57,9 @@
         self.done as usize == self.tasks.len()
     }
 
-    /// Notes whether some of its tasks wait, of which there were so many before. Those that wait
-    /// while others of them get their turn have not waited for long.
+    /// Records whether some of its tasks still wait after a placement pass, before which
+    /// `waiting_before` tasks waited. If some tasks were placed, the others have not waited for
+    /// long: their time starts anew.
     pub(crate) fn record_wait(&mut self, waits: bool, waiting_before: u32, now_ms: u64) {
         let since_ms = match self.waiting < waiting_before {
             true => now_ms,
@@ -77,7 +78,7 @@
     }
 }
 
-/// One time that a job runs.
+/// One occurrence of a job. A job without repetitions has one.
 #[derive(Debug, Clone)]
 pub(crate) struct Occurrence {
     pub(crate) number: u32,
@@ -97,7 +98,7 @@
         self.steps.iter().all(StepState::is_done)
     }
 
-    /// Tells whether the tasks of a step may start.
+    /// Returns whether the tasks of a step may start, as all steps before it are done.
     pub(crate) fn is_open(&self, step: &Step) -> bool {
         step.after.iter().all(|predecessor| {
             self.steps
@@ -116,24 +117,24 @@
     pub(crate) occurrences: Vec<Occurrence>,
     pub(crate) next_occurrence: u32,
     pub(crate) phase: JobPhase,
-    /// The phase that callers are told, or will be by an append under way.
+    /// The phase that callers can see, or will see after an append in flight.
     pub(crate) published: JobPhase,
-    /// The record of its progress is behind.
+    /// Its progress has changed since it was last recorded.
     pub(crate) is_dirty: bool,
-    /// Time by which its caller would like it done.
+    /// Time by which its caller wants it to be completed.
     pub(crate) due_ms: u64,
-    /// Time after which its end is worth nothing to its caller.
+    /// Time after which its completion has no value to its caller.
     pub(crate) no_value_after_ms: u64,
     pub(crate) final_wall_ms: u64,
-    /// Tasks that must wait for nothing but a worker, or `true` if that has to be found out.
+    /// Some of its tasks wait only for a worker, or it is not known whether any do.
     pub(crate) has_waiting: bool,
 }
 
-/// An objective counts as missed for good when it is missed by this factor.
+/// Factor by which the objective of a job must be exceeded before its completion has no value.
 const NO_VALUE_FACTOR: u64 = 3;
 
 impl Job {
-    /// Takes a job over from the record.
+    /// Restores a job from its records. Returns `None` if its submission is not on record.
     pub(crate) fn new(
         id: JobId,
         record: &JobRecord,
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Opens the occurrences that are due, as many as may be under way, and tells whether there
-    /// were any.
+    /// Opens the occurrences that are due, up to the maximum number of tasks under way. Returns
+    /// whether it opened any.
     pub(crate) fn open_occurrences(&mut self, now: Now, bounds: &Bounds) -> bool {
         let max_tasks = max_tasks(bounds.max_record_bytes);
         let early_ms = bounds.early_ms;
@@ -211,9 +212,9 @@
         }
     }
 
-    /// Gives what decides its place in the order of jobs. A job that runs several times is due
-    /// anew with each of them: by its first time, all later ones would be long past their
-    /// objective, and would wait behind everything else.
+    /// Returns what determines the job's place in the order of placement. Each occurrence of a
+    /// repeated job is due separately: measured by the first occurrence, all later ones would be
+    /// long past their objective and wait behind all other jobs.
     pub(crate) fn waiting(&self, now: Now) -> WaitingJob {
         let due_offset_ms = self.due_offset_ms(now);
         WaitingJob {
@@ -230,7 +231,8 @@
         }
     }
 
-    /// Gives how long after the job came the first of its times that is not over was due.
+    /// Returns the time in milliseconds from the acceptance of the job until its first unfinished
+    /// occurrence is due, at most until now. Returns 0 for jobs without repetitions.
     fn due_offset_ms(&self, now: Now) -> u64 {
         let open = self
             .occurrences
@@ -245,7 +247,8 @@
         due_wall_ms.saturating_sub(self.submission.accepted_wall_ms)
     }
 
-    /// Gives the time that the longest chain of steps still takes in which tasks wait.
+    /// Returns the remaining time in milliseconds of the longest chain of steps that have waiting
+    /// tasks.
     fn remaining_ms(&self) -> u64 {
         let mut longest_ms = 0;
         for occurrence in &self.occurrences {
@@ -265,7 +268,7 @@
             .get(usize::from(id.index))
     }
 
-    /// Goes through all tasks of occurrences that are under way.
+    /// Calls `visit` for all tasks of open occurrences.
     pub(crate) fn for_each_task(&self, mut visit: impl FnMut(TaskId, &Task)) {
         for occurrence in &self.occurrences {
             for (step, state) in occurrence.steps.iter().enumerate() {
@@ -298,7 +301,7 @@
         self.submission.steps.get(usize::from(id.step))
     }
 
-    /// Drops finished occurrences, and tells whether all are done.
+    /// Drops the finished occurrences of a repeated job. Returns whether all occurrences are done.
     pub(crate) fn is_finished(&mut self) -> bool {
         let keeps_last = self.submission.repetitions <= 1;
         if !keeps_last {
@@ -308,7 +311,7 @@
             && self.occurrences.iter().all(Occurrence::is_done)
     }
 
-    /// Gives its state as callers are to be told it.
+    /// Returns its state as published to callers.
     pub(crate) fn state(&self) -> StateRecord {
         StateRecord {
             phase: self.phase as i32,
@@ -316,7 +319,7 @@
         }
     }
 
-    /// Gives the record of its progress.
+    /// Returns the record of its progress.
     pub(crate) fn progress(&self, name: impl Fn(WorkerKey) -> String) -> Progress {
         let mut occurrences = Vec::new();
         if !self.phase.is_final() {
@@ -340,7 +343,8 @@
     }
 }
 
-/// Gives the work of the longest chain of those steps that are `counted`.
+/// Returns the duration in milliseconds of the longest chain of steps, in which only those count
+/// for which `counted` returns true.
 fn longest_chain_ms(submission: &Submission, counted: impl Fn(usize) -> bool) -> u64 {
     let mut ends_ms: Vec<u64> = Vec::with_capacity(submission.steps.len());
     for (number, step) in submission.steps.iter().enumerate() {
--- a/crates/dispatch/src/owner/link.rs
+++ b/crates/dispatch/src/owner/link.rs
@@ -1,4 +1,4 @@
-//! What the owner's calls take of its link.
+//! Accounting for the traffic of the owner on its host's network link.
 
 use crate::event::Action;
 use crate::event::WorkerCall;
@@ -7,28 +7,28 @@
 use crate::owner::worker::WorkerKey;
 use crate::policy::link::PACKET_BYTES;
 
-/// Bytes of the head and the fields of a call to a worker, as counted on the wire: looks are
-/// 215, and orders to start 260 without their texts.
+/// Bytes of the headers and the fields of a call to a worker, as measured on the wire: 215 for
+/// polls, and 260 for orders to start without their texts.
 const POLL_BYTES: u64 = 215;
 const START_BYTES: u64 = 260;
-/// Bytes of an answer without a list, and of a run or an end in a list.
+/// Bytes of an answer without a report, and of a run or an exit in a report.
 const ANSWER_BYTES: u64 = 91;
 const ROW_BYTES: u64 = 55;
-/// Bytes of a call to the store without its records, and of the length and the name of one.
+/// Bytes of a call to the store without its records, and of the length and the name of a record.
 const STORE_CALL_BYTES: u64 = 200;
 const RECORD_BYTES: u64 = 10;
-/// Bytes of a look that is relayed, of an order to start beside the text, and of the end of an
-/// order and a row in it, with a part of the frame's own.
+/// Bytes of a relayed poll, of a relayed order to start without its text, and of the outcome of an
+/// order and a row in it, each with a part of the frame's own bytes.
 const RELAYED_POLL_BYTES: u64 = 50;
 const RELAYED_START_BYTES: u64 = 80;
 const RELAYED_ANSWER_BYTES: u64 = 35;
 const RELAYED_ROW_BYTES: u64 = 42;
-/// Part of the orders to start of a job, one in so many, that take the text of the job with them.
+/// Number of orders to start of a job for which its text is sent once.
 const STARTS_PER_TEXT: usize = 4;
 /// Bytes of an answer to a caller.
 const CALLER_ANSWER_BYTES: u64 = 150;
 
-/// Gives the bytes of records in a call to the store, or in its answer.
+/// Returns the bytes of records in a call to the store, or in its answer.
 pub(crate) fn records_bytes<'a>(records: impl Iterator<Item = (&'a str, &'a [u8])>) -> u64 {
     let mut bytes = 0;
     for (key, value) in records {
@@ -37,7 +37,7 @@
     bytes
 }
 
-/// Gives the bytes of a look at a worker, and of its answer.
+/// Returns the bytes of a poll of a worker, and of its answer.
 fn poll_bytes(worker: &Worker) -> (u64, u64) {
     (
         POLL_BYTES,
@@ -46,7 +46,7 @@
 }
 
 impl Owner {
-    /// Notes what a call to a worker takes. Orders to start were counted when their tasks were
+    /// Charges a call to a worker to the link. Orders to start were charged when their tasks were
     /// placed.
     pub(super) fn charge_order(&mut self, key: WorkerKey, call: &WorkerCall) {
         let (out_bytes, in_bytes) = match call {
@@ -57,7 +57,7 @@
         self.link.charge(out_bytes, in_bytes);
     }
 
-    /// Notes what the order to start a task takes, whose texts have so many bytes.
+    /// Charges the order to start a task, whose texts have `text_bytes` bytes, to the link.
     pub(super) fn charge_start(&mut self, text_bytes: usize) {
         if self.has_relays() {
             let out_bytes = RELAYED_START_BYTES + (text_bytes / STARTS_PER_TEXT) as u64;
@@ -68,8 +68,8 @@
         self.link.charge(out_bytes, ANSWER_BYTES);
     }
 
-    /// Notes what a relayed order of so many bytes takes. Orders to start were counted when
-    /// their tasks were placed.
+    /// Charges a relayed order of `bytes` bytes and its answer to the link. Orders to start were
+    /// charged when their tasks were placed.
     pub(super) fn charge_relayed(&mut self, key: WorkerKey, call: &WorkerCall, bytes: u64) {
         let rows = match call {
             WorkerCall::Start { .. } => return,
@@ -84,7 +84,7 @@
         self.uses_relays && self.relays.usable() > 0
     }
 
-    /// Notes what calls to the store and answers to callers take.
+    /// Charges calls to the store and answers to callers to the link.
     pub(crate) fn charge_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -100,12 +100,13 @@
         }
     }
 
-    /// Notes what an answer of the store took.
+    /// Charges an answer of the store to the link.
     pub(crate) fn charge_read(&mut self, bytes: u64) {
         self.link.charge(0, ANSWER_BYTES + bytes);
     }
 
-    /// Gives the pause between looks at each of so many workers that the link bears.
+    /// Returns the interval in milliseconds between polls of the same worker that the link can
+    /// carry for `workers` workers.
     pub(super) fn link_gap_ms(&self, workers: usize) -> u64 {
         let count = workers as u64;
         match self.has_relays() {
@@ -114,9 +115,9 @@
         }
     }
 
-    /// Gives how long the answer of a worker is awaited. Right after a miss a second one is
-    /// given twice the time: should the link have become slow, what answers take shows only by
-    /// one that is still awaited when it comes.
+    /// Returns the timeout in milliseconds of a worker's answer. After one missed answer it is
+    /// doubled once: if the link has become slow, the new latency of answers can only be measured
+    /// from one that is still awaited when it arrives.
     pub(super) fn answer_timeout_ms(&self, key: WorkerKey) -> u64 {
         let answer_timeout_ms = self.answers.answer_timeout_ms();
         match self.workers[key].missed_answers {
--- a/crates/dispatch/src/owner/orphans.rs
+++ b/crates/dispatch/src/owner/orphans.rs
@@ -1,8 +1,8 @@
-//! Runs that a worker lists and nobody here has placed there.
+//! Orphans: runs that a worker reports and that this owner has not placed there.
 //!
-//! They may be of a job that has ended, be an order of a former owner that was carried out late, or
-//! have been given up while their worker could not be heard. No other run of their task begins
-//! beside them.
+//! An orphan may belong to a finished job, result from an order of a previous owner that was
+//! carried out late, or have been given up while its worker did not answer. No other run of its
+//! task starts while it is present.
 
 use crate::event::RunReport;
 use crate::ids::TaskId;
@@ -15,14 +15,15 @@
 use crate::record::Step;
 
 impl Owner {
-    /// Takes back a run that was given up and is at work all the same, while its task runs nowhere
-    /// else. Stopped, it would still be there while the next one begins. Tells whether it was.
+    /// Reclaims a run that was given up but is still running while its task runs nowhere else. If
+    /// it were stopped instead, it would still be present when the next run starts. Returns whether
+    /// the run was reclaimed.
     pub(super) fn reclaim_run(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) -> bool {
         let Some(job_key) = self.job_keys.get(&row.task.job).copied() else {
             return false;
         };
         let job = &mut self.jobs[job_key];
-        // Members of a gang start together, under a number of their own.
+        // All members of a gang start together, under a common run number.
         let is_gang = job.step(row.task).is_some_and(|step| step.is_gang);
         if is_gang || job.phase.is_final() {
             return false;
@@ -48,10 +49,11 @@
         true
     }
 
-    /// A run that nobody here knows is stopped: it may be of a job that has ended, or an
-    /// order of a former owner that was carried out late. It takes its room until it has
-    /// ended; without that, a new owner would start too much beside the tasks of a job that
-    /// was cancelled just before, where workers start whatever they are told to.
+    /// Adds an unknown run, which is stopped unless its job's progress has not been read yet. The
+    /// run may belong to a finished job, or result from an order of a previous owner that was
+    /// carried out late. It occupies its resources until it exits. Otherwise, a new owner would
+    /// overcommit workers beside the tasks of a job that was canceled just before, where workers
+    /// start whatever they are ordered to.
     pub(super) fn add_orphan(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) {
         let phase = match self.unread_progress.contains_key(&row.task.job) {
             true => RunPhase::Present { since_ms: now_ms },
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Tells whether a run of a task is known to be there that is no more the task's own. The next
-    /// one must not begin beside it.
+    /// Returns whether an orphan of a task is present at a worker. The next run of the task must
+    /// not start beside it.
     pub(super) fn has_orphan(&mut self, task: TaskId) -> bool {
         let Some((worker, run)) = self.orphans.get(&task).copied() else {
             return false;
@@ -80,7 +82,7 @@
         is_present
     }
 
-    /// Makes a run of a task that may be of no job under way.
+    /// Makes a run of a task whose job may be finished or unknown.
     pub(super) fn make_unknown_run(
         &mut self,
         task: TaskId,
@@ -91,14 +93,14 @@
             return self.make_run(job, task, phase, 0);
         }
         let step = self.finished_step(task).unwrap_or_else(|| Step {
-            // Nothing is known of it, so it may fill the worker.
+            // Nothing is known of the step, so its run may use the whole worker.
             cpu_milli: self.workers[worker].entry.resources.cpu_milli,
             ..Step::default()
         });
         Run::new(&step, ImageKey::default(), phase, 0)
     }
 
-    /// Gives the step of a task of a job that is over.
+    /// Returns the step of a task of a finished job.
     fn finished_step(&self, task: TaskId) -> Option<Step> {
         let submission = self.finished_jobs.get(&task.job)?;
         submission.steps.get(usize::from(task.step)).cloned()
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -237,8 +237,8 @@
     }
 
     /// Returns the expected duration of a task: the mean of its siblings that have ended, else the
-    /// median projection of those that run, else an estimate from its queue. A step whose tasks all
-    /// take equally long therefore has no stragglers.
+    /// median projection of those that run, else an estimate from its queue. As tasks are only
+    /// compared with their siblings, a job whose tasks all take long has no stragglers.
     fn estimate(&self, candidate: &Candidate, speeds: &mut [u64]) -> ExpectedDuration {
         let job = &self.jobs[candidate.job];
         let task = candidate.task;
