--- a/crates/dispatch/src/owner/orphans.rs
+++ b/crates/dispatch/src/owner/orphans.rs
@@ -52,7 +52,7 @@
     /// Adds an unknown run, which is stopped unless its job's progress has not been read yet. The
     /// run may belong to a finished job, or result from an order of a previous owner that was
     /// carried out late. It occupies its resources until it exits. Otherwise, a new owner would
-    /// overcommit workers beside the tasks of a job that was canceled just before, where workers
+    /// overcommit workers beside the tasks of a job that was cancelled just before, where workers
     /// start whatever they are ordered to.
     pub(super) fn add_orphan(&mut self, key: WorkerKey, row: &RunReport, now_ms: u64) {
         let phase = match self.unread_progress.contains_key(&row.task.job) {
