--- a/tests/dispatch_evacuations.rs
+++ b/tests/dispatch_evacuations.rs
@@ -19,14 +19,14 @@
 
 const HOSTS: usize = 3;
 const WORKERS: usize = 6;
-const HALL: &str = "hall-0";
-const OTHER_HALL: &str = "hall-1";
+const EVACUATED_DOMAIN: &str = "hall-0";
+const OTHER_DOMAIN: &str = "hall-1";
 /// Time in which jobs that were held up come to their end: leases run out first.
-const SETTLED_MS: u64 = 20_000;
+const RECOVERY_MS: u64 = 20_000;
 
 /// Tasks start at workers of a failure domain that the operator has evacuated.
 #[gtest]
-fn an_evacuated_failure_domain_gets_nothing_new() {
+fn an_evacuated_failure_domain_gets_no_new_tasks() {
     let mut fleet = Fleet::new(3, 4);
     fleet.evacuate("hall-0");
     fleet.run(EVACUATED_MS);
@@ -45,19 +45,19 @@
     /// What happens just after it.
     after: fn(&mut Fleet),
     /// What ends the trouble, once nothing may start there any more.
-    heal: fn(&mut Fleet),
+    recover: fn(&mut Fleet),
 }
 
-fn rows() -> Submission {
+fn two_steps() -> Submission {
     job(vec![step(20, 400, &[]), step(20, 400, &[0])])
 }
 
-fn lasting() -> Submission {
-    let lasting = Step {
+fn long_running() -> Submission {
+    let long_running = Step {
         is_long_running: true,
         ..step(4, 1_000, &[])
     };
-    job(vec![lasting])
+    job(vec![long_running])
 }
 
 fn gangs() -> Submission {
@@ -74,15 +74,15 @@
     ])
 }
 
-fn copied() -> Submission {
-    let copied = Step {
+fn speculative() -> Submission {
+    let speculative = Step {
         is_speculative: true,
         ..step(8, 1_500, &[])
     };
-    job(vec![copied])
+    job(vec![speculative])
 }
 
-fn timed() -> Submission {
+fn repeated() -> Submission {
     Submission {
         repetitions: 8,
         first_due_wall_ms: 1_700_000_005_000,
@@ -102,23 +102,23 @@
 
 fn nothing(_: &mut Fleet) {}
 
-fn lose_orders(fleet: &mut Fleet) {
+fn delay_orders(fleet: &mut Fleet) {
     fleet.late_ms = Some(2_500);
 }
 
-fn end_losses(fleet: &mut Fleet) {
+fn end_order_delays(fleet: &mut Fleet) {
     fleet.late_ms = None;
 }
 
-fn hang_others(fleet: &mut Fleet) {
-    for address in fleet.workers_in(OTHER_HALL).into_iter().take(1) {
+fn stall_worker_elsewhere(fleet: &mut Fleet) {
+    for address in fleet.workers_in(OTHER_DOMAIN).into_iter().take(1) {
         if let Some(worker) = fleet.workers.get_mut(&address) {
             worker.manners = Manners::Hangs;
         }
     }
 }
 
-fn cure(fleet: &mut Fleet) {
+fn restore_workers(fleet: &mut Fleet) {
     for worker in fleet.workers.values_mut() {
         worker.manners = Manners::Sound;
     }
@@ -146,202 +146,202 @@
     }
 }
 
-fn darken(fleet: &mut Fleet) {
-    for address in fleet.workers_in(HALL) {
+fn crash_domain(fleet: &mut Fleet) {
+    for address in fleet.workers_in(EVACUATED_DOMAIN) {
         fleet.crash(&address);
     }
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "tasks of steps that begin later",
-        submission: rows,
+        name: "tasks of steps that start later",
+        submission: two_steps,
         before: nothing,
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "starts without an answer, sent again",
-        submission: rows,
-        before: lose_orders,
-        after: end_losses,
-        heal: nothing,
+        name: "unanswered orders to start that are sent again",
+        submission: two_steps,
+        before: delay_orders,
+        after: end_order_delays,
+        recover: nothing,
     },
     Case {
-        name: "starts without an answer, before and after",
-        submission: rows,
-        before: lose_orders,
+        name: "unanswered orders to start before and after",
+        submission: two_steps,
+        before: delay_orders,
         after: nothing,
-        heal: end_losses,
+        recover: end_order_delays,
     },
     Case {
         name: "tasks whose workers fail",
-        submission: rows,
+        submission: two_steps,
         before: |fleet| fleet.crash("10.0.0.1:80"),
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "lasting tasks of a domain that went dark",
-        submission: lasting,
-        before: darken,
+        name: "long-running tasks of a domain that has crashed",
+        submission: long_running,
+        before: crash_domain,
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "lasting tasks of a domain that goes dark while evacuated",
-        submission: lasting,
+        name: "long-running tasks of a domain that crashes while evacuated",
+        submission: long_running,
         before: nothing,
-        after: darken,
-        heal: nothing,
+        after: crash_domain,
+        recover: nothing,
     },
     Case {
-        name: "gangs with members there",
+        name: "gangs with members in the domain",
         submission: gangs,
         before: nothing,
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "gangs of which one member was lost",
+        name: "gangs that have lost a member",
         submission: gangs,
         before: |fleet| fleet.crash("10.0.0.1:80"),
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "copies of stragglers",
-        submission: copied,
-        before: hang_others,
+        name: "speculative copies of stragglers",
+        submission: speculative,
+        before: stall_worker_elsewhere,
         after: nothing,
-        heal: cure,
+        recover: restore_workers,
     },
     Case {
-        name: "stragglers that are started again",
-        submission: rows,
-        before: hang_others,
+        name: "stragglers that are restarted",
+        submission: two_steps,
+        before: stall_worker_elsewhere,
         after: nothing,
-        heal: cure,
+        recover: restore_workers,
     },
     Case {
-        name: "timed jobs",
-        submission: timed,
+        name: "repeated jobs",
+        submission: repeated,
         before: nothing,
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "permits that were asked for before",
+        name: "permits that were requested before",
         submission: permitted,
         before: nothing,
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
         name: "a new owner",
-        submission: rows,
+        submission: two_steps,
         before: nothing,
         after: kill_owner,
-        heal: start_all,
+        recover: start_all,
     },
     Case {
-        name: "all hosts start anew",
-        submission: rows,
+        name: "all hosts restart",
+        submission: two_steps,
         before: nothing,
         after: kill_all,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "all hosts start anew, and the history is dropped",
-        submission: rows,
+        name: "all hosts restart, and the history is dropped",
+        submission: two_steps,
         before: nothing,
         after: |fleet| {
             kill_all(fleet);
             fleet.store.drop_history();
         },
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "an owner that stood still",
-        submission: rows,
+        name: "an owner that was paused",
+        submission: two_steps,
         before: |fleet| fleet.pause(owner(fleet)),
         after: nothing,
-        heal: start_all,
+        recover: start_all,
     },
     Case {
         name: "an owner that is cut off from the store",
-        submission: rows,
+        submission: two_steps,
         before: |fleet| fleet.cut_from_store(owner(fleet), true),
         after: nothing,
-        heal: start_all,
+        recover: start_all,
     },
     Case {
         name: "rules that can't be read while all else can",
-        submission: rows,
+        submission: two_steps,
         before: |fleet| fleet.store.away = vec![Stream::Rules],
         after: nothing,
-        heal: |fleet| fleet.store.away.clear(),
+        recover: |fleet| fleet.store.away.clear(),
     },
     Case {
         name: "calls to the store that went silent",
-        submission: rows,
+        submission: two_steps,
         before: |fleet| (0..HOSTS).for_each(|number| fleet.lose_calls(number)),
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
         name: "a store that loses answers",
-        submission: rows,
+        submission: two_steps,
         before: nothing,
         after: |fleet| fleet.store.mode = Mode::LosesAnswers,
-        heal: |fleet| fleet.store.mode = Mode::Up,
+        recover: |fleet| fleet.store.mode = Mode::Up,
     },
     Case {
-        name: "evacuated, taken back and evacuated again",
-        submission: rows,
+        name: "evacuated, reversed and evacuated again",
+        submission: two_steps,
         before: |fleet| {
-            fleet.evacuate(HALL);
+            fleet.evacuate(EVACUATED_DOMAIN);
             fleet.run(400);
-            fleet.take_back(HALL);
+            fleet.take_back(EVACUATED_DOMAIN);
             fleet.run(400);
         },
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "evacuated and taken back in one read",
-        submission: rows,
+        name: "evacuated and reversed in one read",
+        submission: two_steps,
         before: |fleet| {
-            fleet.evacuate(HALL);
-            fleet.take_back(HALL);
+            fleet.evacuate(EVACUATED_DOMAIN);
+            fleet.take_back(EVACUATED_DOMAIN);
         },
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "a record of it that can't be read follows",
-        submission: rows,
+        name: "an unreadable record of the evacuation follows",
+        submission: two_steps,
         before: nothing,
         after: |fleet| fleet.store.put(Stream::Rules, "evacuate/hall-0", b"maybe"),
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "a record that can't be read follows, and all is read anew",
-        submission: rows,
+        name: "an unreadable record follows, and everything is read again",
+        submission: two_steps,
         before: nothing,
         after: |fleet| {
             fleet.run(500);
             fleet.store.put(Stream::Rules, "evacuate/hall-0", b"maybe");
             fleet.store.drop_history();
         },
-        heal: nothing,
+        recover: nothing,
     },
     Case {
-        name: "another domain that nobody knows is evacuated too",
-        submission: rows,
+        name: "an unknown domain is evacuated too",
+        submission: two_steps,
         before: |fleet| fleet.evacuate("nowhere"),
         after: nothing,
-        heal: nothing,
+        recover: nothing,
     },
 ];
 
@@ -361,7 +361,7 @@
     }
     fleet.run(300);
     (case.before)(&mut fleet);
-    fleet.evacuate(HALL);
+    fleet.evacuate(EVACUATED_DOMAIN);
     (case.after)(&mut fleet);
     // More than fits into the other domain, so that what waits would start at any free worker.
     for id in 4..=15 {
@@ -369,25 +369,25 @@
         let host = (0..HOSTS)
             .find(|number| fleet.is_ready(*number))
             .unwrap_or(0);
-        fleet.submit(host, id, &rows());
+        fleet.submit(host, id, &two_steps());
     }
-    let since = fleet.promises.starts.len();
-    (case.heal)(&mut fleet);
-    fleet.run(SETTLED_MS);
+    let starts_before = fleet.promises.starts.len();
+    (case.recover)(&mut fleet);
+    fleet.run(RECOVERY_MS);
     let mut broken = std::mem::take(&mut fleet.promises.broken);
-    if fleet.promises.starts.len() == since {
-        broken.push("nothing starts any more".into());
+    if fleet.promises.starts.len() == starts_before {
+        broken.push("no task starts any more".into());
     }
     let accepted: Vec<u64> = fleet.promises.accepted.iter().map(|id| id.0).collect();
     for id in accepted {
         let state = fleet.state(0, id);
-        let lasts =
+        let runs_forever =
             fleet.promises.submitted[&goldcrestway_dispatch::JobId(id)].steps[0].is_long_running;
-        let wanted = match lasts {
+        let expected = match runs_forever {
             true => JobState::Running,
             false => JobState::Completed,
         };
-        if state != Some(wanted) {
+        if state != Some(expected) {
             broken.push(format!("job {id} is {state:?}"));
         }
     }
@@ -396,7 +396,7 @@
 
 /// Tasks start in an evacuated failure domain by what was begun before, or by who has not heard.
 #[gtest]
-fn nothing_starts_in_an_evacuated_failure_domain_whoever_may_start_it() {
+fn nothing_starts_in_an_evacuated_failure_domain_by_any_path() {
     for case in CASES {
         for is_relayed in [false, true] {
             let broken = play(case, is_relayed);
@@ -411,55 +411,59 @@
     let mut fleet = Fleet::with_relays(HOSTS, WORKERS);
     fleet.run(1_000);
     fleet.lose_calls(owner(&fleet));
-    fleet.evacuate(HALL);
+    fleet.evacuate(EVACUATED_DOMAIN);
     fleet.run(100);
     fleet.submit(0, 1, &job(vec![step(40, 400, &[])]));
     fleet.run(400);
     let starts = fleet.promises.starts.len();
     expect_that!(starts, gt(0));
-    expect_that!(fleet.starts_in(HALL, 0), eq(0));
-    fleet.run(SETTLED_MS);
+    expect_that!(fleet.starts_in(EVACUATED_DOMAIN, 0), eq(0));
+    fleet.run(RECOVERY_MS);
     expect_that!(fleet.promises.broken, is_empty());
     expect_that!(fleet.state(0, 1), some(eq(JobState::Completed)));
 }
 
 /// Work that finds only evacuated domains is lost, or nobody can say why it waits.
 #[gtest]
-fn work_waits_while_all_domains_are_evacuated_and_is_told_why() {
+fn tasks_wait_while_all_domains_are_evacuated_and_the_reason_is_reported() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
-    fleet.evacuate(HALL);
-    fleet.evacuate(OTHER_HALL);
+    fleet.evacuate(EVACUATED_DOMAIN);
+    fleet.evacuate(OTHER_DOMAIN);
     fleet.run(EVACUATED_MS);
-    fleet.submit(0, JOB, &rows());
+    fleet.submit(0, JOB, &two_steps());
     fleet.run(8_000);
     expect_that!(fleet.promises.starts, is_empty());
     let lines = fleet.lines.join("\n");
     expect_that!(lines, contains_substring("TaskWaits"));
     expect_that!(lines, contains_substring("why=Evacuation"));
     expect_that!(lines, contains_substring("open=0 room_for=0 Evacuated=6"));
-    fleet.take_back(OTHER_HALL);
+    fleet.take_back(OTHER_DOMAIN);
     fleet.run(3_000);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
-    expect_that!(fleet.starts_in(HALL, 0), eq(0));
+    expect_that!(fleet.starts_in(EVACUATED_DOMAIN, 0), eq(0));
     expect_that!(fleet.promises.broken, is_empty());
 }
 
 /// A domain that was taken back stays empty: nothing makes waiting work try it again.
 #[gtest]
-fn a_domain_that_is_taken_back_gets_work_at_once() {
+fn a_domain_gets_tasks_at_once_after_its_evacuation_ends() {
     for drops_history in [false, true] {
         let mut fleet = Fleet::new(HOSTS, WORKERS);
-        fleet.evacuate(HALL);
+        fleet.evacuate(EVACUATED_DOMAIN);
         fleet.run(EVACUATED_MS);
         fleet.submit(0, JOB, &job(vec![step(48, 3_000, &[])]));
         fleet.run(500);
-        let since = fleet.promises.starts.len();
-        fleet.take_back(HALL);
+        let starts_before = fleet.promises.starts.len();
+        fleet.take_back(EVACUATED_DOMAIN);
         if drops_history {
             fleet.store.drop_history();
         }
         fleet.run(2_000);
-        expect_that!(fleet.starts_in(HALL, since), gt(0), "{drops_history}");
+        expect_that!(
+            fleet.starts_in(EVACUATED_DOMAIN, starts_before),
+            gt(0),
+            "{drops_history}"
+        );
         expect_that!(fleet.notes.get(&Code::DomainEvacuated), some(eq(&3)));
         expect_that!(fleet.notes.get(&Code::DomainTakenBack), some(eq(&3)));
     }
@@ -467,13 +471,13 @@
 
 /// What runs in an evacuated domain is stopped, though it only was to get nothing new.
 #[gtest]
-fn what_runs_in_an_evacuated_domain_goes_on() {
+fn running_tasks_in_an_evacuated_domain_continue() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
-    fleet.submit(0, 1, &lasting());
+    fleet.submit(0, 1, &long_running());
     fleet.submit(0, JOB, &job(vec![step(20, 6_000, &[])]));
     fleet.run(500);
     let starts = fleet.promises.starts.len();
-    fleet.evacuate(HALL);
+    fleet.evacuate(EVACUATED_DOMAIN);
     fleet.run(7_000);
     expect_that!(fleet.promises.starts.len(), eq(starts));
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
@@ -481,7 +485,7 @@
 
 /// An evacuation that can't be read stops the rules that follow it, or is not told of.
 #[gtest]
-fn an_evacuation_that_cannot_be_read_changes_nothing() {
+fn an_unreadable_evacuation_record_changes_nothing() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
     fleet.store.put(Stream::Rules, "evacuate/hall-0", b"maybe");
     fleet.store.put(Stream::Rules, "config", &[2]);
@@ -489,17 +493,17 @@
     fleet.submit(0, JOB, &job(vec![step(48, 300, &[])]));
     fleet.run(1_000);
     expect_that!(fleet.rules_version(0), eq(2));
-    expect_that!(fleet.starts_in(HALL, 0), gt(0));
+    expect_that!(fleet.starts_in(EVACUATED_DOMAIN, 0), gt(0));
     expect_that!(fleet.notes.get(&Code::RulesUnreadable), some(eq(&3)));
 }
 
 /// Starts stand still for no reason that anybody is told, while rules can't be read.
 #[gtest]
-fn rules_that_cannot_be_read_for_long_hold_starts_and_are_told() {
+fn rules_that_cannot_be_read_for_long_pause_starts_and_are_reported() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
     fleet.store.away = vec![Stream::Rules];
     fleet.run(EVACUATED_MS);
-    fleet.submit(0, JOB, &rows());
+    fleet.submit(0, JOB, &two_steps());
     fleet.run(4_000);
     expect_that!(fleet.promises.starts, is_empty());
     expect_that!(fleet.lines.join("\n"), contains_substring("why=Rules"));
@@ -510,16 +514,16 @@
 
 /// A worker that names no domain is barred by an evacuation of another one.
 #[gtest]
-fn a_worker_whose_domain_is_not_evacuated_takes_what_fits() {
+fn workers_outside_an_evacuated_domain_run_what_fits() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
-    for address in fleet.workers_in(HALL) {
+    for address in fleet.workers_in(EVACUATED_DOMAIN) {
         let resources = Resources {
             cpu_milli: 16_000,
             ..WORKER_RESOURCES
         };
         fleet.resize(&address, resources);
     }
-    fleet.evacuate(HALL);
+    fleet.evacuate(EVACUATED_DOMAIN);
     fleet.run(EVACUATED_MS);
     let large = Step {
         cpu_milli: 12_000,
@@ -530,7 +534,7 @@
     fleet.run(5_000);
     expect_that!(fleet.state(0, 1), some(eq(JobState::Completed)));
     expect_that!(fleet.lines.join("\n"), contains_substring("why=Evacuation"));
-    fleet.take_back(HALL);
+    fleet.take_back(EVACUATED_DOMAIN);
     fleet.run(2_000);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
--- a/tests/dispatch_fillers.rs
+++ b/tests/dispatch_fillers.rs
@@ -10,21 +10,21 @@
 /// were never seen to press it work on. Cause: they were not halted, as none of them alone
 /// presses by as much as can be told apart; together, at the peak of its own load, they do.
 #[gtest]
-fn all_fillers_are_halted_beside_a_task_long_over_its_target() {
+fn all_best_effort_tasks_are_suspended_beside_a_serving_task_long_over_its_target() {
     let mut fleet = Fleet::new(3, 1);
-    let served = Step {
+    let serving = Step {
         is_long_running: true,
         image: "served".into(),
         tail_latency_target_ms: 20,
         ..step(1, 1_000, &[])
     };
-    let filler = Step {
+    let best_effort = Step {
         is_best_effort: true,
         image: "filler".into(),
         ..step(2, 60_000, &[])
     };
-    fleet.submit(0, 0x1, &job(vec![served]));
-    fleet.submit(0, 0x2, &job(vec![filler]));
+    fleet.submit(0, 0x1, &job(vec![serving]));
+    fleet.submit(0, 0x2, &job(vec![best_effort]));
     fleet.run(6_000);
     let shares = |fleet: &Fleet| -> Vec<u32> {
         let workers = fleet.workers.values();
@@ -42,22 +42,26 @@
 /// over come on top. Cause: looks at a worker whose served task is over its target came as
 /// seldom as ever.
 #[gtest]
-fn fillers_are_halted_well_before_a_wait_counts_as_harm() {
+fn best_effort_tasks_are_suspended_well_before_latency_counts_as_harm() {
     for phase_ms in (0..800).step_by(50) {
         let mut fleet = Fleet::new(3, 1);
-        let served = Step {
+        let serving = Step {
             is_long_running: true,
             image: "served".into(),
             tail_latency_target_ms: 20,
             ..step(1, 1_000, &[])
         };
-        let filler = |image: &str| Step {
+        let best_effort = |image: &str| Step {
             is_best_effort: true,
             image: image.into(),
             ..step(1, 60_000, &[])
         };
-        fleet.submit(0, 0x1, &job(vec![served]));
-        fleet.submit(0, 0x2, &job(vec![filler("first"), filler("second")]));
+        fleet.submit(0, 0x1, &job(vec![serving]));
+        fleet.submit(
+            0,
+            0x2,
+            &job(vec![best_effort("first"), best_effort("second")]),
+        );
         fleet.run(6_000 + phase_ms);
         for worker in fleet.workers.values_mut() {
             worker.tail_ms = 21;
--- a/tests/dispatch_repeats.rs
+++ b/tests/dispatch_repeats.rs
@@ -13,7 +13,7 @@
 /// one job as faulty. Cause: each refusal kept everybody off that worker for a second, so one such
 /// job took all workers away from all others, one after the other, for good.
 #[gtest]
-fn a_task_that_no_worker_understands_keeps_nobody_else_waiting() {
+fn a_task_that_all_workers_reject_does_not_delay_other_jobs() {
     let mut fleet = Fleet::new(3, 6);
     fleet.promises.faulty.insert(JobId(JOB));
     fleet.submit(0, JOB, &job(vec![step(12, 300, &[])]));
@@ -31,14 +31,14 @@
 /// Symptom: the store and all workers are busy with one job. Sequence: a task that lasts fails as
 /// soon as it has started, wherever. Cause: it was started again after 30 ms, for good.
 #[gtest]
-fn a_task_that_fails_at_once_is_started_less_and_less_often() {
+fn restarts_of_a_task_that_fails_at_once_are_delayed_increasingly() {
     let mut fleet = Fleet::new(3, 6);
     fleet.promises.failing.insert(JobId(JOB));
-    let lasting = Step {
+    let long_running = Step {
         is_long_running: true,
         ..step(1, 1_000, &[])
     };
-    fleet.submit(0, JOB, &job(vec![lasting]));
+    fleet.submit(0, JOB, &job(vec![long_running]));
     fleet.run(10_000);
     expect_that!(fleet.promises.starts.len(), le(20));
     // Once it no longer fails it is back soon.
--- a/tests/dispatch_rooms.rs
+++ b/tests/dispatch_rooms.rs
@@ -10,7 +10,7 @@
 use goldcrestway_dispatch::Resources;
 use googletest::prelude::*;
 
-const SMALL: Resources = Resources {
+const REDUCED: Resources = Resources {
     cpu_milli: 2_000,
     memory_mb: 2_000,
     accelerators: 0,
@@ -24,7 +24,7 @@
     /// Time that a stop takes.
     stop_ms: u64,
     /// What happens, each second.
-    besides: fn(&mut Fleet, u64),
+    each_second: fn(&mut Fleet, u64),
 }
 
 fn resize_all(fleet: &mut Fleet, resources: Resources) {
@@ -37,7 +37,7 @@
 /// Shrinks all rooms under what runs, and lets them grow again.
 fn shrink_and_grow(fleet: &mut Fleet, second: u64) {
     match second {
-        2 => resize_all(fleet, SMALL),
+        2 => resize_all(fleet, REDUCED),
         12 => resize_all(fleet, WORKER_RESOURCES),
         _ => {}
     }
@@ -45,23 +45,23 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "workers that guard their room",
+        name: "workers that refuse what does not fit",
         guards: true,
         stop_ms: 0,
-        besides: shrink_and_grow,
+        each_second: shrink_and_grow,
     },
     Case {
-        name: "workers that do not",
+        name: "workers that start everything",
         guards: false,
         stop_ms: 0,
-        besides: shrink_and_grow,
+        each_second: shrink_and_grow,
     },
     // What is being stopped takes its room until it has ended.
     Case {
-        name: "a job is cancelled, and its stops take a while",
+        name: "a job is cancelled, and its tasks stop slowly",
         guards: false,
         stop_ms: 1_500,
-        besides: |fleet, second| {
+        each_second: |fleet, second| {
             shrink_and_grow(fleet, second);
             if second == 7 {
                 fleet.cancel(0, JOB);
@@ -70,10 +70,10 @@
     },
     // The next owner must not go by the room that its predecessor has put on record.
     Case {
-        name: "the owner dies right after rooms have shrunk",
+        name: "the owner crashes right after resources are reduced",
         guards: false,
         stop_ms: 0,
-        besides: |fleet, second| {
+        each_second: |fleet, second| {
             shrink_and_grow(fleet, second);
             if second == 3 {
                 let owner = owner(fleet);
@@ -83,10 +83,10 @@
         },
     },
     Case {
-        name: "the owner stops as planned while rooms are small",
+        name: "the owner shuts down while resources are reduced",
         guards: false,
         stop_ms: 300,
-        besides: |fleet, second| {
+        each_second: |fleet, second| {
             shrink_and_grow(fleet, second);
             if second == 6 {
                 let owner = owner(fleet);
@@ -95,10 +95,10 @@
         },
     },
     Case {
-        name: "a worker crashes and is back with the small room",
+        name: "a worker crashes and restarts with reduced resources",
         guards: false,
         stop_ms: 0,
-        besides: |fleet, second| {
+        each_second: |fleet, second| {
             shrink_and_grow(fleet, second);
             if second == 4 {
                 fleet.crash("10.0.0.1:80");
@@ -111,7 +111,7 @@
 /// Sequence: rooms shrink under what runs and grow again, while jobs come and something else
 /// happens.
 #[gtest]
-fn nothing_starts_beyond_a_room_that_has_shrunk() {
+fn nothing_starts_beyond_the_reduced_resources_of_a_worker() {
     for case in CASES {
         let mut fleet = Fleet::new(4, 4);
         for worker in fleet.workers.values_mut() {
@@ -122,7 +122,7 @@
         for second in 1..=20 {
             fleet.submit(1, second, &job(vec![step(4, 700, &[])]));
             fleet.run(1_000);
-            (case.besides)(&mut fleet, second);
+            (case.each_second)(&mut fleet, second);
         }
         fleet.run(30_000);
         expect_that!(fleet.promises.refused_room, eq(0), "{}", case.name);
--- a/tests/dispatch_shapes.rs
+++ b/tests/dispatch_shapes.rs
@@ -15,7 +15,7 @@
 /// is cancelled, its owner stops as planned, and the next one looks while the tasks are
 /// still being stopped. Cause: tasks of a job that is over were taken to need no room.
 #[gtest]
-fn tasks_that_are_being_stopped_take_room_for_the_next_owner() {
+fn stopping_tasks_occupy_resources_for_the_next_owner() {
     let mut fleet = Fleet::new(5, 2);
     for worker in fleet.workers.values_mut() {
         worker.stop_ms = 1_500;
@@ -41,7 +41,7 @@
 /// workers comes back and tells of the end, the others are gone for good. Cause: the end of
 /// one member was taken for that of this member alone, and a gang starts only as a whole.
 #[gtest]
-fn a_late_end_of_one_member_ends_the_whole_gang() {
+fn a_late_exit_of_one_member_completes_the_whole_gang() {
     let mut fleet = Fleet::new(3, 2);
     let gang = Step {
         is_gang: true,
@@ -98,7 +98,7 @@
 /// second order the job is cancelled; the first order is carried out late. Cause: a run that
 /// awaits its record was taken for one of which no order was ever sent.
 #[gtest]
-fn a_start_that_comes_late_is_barred_when_its_job_is_cancelled() {
+fn a_late_start_is_prevented_when_its_job_is_cancelled() {
     for after_ms in (900..=1_300).step_by(100) {
         let mut fleet = Fleet::new(3, 1);
         let owner = owner(&fleet);
@@ -130,13 +130,13 @@
 fn only_permitted_workers_run_a_step() {
     let mut fleet = Fleet::new(3, 6);
     fleet.permitted = vec!["w1-1".into(), "w4-1".into()];
-    let ruled = Submission {
+    let restricted = Submission {
         permit_decision_ms: 20,
         permit_worker_us: 1_000,
         permit_validity_ms: 1_000,
         ..job(vec![step(30, 900, &[]), step(4, 300, &[0])])
     };
-    fleet.submit(0, JOB, &ruled);
+    fleet.submit(0, JOB, &restricted);
     fleet.run(2_500);
     let owner = owner(&fleet);
     fleet.kill(owner);
@@ -155,7 +155,7 @@
 /// fits. Cause: each of its times was taken to be due when the first one was, and so was long
 /// past its objective and came last.
 #[gtest]
-fn each_time_of_a_repeated_job_is_due_anew() {
+fn each_occurrence_of_a_repeated_job_is_due_separately() {
     const TIMES: u32 = 8;
     const INTERVAL_MS: u64 = 2_000;
     let mut fleet = Fleet::new(3, 1);
--- a/tests/dispatch_sizes.rs
+++ b/tests/dispatch_sizes.rs
@@ -18,8 +18,8 @@
     fleet.limit_records(4_096);
     let request = fleet.submit(0, JOB, &job(vec![step(40, 300, &[]), step(40, 300, &[])]));
     fleet.run(50);
-    let told = fleet.replies.get(&request);
-    expect_that!(told, some(eq(&Reply::TooLarge { max_tasks: 64 })));
+    let reply = fleet.replies.get(&request);
+    expect_that!(reply, some(eq(&Reply::TooLarge { max_tasks: 64 })));
     fleet.submit(0, 0x1, &job(vec![step(64, 300, &[])]));
     fleet.run(4_000);
     expect_that!(fleet.state(0, 0x1), some(eq(JobState::Completed)));
@@ -33,7 +33,7 @@
 /// first time and a short interval, so it has been due since 1970, millions of times. Cause: its
 /// owner opened all of these occurrences at once, and so did each that followed.
 #[gtest]
-fn a_job_that_is_due_millions_of_times_keeps_nobody_else_waiting() {
+fn a_job_that_is_due_millions_of_times_does_not_delay_other_jobs() {
     let mut fleet = Fleet::new(3, 8);
     let repeated = Submission {
         repetitions: u32::MAX,
--- a/tests/dispatch_stragglers.rs
+++ b/tests/dispatch_stragglers.rs
@@ -16,7 +16,7 @@
 
 /// Healthy tasks are stopped and begun again, since they are longer than their siblings.
 #[gtest]
-fn tasks_that_are_merely_long_are_left_where_they_are() {
+fn long_tasks_on_healthy_workers_are_not_replaced() {
     let mut fleet = Fleet::new(3, 6);
     for index in (0..36).step_by(3) {
         let task = TaskId {
@@ -35,7 +35,7 @@
 
 /// Tasks of a worker that has become slow are left there, and hold up their jobs.
 #[gtest]
-fn tasks_of_a_slow_worker_are_started_elsewhere() {
+fn tasks_of_a_slow_worker_are_restarted_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
     if let Some(worker) = fleet.workers.get_mut("10.0.0.0:80") {
         worker.manners = Manners::Slow;
@@ -49,7 +49,7 @@
 
 /// Tasks that stand still on a worker that answers hold up their jobs.
 #[gtest]
-fn tasks_that_stand_still_are_started_elsewhere() {
+fn stalled_tasks_are_restarted_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
     if let Some(worker) = fleet.workers.get_mut("10.0.0.0:80") {
         worker.manners = Manners::Hangs;
--- a/tests/dispatch_waits.rs
+++ b/tests/dispatch_waits.rs
@@ -19,7 +19,7 @@
 
 /// Time in which a job must have begun for which there is room: one that could run and does not for
 /// longer counts as lost.
-const BEGUN_MS: u64 = 3_000;
+const MAX_START_MS: u64 = 3_000;
 
 /// Time for which a job waits before its cause ends.
 const WATCHED_MS: u64 = 6_000;
@@ -31,7 +31,7 @@
     cause: fn(&mut Fleet),
     step: Step,
     /// What must be told of the wait.
-    told: &'static str,
+    expected_detail: &'static str,
     /// What ends it.
     end: fn(&mut Fleet),
     /// Time after that in which the job must have ended.
@@ -75,18 +75,18 @@
 fn cases() -> Vec<Case> {
     vec![
         Case {
-            name: "all room is taken",
+            name: "all resources are in use",
             cause: |fleet| {
                 fleet.submit(0, JOB + 1, &job(vec![step(16, 8_000, &[])]));
                 fleet.run(200);
             },
             step: wide(2),
-            told: "open=0 room_for=0 Room=2",
+            expected_detail: "open=0 room_for=0 Room=2",
             end: |fleet| fleet.run(4_000),
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
-            name: "workers that failed tasks are left alone",
+            name: "workers that failed tasks are avoided",
             cause: |fleet| {
                 let spread = Step {
                     max_per_worker: 4,
@@ -98,23 +98,23 @@
                 set_manners(fleet, Manners::Sound);
             },
             step: wide(2),
-            told: "Shunned=2",
+            expected_detail: "Shunned=2",
             end: |_| {},
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
-            name: "workers are cut off",
+            name: "workers are unreachable",
             cause: |fleet| {
                 fleet.cut_workers = addresses(fleet);
                 fleet.run(2_000);
             },
             step: wide(2),
-            told: "Silent=2",
+            expected_detail: "Silent=2",
             end: |fleet| fleet.cut_workers.clear(),
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
-            name: "workers have started again and not reported themselves",
+            name: "workers have restarted and are not listed yet",
             cause: |fleet| {
                 fleet.keep_ids(true);
                 fleet.set_back_ms(50);
@@ -125,12 +125,12 @@
                 fleet.run(500);
             },
             step: wide(2),
-            told: "Unreported=2",
+            expected_detail: "Unreported=2",
             end: |fleet| fleet.run(1_500),
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
-            name: "all workers are about to leave",
+            name: "all workers are draining",
             cause: |fleet| {
                 for address in addresses(fleet) {
                     fleet.announce_leave(&address);
@@ -138,16 +138,16 @@
                 fleet.run(1_000);
             },
             step: wide(2),
-            told: "Leaving=2",
+            expected_detail: "Leaving=2",
             end: |fleet| {
                 for (number, address) in addresses(fleet).iter().enumerate() {
                     fleet.add_worker(address, &format!("next-{number}"));
                 }
             },
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
-            name: "rooms have shrunk",
+            name: "workers have reduced resources",
             cause: |fleet| {
                 let resources = Resources {
                     cpu_milli: 2_000,
@@ -159,14 +159,14 @@
                 fleet.run(2_000);
             },
             step: wide(2),
-            told: "open=0 room_for=0 Room=2",
+            expected_detail: "open=0 room_for=0 Room=2",
             end: |fleet| {
                 for address in addresses(fleet) {
                     fleet.resize(&address, WORKER_RESOURCES);
                 }
                 fleet.run(1_500);
             },
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
             name: "no worker has the label",
@@ -175,12 +175,12 @@
                 label: "a label".into(),
                 ..wide(1)
             },
-            told: "Label=2",
+            expected_detail: "Label=2",
             end: |fleet| _ = fleet.cancel(0, JOB),
             ends_within_ms: 500,
         },
         Case {
-            name: "each worker has as many tasks of the step as it may",
+            name: "each worker has the maximum number of tasks of the step",
             cause: |_| {},
             step: Step {
                 max_per_worker: 1,
@@ -188,12 +188,12 @@
                 estimated_ms: 5_000,
                 ..wide(3)
             },
-            told: "Spread=2",
+            expected_detail: "Spread=2",
             end: |fleet| fleet.run(5_000),
             ends_within_ms: 6_000,
         },
         Case {
-            name: "a gang that finds room for some of its members",
+            name: "a gang of which only some members fit",
             cause: |fleet| {
                 fleet.submit(0, JOB + 1, &job(vec![step(4, 8_000, &[])]));
                 fleet.run(200);
@@ -202,19 +202,19 @@
                 is_gang: true,
                 ..wide(2)
             },
-            told: "open=1 room_for=1",
+            expected_detail: "open=1 room_for=1",
             end: |fleet| fleet.run(4_000),
-            ends_within_ms: BEGUN_MS,
+            ends_within_ms: MAX_START_MS,
         },
         Case {
-            name: "its pause after it has failed",
+            name: "the delay after a refused run",
             cause: |fleet| {
                 fleet.promises.faulty.insert(JobId(JOB));
             },
             step: wide(1),
-            told: "why=Pause",
+            expected_detail: "why=Pause",
             end: |fleet| fleet.promises.faulty.clear(),
-            ends_within_ms: 8_000 + BEGUN_MS,
+            ends_within_ms: 8_000 + MAX_START_MS,
         },
     ]
 }
@@ -222,29 +222,35 @@
 /// Symptom: nobody can tell from logs why a task does not run, or a job does not go on when what
 /// kept it is over.
 #[gtest]
-fn a_wait_is_told_and_ends_with_its_cause() {
+fn a_wait_is_reported_and_ends_with_its_cause() {
     for case in cases() {
         let mut fleet = Fleet::new(3, 2);
         (case.cause)(&mut fleet);
         fleet.submit(0, JOB, &job(vec![case.step.clone()]));
         fleet.run(WATCHED_MS);
-        let own = format!("TaskWaits {:016x}.", JOB);
+        let prefix = format!("TaskWaits {:016x}.", JOB);
         let lines = fleet.lines.iter();
-        let mut waits = lines.filter(|line| line.contains(&own));
+        let mut waits = lines.filter(|line| line.contains(&prefix));
         expect_true!(
-            waits.any(|line| line.contains(case.told)),
+            waits.any(|line| line.contains(case.expected_detail)),
             "{}: {:#?}",
             case.name,
             fleet.lines
         );
         (case.end)(&mut fleet);
         fleet.run(case.ends_within_ms);
-        let wanted = match fleet.promises.cancelled.is_empty() {
+        let expected = match fleet.promises.cancelled.is_empty() {
             true => JobState::Completed,
             false => JobState::Cancelled,
         };
         let state = fleet.state(0, JOB);
-        expect_that!(state, some(eq(wanted)), "{}: {:#?}", case.name, fleet.lines);
+        expect_that!(
+            state,
+            some(eq(expected)),
+            "{}: {:#?}",
+            case.name,
+            fleet.lines
+        );
     }
 }
 
@@ -296,7 +302,7 @@
 /// Guards against work that could run and doesn't: once faults have ended and room is free, all
 /// that can run has begun within three seconds, gangs that need nearly whole hosts among them.
 #[gtest]
-fn all_that_can_run_runs_once_faults_have_ended() {
+fn all_tasks_that_fit_start_once_faults_have_ended() {
     for seed in 0..20 {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut fleet = Fleet::new(3, WORKERS);
@@ -312,15 +318,15 @@
         }
         // Leases must run out first.
         fleet.run(25_000);
-        let first_ms = fleet.now_ms;
+        let submitted_ms = fleet.now_ms;
         let gang = Step {
             is_gang: true,
             ..wide(MEMBERS)
         };
         fleet.submit(0, JOB, &job(vec![gang, step(4, 300, &[0])]));
         fleet.submit(1, JOB + 1, &job(vec![step(8, 300, &[]), wide(2)]));
-        fleet.run(BEGUN_MS);
-        let begun = |task: TaskId| fleet.promises.starts.iter().any(|start| start.1 == task);
+        fleet.run(MAX_START_MS);
+        let has_started = |task: TaskId| fleet.promises.starts.iter().any(|start| start.1 == task);
         for job in [JOB, JOB + 1] {
             let task = TaskId {
                 job: JobId(job),
@@ -329,8 +335,8 @@
                 index: 0,
             };
             expect_true!(
-                begun(task),
-                "seed {seed}, since {first_ms}: {:#?}",
+                has_started(task),
+                "seed {seed}, submitted at {submitted_ms}: {:#?}",
                 fleet.lines
             );
         }
