--- a/tests/dispatch_disturbances.rs
+++ b/tests/dispatch_disturbances.rs
@@ -1,4 +1,4 @@
-//! Disturbances of owner, store and workers, each of which a job must outlive.
+//! Disturbances of the owner, the store and workers, despite each of which a job must complete.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -11,24 +11,24 @@
 use goldcrestway_dispatch::Reply;
 use googletest::prelude::*;
 
-/// A disturbance that three hosts, four workers and a job of two steps must outlive.
+/// A disturbance of three hosts and four workers that run a job of two steps.
 struct Case {
     name: &'static str,
-    /// When it strikes, after the job was handed in.
+    /// Time from the submission of the job until the disturbance.
     after_ms: u64,
     inject: fn(&mut Fleet),
-    /// When it ends, after it struck.
+    /// Duration of the disturbance.
     duration_ms: u64,
     recover: fn(&mut Fleet),
-    /// Time after that by which the job has ended.
+    /// Time after the disturbance within which the job must have ended.
     ends_within_ms: u64,
 }
 
 fn nothing(_: &mut Fleet) {}
 
 const CASES: &[Case] = &[
-    // The owner's process dies with tasks under way; a successor takes them over as
-    // the workers list them.
+    // The owner's process dies while tasks run. The next owner takes over the tasks that the
+    // workers report.
     Case {
         name: "owner killed",
         after_ms: 300,
@@ -37,7 +37,7 @@
         recover: nothing,
         ends_within_ms: 4_000,
     },
-    // The owner dies right after the job was stored, before any order.
+    // The owner dies right after the job was stored, before any order was sent.
     Case {
         name: "owner killed at once",
         after_ms: 10,
@@ -46,8 +46,8 @@
         recover: nothing,
         ends_within_ms: 4_500,
     },
-    // The owner stands still, is replaced, wakes up and goes on as if nothing had
-    // happened. Store and workers refuse its token.
+    // The owner is paused and replaced. When it resumes and continues, the store and the workers
+    // refuse its token.
     Case {
         name: "owner paused",
         after_ms: 200,
@@ -56,7 +56,7 @@
         recover: |fleet| (0..3).for_each(|number| fleet.resume(number)),
         ends_within_ms: 3_000,
     },
-    // The owner is cut off from the store and reaches all workers; another one claims.
+    // The owner can't reach the store but reaches all workers. Another host claims.
     Case {
         name: "owner disconnected from the store",
         after_ms: 200,
@@ -65,7 +65,7 @@
         recover: |fleet| (0..3).for_each(|number| fleet.cut_from_store(number, false)),
         ends_within_ms: 3_000,
     },
-    // A planned stop: another host claims while the old owner still acts.
+    // The owner shuts down. Another host claims while the old owner is still active.
     Case {
         name: "owner shut down",
         after_ms: 200,
@@ -74,7 +74,7 @@
         recover: nothing,
         ends_within_ms: 1_000,
     },
-    // All processes die at once and start again.
+    // All processes die at the same time and restart.
     Case {
         name: "all killed",
         after_ms: 300,
@@ -83,7 +83,7 @@
         recover: |fleet| (0..3).for_each(|number| fleet.start(number)),
         ends_within_ms: 5_000,
     },
-    // The store is away; leases are extended meanwhile, so that nothing lapses.
+    // The store is unavailable. Leases are extended meanwhile, so that none expires.
     Case {
         name: "store silent",
         after_ms: 200,
@@ -92,7 +92,7 @@
         recover: |fleet| fleet.store.mode = Mode::Up,
         ends_within_ms: 4_000,
     },
-    // Appends are carried out and not answered; the repeat with the same sequence
+    // Appends are carried out but not answered. A repeated append with the same sequence number
     // must not start anything twice.
     Case {
         name: "store answers lost",
@@ -102,7 +102,8 @@
         recover: |fleet| fleet.store.mode = Mode::Up,
         ends_within_ms: 5_000,
     },
-    // History is dropped while hosts read on; they load the newest records again.
+    // The history of the streams is dropped while hosts read them. They load the latest records
+    // again.
     Case {
         name: "history dropped",
         after_ms: 100,
@@ -111,7 +112,7 @@
         recover: nothing,
         ends_within_ms: 3_000,
     },
-    // A worker dies for good; its tasks start elsewhere once its lease must be over.
+    // A worker dies permanently. Its tasks start elsewhere once its leases must have expired.
     Case {
         name: "worker dies",
         after_ms: 300,
@@ -126,7 +127,7 @@
         recover: nothing,
         ends_within_ms: 9_000,
     },
-    // A worker is cut off and runs on, then comes back.
+    // A worker becomes unreachable but continues to run, and is reachable again later.
     Case {
         name: "worker unreachable",
         after_ms: 300,
@@ -135,7 +136,7 @@
         recover: |fleet| fleet.cut_workers.clear(),
         ends_within_ms: 3_000,
     },
-    // A worker crashes and another incarnation lives at its address at once.
+    // A worker crashes, and another incarnation is immediately present at its address.
     Case {
         name: "worker replaced",
         after_ms: 300,
@@ -147,7 +148,7 @@
         recover: nothing,
         ends_within_ms: 4_000,
     },
-    // Orders get no answer and are carried out two seconds later.
+    // Orders are not answered and are carried out two seconds later.
     Case {
         name: "orders carried out late",
         after_ms: 10,
@@ -156,7 +157,7 @@
         recover: |fleet| fleet.late_ms = None,
         ends_within_ms: 12_000,
     },
-    // What runs on a worker stands still while it answers every look.
+    // All tasks of a worker stall while it still answers each poll.
     Case {
         name: "tasks of a worker stalled",
         after_ms: 100,
@@ -170,7 +171,7 @@
         recover: nothing,
         ends_within_ms: 9_000,
     },
-    // A worker fails all that it starts; tasks have three attempts.
+    // A worker fails all tasks that it starts. Tasks have three attempts.
     Case {
         name: "worker fails all tasks",
         after_ms: 100,
@@ -190,8 +191,8 @@
     },
 ];
 
-/// Symptom: a job is lost, late beyond reason, or runs in two places. Sequence and cause
-/// stand with each case.
+/// Guards against jobs that are lost, end far too late or run in two places at once. The sequence
+/// of events is described at each case.
 #[gtest]
 fn a_job_completes_despite_each_disturbance() {
     for case in CASES {
--- a/tests/dispatch_evacuations.rs
+++ b/tests/dispatch_evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators evacuate: nothing new starts there until that is taken back.
+//! Failure domains that operators evacuate: no task starts there until the evacuation is reversed.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -21,10 +21,10 @@
 const WORKERS: usize = 6;
 const EVACUATED_DOMAIN: &str = "hall-0";
 const OTHER_DOMAIN: &str = "hall-1";
-/// Time in which jobs that were held up come to their end: leases run out first.
+/// Time within which delayed jobs must end. Leases expire first.
 const RECOVERY_MS: u64 = 20_000;
 
-/// Tasks start at workers of a failure domain that the operator has evacuated.
+/// Guards against tasks that start in a failure domain that the operator has evacuated.
 #[gtest]
 fn an_evacuated_failure_domain_gets_no_new_tasks() {
     let mut fleet = Fleet::new(3, 4);
@@ -36,15 +36,15 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// Something that may start a task after its failure domain was evacuated.
+/// A sequence of events that may start a task in a failure domain after its evacuation.
 struct Case {
     name: &'static str,
     submission: fn() -> Submission,
-    /// What happens just before the evacuation, while the job is under way.
+    /// Called just before the evacuation, while the job runs.
     before: fn(&mut Fleet),
-    /// What happens just after it.
+    /// Called just after the evacuation.
     after: fn(&mut Fleet),
-    /// What ends the trouble, once nothing may start there any more.
+    /// Ends the disturbance, once no task may start in the domain any more.
     recover: fn(&mut Fleet),
 }
 
@@ -345,7 +345,7 @@
     },
 ];
 
-/// Plays a case over direct orders or relays, and gives what it broke.
+/// Runs a case with direct or relayed orders. Returns the broken promises.
 fn play(case: &Case, is_relayed: bool) -> Vec<String> {
     let mut fleet = match is_relayed {
         true => Fleet::with_relays(HOSTS, WORKERS),
@@ -363,7 +363,8 @@
     (case.before)(&mut fleet);
     fleet.evacuate(EVACUATED_DOMAIN);
     (case.after)(&mut fleet);
-    // More than fits into the other domain, so that what waits would start at any free worker.
+    // More jobs than fit into the other domain, so that waiting tasks would start on any worker
+    // with free resources.
     for id in 4..=15 {
         fleet.run(1_000);
         let host = (0..HOSTS)
@@ -394,7 +395,8 @@
     broken
 }
 
-/// Tasks start in an evacuated failure domain by what was begun before, or by who has not heard.
+/// Guards against tasks that start in an evacuated failure domain because of an earlier decision,
+/// or by a host that does not know of the evacuation.
 #[gtest]
 fn nothing_starts_in_an_evacuated_failure_domain_by_any_path() {
     for case in CASES {
@@ -405,7 +407,8 @@
     }
 }
 
-/// An owner whose read of the rules was lost has relays start tasks that they know better of.
+/// Guards against relays that start tasks in a domain that they know to be evacuated. The owner
+/// that orders these starts does not know it, as its read of the rules was lost.
 #[gtest]
 fn a_relay_starts_nothing_in_a_domain_that_it_knows_to_be_evacuated() {
     let mut fleet = Fleet::with_relays(HOSTS, WORKERS);
@@ -423,7 +426,8 @@
     expect_that!(fleet.state(0, 1), some(eq(JobState::Completed)));
 }
 
-/// Work that finds only evacuated domains is lost, or nobody can say why it waits.
+/// Guards against jobs that are lost while all domains are evacuated, and against logs that don't
+/// show why they wait.
 #[gtest]
 fn tasks_wait_while_all_domains_are_evacuated_and_the_reason_is_reported() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
@@ -444,7 +448,8 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// A domain that was taken back stays empty: nothing makes waiting work try it again.
+/// Guards against a domain that stays empty after its evacuation was reversed because waiting tasks
+/// are not evaluated again.
 #[gtest]
 fn a_domain_gets_tasks_at_once_after_its_evacuation_ends() {
     for drops_history in [false, true] {
@@ -469,7 +474,8 @@
     }
 }
 
-/// What runs in an evacuated domain is stopped, though it only was to get nothing new.
+/// Guards against evacuations that stop running tasks. An evacuated domain must only get no new
+/// ones.
 #[gtest]
 fn running_tasks_in_an_evacuated_domain_continue() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
@@ -483,7 +489,8 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// An evacuation that can't be read stops the rules that follow it, or is not told of.
+/// Guards against an unreadable evacuation record that prevents later rules from being applied, or
+/// that is not reported.
 #[gtest]
 fn an_unreadable_evacuation_record_changes_nothing() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
@@ -497,7 +504,7 @@
     expect_that!(fleet.notes.get(&Code::RulesUnreadable), some(eq(&3)));
 }
 
-/// Starts stand still for no reason that anybody is told, while rules can't be read.
+/// Guards against starts that are paused without a reported reason while the rules can't be read.
 #[gtest]
 fn rules_that_cannot_be_read_for_long_pause_starts_and_are_reported() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
@@ -512,7 +519,7 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// A worker that names no domain is barred by an evacuation of another one.
+/// Guards against an evacuation that affects workers of other domains or without a domain.
 #[gtest]
 fn workers_outside_an_evacuated_domain_run_what_fits() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
--- a/tests/dispatch_fillers.rs
+++ b/tests/dispatch_fillers.rs
@@ -1,4 +1,5 @@
-//! Fillers beside tasks that serve: halted in time where these are over their target.
+//! Best-effort tasks beside serving tasks: they are suspended in time when a serving task is over
+//! its latency target.
 
 use crate::fleet::Fleet;
 use crate::fleet::job;
@@ -6,9 +7,9 @@
 use goldcrestway_dispatch::Step;
 use googletest::prelude::*;
 
-/// Symptom: a served task is over its target for four seconds while fillers beside it that
-/// were never seen to press it work on. Cause: they were not halted, as none of them alone
-/// presses by as much as can be told apart; together, at the peak of its own load, they do.
+/// Guards against a serving task that is over its target for four seconds while best-effort tasks
+/// beside it continue. They were not suspended because no single one had enough learned
+/// interference; together, at the peak of the serving task's own load, they had.
 #[gtest]
 fn all_best_effort_tasks_are_suspended_beside_a_serving_task_long_over_its_target() {
     let mut fleet = Fleet::new(3, 1);
@@ -38,9 +39,9 @@
     expect_that!(shares(&fleet), eq(&vec![0, 0]));
 }
 
-/// Symptom: as above, where a look, an order and the half second that a tail is averaged
-/// over come on top. Cause: looks at a worker whose served task is over its target came as
-/// seldom as ever.
+/// Guards against suspensions that take effect too late. A poll, an order and the half second over
+/// which the tail latency is averaged add to the delay, and workers with a serving task over its
+/// target were polled no more often than others.
 #[gtest]
 fn best_effort_tasks_are_suspended_well_before_latency_counts_as_harm() {
     for phase_ms in (0..800).step_by(50) {
--- a/tests/dispatch_repeats.rs
+++ b/tests/dispatch_repeats.rs
@@ -1,4 +1,4 @@
-//! Tasks that are tried again and again without success, and those beside them.
+//! Tasks that are retried repeatedly without success, and the tasks beside them.
 
 use crate::dispatch::JOB;
 use crate::fleet::Fleet;
@@ -9,9 +9,9 @@
 use goldcrestway_dispatch::Step;
 use googletest::prelude::*;
 
-/// Symptom: jobs start seconds late though nothing runs. Sequence: each worker refuses the tasks of
-/// one job as faulty. Cause: each refusal kept everybody off that worker for a second, so one such
-/// job took all workers away from all others, one after the other, for good.
+/// Guards against jobs that start seconds late in an idle fleet. When each worker rejected the
+/// tasks of one job as faulty, each rejection excluded that worker for all jobs for a second. One
+/// such job thus kept all workers, one after the other, from all others permanently.
 #[gtest]
 fn a_task_that_all_workers_reject_does_not_delay_other_jobs() {
     let mut fleet = Fleet::new(3, 6);
@@ -28,8 +28,8 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Running)));
 }
 
-/// Symptom: the store and all workers are busy with one job. Sequence: a task that lasts fails as
-/// soon as it has started, wherever. Cause: it was started again after 30 ms, for good.
+/// Guards against one job that keeps the store and all workers busy. A long-running task that
+/// failed as soon as it had started, on any worker, was restarted every 30 ms without end.
 #[gtest]
 fn restarts_of_a_task_that_fails_at_once_are_delayed_increasingly() {
     let mut fleet = Fleet::new(3, 6);
@@ -41,7 +41,7 @@
     fleet.submit(0, JOB, &job(vec![long_running]));
     fleet.run(10_000);
     expect_that!(fleet.promises.starts.len(), le(20));
-    // Once it no longer fails it is back soon.
+    // Once it no longer fails, it soon runs again.
     fleet.promises.failing.clear();
     fleet.run(1_500);
     expect_that!(fleet.running(fleet.promises.starts[0].1), eq(1));
--- a/tests/dispatch_rooms.rs
+++ b/tests/dispatch_rooms.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows while they run.
+//! Workers whose resources are reduced and restored at run time.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -16,14 +16,14 @@
     accelerators: 0,
 };
 
-/// What happens while rooms change.
+/// Events while the resources of workers change.
 struct Case {
     name: &'static str,
-    /// Workers refuse what does not fit; others start whatever they are told to.
+    /// Whether workers refuse what does not fit. Otherwise they start whatever they are ordered to.
     guards: bool,
-    /// Time that a stop takes.
+    /// Time that it takes to stop a run.
     stop_ms: u64,
-    /// What happens, each second.
+    /// Called after each second.
     each_second: fn(&mut Fleet, u64),
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Shrinks all rooms under what runs, and lets them grow again.
+/// Reduces the resources of all workers below what runs there, and restores them later.
 fn shrink_and_grow(fleet: &mut Fleet, second: u64) {
     match second {
         2 => resize_all(fleet, REDUCED),
@@ -56,7 +56,7 @@
         stop_ms: 0,
         each_second: shrink_and_grow,
     },
-    // What is being stopped takes its room until it has ended.
+    // A stopping task occupies its resources until it has exited.
     Case {
         name: "a job is cancelled, and its tasks stop slowly",
         guards: false,
@@ -68,7 +68,7 @@
             }
         },
     },
-    // The next owner must not go by the room that its predecessor has put on record.
+    // The next owner must not rely on the resources that the previous owner has recorded.
     Case {
         name: "the owner crashes right after resources are reduced",
         guards: false,
@@ -107,9 +107,9 @@
     },
 ];
 
-/// Symptom: a worker that does not guard its room holds more than it has, or jobs wait for good.
-/// Sequence: rooms shrink under what runs and grow again, while jobs come and something else
-/// happens.
+/// Guards against overcommitted workers that don't refuse what does not fit, and against jobs that
+/// wait forever. The resources of workers are reduced below what runs there and restored, while
+/// jobs are submitted and other events occur.
 #[gtest]
 fn nothing_starts_beyond_the_reduced_resources_of_a_worker() {
     for case in CASES {
--- a/tests/dispatch_shapes.rs
+++ b/tests/dispatch_shapes.rs
@@ -1,4 +1,4 @@
-//! Jobs of other shapes than a plain row of tasks: gangs, and what they leave behind.
+//! Jobs with special requirements: gangs, tasks that are still stopping, permits and repetitions.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -11,9 +11,9 @@
 use goldcrestway_dispatch::Submission;
 use googletest::prelude::*;
 
-/// Symptom: a worker that does not guard its room holds more than it has. Sequence: a job
-/// is cancelled, its owner stops as planned, and the next one looks while the tasks are
-/// still being stopped. Cause: tasks of a job that is over were taken to need no room.
+/// Guards against overcommitted workers that don't refuse what does not fit. A job is cancelled,
+/// its owner shuts down, and the next owner polls the workers while the tasks are still stopping.
+/// Tasks of a finished job were assumed to need no resources.
 #[gtest]
 fn stopping_tasks_occupy_resources_for_the_next_owner() {
     let mut fleet = Fleet::new(5, 2);
@@ -36,10 +36,10 @@
     expect_that!(fleet.promises.refused_room, eq(0));
 }
 
-/// Symptom: a gang never starts again though there is room for it. Sequence: its workers
-/// are cut off, the gang ends well there, and is given up and started elsewhere; one of the
-/// workers comes back and tells of the end, the others are gone for good. Cause: the end of
-/// one member was taken for that of this member alone, and a gang starts only as a whole.
+/// Guards against a gang that never restarts although it fits. Its workers become unreachable, the
+/// gang completes there and is restarted elsewhere. Then one worker becomes reachable again and
+/// reports the exit, and the others are lost. The exit was applied to one member only, while a gang
+/// starts only as a whole.
 #[gtest]
 fn a_late_exit_of_one_member_completes_the_whole_gang() {
     let mut fleet = Fleet::new(3, 2);
@@ -68,8 +68,8 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// Symptom: members of a gang hold room for seconds and end alone. Sequence: the worker of
-/// one member dies. Cause: the others were left to wait for it.
+/// Guards against members of a gang that occupy resources for seconds and then exit without a
+/// result. When the worker of one member was lost, the others were left waiting for it.
 #[gtest]
 fn a_gang_that_lost_a_member_is_stopped_at_once() {
     let mut fleet = Fleet::new(3, 4);
@@ -93,10 +93,10 @@
     expect_that!(runs, each(eq(&2)));
 }
 
-/// Symptom: a task of a cancelled job starts seconds after the cancelling was stored.
-/// Sequence: the order to start it has no answer, and while the run is put on record for a
-/// second order the job is cancelled; the first order is carried out late. Cause: a run that
-/// awaits its record was taken for one of which no order was ever sent.
+/// Guards against a task that starts seconds after the cancellation of its job was stored. The
+/// order to start it is not answered, and the job is cancelled while the run is being recorded for
+/// a second order. Then the first order is carried out late. A run that is being recorded was
+/// assumed never to have been ordered.
 #[gtest]
 fn a_late_start_is_prevented_when_its_job_is_cancelled() {
     for after_ms in (900..=1_300).step_by(100) {
@@ -123,9 +123,9 @@
     }
 }
 
-/// Symptom: all starts of a queue are refused. Sequence: its policy lets only some workers
-/// run a step, permits lapse while the job goes on, and the owner changes. Cause: nobody
-/// asked for permits, or a lapsed one was used.
+/// Guards against starts that are refused for want of a valid permit. The policy of a queue allows
+/// only some workers to run a step, permits expire while the job runs, and the owner changes.
+/// Permits must be requested, and expired ones must not be used.
 #[gtest]
 fn only_permitted_workers_run_a_step() {
     let mut fleet = Fleet::new(3, 6);
@@ -150,10 +150,10 @@
     expect_that!(fleet.advice_calls, le(12));
 }
 
-/// Symptom: under overload the later times of a job that runs several times wait until
-/// everybody else is done. Sequence: a job runs every two seconds; twice as much comes as
-/// fits. Cause: each of its times was taken to be due when the first one was, and so was long
-/// past its objective and came last.
+/// Guards against later occurrences of a repeated job that wait behind all other jobs under
+/// overload. A job is due every two seconds while the fleet is offered twice its capacity. Each
+/// occurrence was assumed to be due when the first one was, so it was long past its objective and
+/// came last.
 #[gtest]
 fn each_occurrence_of_a_repeated_job_is_due_separately() {
     const TIMES: u32 = 8;
--- a/tests/dispatch_sizes.rs
+++ b/tests/dispatch_sizes.rs
@@ -1,4 +1,4 @@
-//! Jobs that are larger than what owners and their store can bear.
+//! Jobs that are larger than owners and their store can handle.
 
 use crate::dispatch::JOB;
 use crate::fleet::Fleet;
@@ -9,9 +9,10 @@
 use goldcrestway_dispatch::Submission;
 use googletest::prelude::*;
 
-/// Symptom: no job ends any more, whoever owns. Sequence: a job has so many tasks that the record
-/// of their progress is larger than what the store takes. Cause: the store refuses that append for
-/// good, its owner repeats it, and all other progress waits behind it.
+/// Guards against a fleet in which no job ends any more, whichever host is the owner. If a job has
+/// so many tasks that the record of their progress exceeds the limit of the store, the store
+/// refuses that append permanently. The owner repeats the append, and all other progress waits
+/// behind it.
 #[gtest]
 fn a_job_that_does_not_fit_a_record_is_refused_at_once() {
     let mut fleet = Fleet::new(3, 8);
@@ -29,9 +30,9 @@
     );
 }
 
-/// Symptom: hosts end one after the other for want of memory. Sequence: a job that repeats gives no
-/// first time and a short interval, so it has been due since 1970, millions of times. Cause: its
-/// owner opened all of these occurrences at once, and so did each that followed.
+/// Guards against hosts that run out of memory one after the other. A repeated job without a first
+/// due time and with a short interval has been due since 1970, millions of times. Its owner opened
+/// all of these occurrences at once, and so did each next owner.
 #[gtest]
 fn a_job_that_is_due_millions_of_times_does_not_delay_other_jobs() {
     let mut fleet = Fleet::new(3, 8);
--- a/tests/dispatch_stragglers.rs
+++ b/tests/dispatch_stragglers.rs
@@ -1,4 +1,4 @@
-//! Tasks that take longer than their siblings, for reasons of their own or of their worker's.
+//! Tasks that take longer than their siblings, either by themselves or because of their worker.
 
 use crate::dispatch::JOB;
 use crate::fleet::Fleet;
@@ -10,11 +10,11 @@
 use goldcrestway_dispatch::TaskId;
 use googletest::prelude::*;
 
-/// Time that most tasks take, and that every third of them takes.
+/// Duration of most tasks, and of every third one.
 const USUAL_MS: u64 = 1_000;
 const LONG_MS: u64 = 3_500;
 
-/// Healthy tasks are stopped and begun again, since they are longer than their siblings.
+/// Guards against restarts of healthy tasks that are merely longer than their siblings.
 #[gtest]
 fn long_tasks_on_healthy_workers_are_not_replaced() {
     let mut fleet = Fleet::new(3, 6);
@@ -33,7 +33,7 @@
     expect_that!(fleet.promises.starts.len(), eq(36));
 }
 
-/// Tasks of a worker that has become slow are left there, and hold up their jobs.
+/// Guards against tasks that remain on a worker that has become slow and delay their job.
 #[gtest]
 fn tasks_of_a_slow_worker_are_restarted_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
@@ -47,7 +47,7 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Tasks that stand still on a worker that answers hold up their jobs.
+/// Guards against stalled tasks on a worker that still answers, which delay their job.
 #[gtest]
 fn stalled_tasks_are_restarted_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
--- a/tests/dispatch_turns.rs
+++ b/tests/dispatch_turns.rs
@@ -1,4 +1,5 @@
-//! What a turn of the owner costs: work for what has changed, and not for all that there is.
+//! The cost of a turn of the owner: it must grow with what has changed and not with the size of the
+//! fleet.
 
 use crate::dispatch::owner;
 use crate::fleet::Fleet;
@@ -12,10 +13,12 @@
 
 const JOB: u64 = 1;
 const WATCHED_MS: u64 = 5_000;
-/// Reports of a worker, steps of a run, records and answers that come between two looks.
+/// Maximum number of changes of a worker between two polls: reports, phases of runs, records and
+/// answers.
 const MAX_CHANGES_PER_POLL: u64 = 6;
 
-/// Gives what an owner of so many workers did while a job with a hundred tasks ran.
+/// Returns the owner's counters before and after a job of a hundred tasks, in a fleet of `workers`
+/// workers.
 fn watch(workers: usize) -> (OwnerStats, OwnerStats) {
     let mut fleet = Fleet::with_shares(&[1_000; 3], workers);
     let owner = owner(&fleet);
@@ -29,8 +32,8 @@
     (before, fleet.stats(owner))
 }
 
-/// Symptom: an owner of 6,000 workers takes a third of a core, half of it for looking in each
-/// turn through workers of which nothing has changed.
+/// Guards against turns that examine workers that have not changed. An owner of 6,000 workers used
+/// a third of a core, half of it for these.
 #[gtest]
 fn a_turn_refreshes_only_workers_that_have_changed() {
     for workers in [60, 600, 3_000] {
@@ -46,14 +49,15 @@
     }
 }
 
-/// Symptom: with small hosts only, each new owner of 6,000 workers is taken for dead before it has
-/// begun to act, and another one claims. Cause: it read the platform's list of workers beside the one
-/// on record, and looked at all of them in one turn, in which it gave no sign of life.
+/// Guards against a new owner that is replaced before it can act. With small hosts only and 6,000
+/// workers, it loaded the platform's list of workers besides the recorded one and polled all
+/// workers in one turn. Meanwhile it sent no heartbeat, was assumed to be dead, and another host
+/// claimed.
 #[gtest]
 fn a_new_owner_starts_from_the_recorded_workers_and_polls_few_per_turn() {
     const WORKERS: usize = 1_200;
     const MAX_POLLS_PER_TURN: u64 = 100;
-    /// More that may follow within a step of virtual time.
+    /// Additional polls that may follow within one step of virtual time.
     const MAX_EXTRA_POLLS_PER_STEP: u64 = 100;
     let mut fleet = Fleet::with_shares(&[400; 3], WORKERS);
     fleet.store.limits.page_keys = 500;
@@ -66,7 +70,7 @@
     while fleet.owner().is_none() {
         fleet.run(5);
     }
-    // The first page is asked for as it begins.
+    // The first page is requested when the owner starts.
     expect_that!(fleet.loads.get(&Stream::Workers), none().or(some(eq(&1))));
     let new_owner = owner(&fleet);
     let mut polls = fleet.stats(new_owner).polls;
@@ -85,19 +89,20 @@
     expect_that!(fleet.promises.starts.len(), eq(20));
 }
 
-/// Symptom: an owner gives no sign of life for a second while much waits in a fleet that is full. Cause:
-/// each end was a reason to weigh all workers for each step that waits, a hundred times a second.
+/// Guards against an owner that sends no heartbeat for a second while many steps wait in a full
+/// fleet. Each exit caused an evaluation of all workers for each waiting step, a hundred times per
+/// second.
 #[gtest]
 fn placement_in_a_full_fleet_stays_within_its_cpu_budget() {
     const WORKERS: usize = 300;
     const JOBS: u64 = 160;
     const CPU_PERMILLE: u64 = 20;
-    /// A quarter of the owner's processor, at 40 ns each.
+    /// Maximum number of evaluations per millisecond: a quarter of the owner's CPU, at 40 ns each.
     const MAX_EVALUATED_PER_MS: u64 = CPU_PERMILLE * 25 / 100 * 1_000 / 40;
     let mut fleet = Fleet::with_shares(&[CPU_PERMILLE; 3], WORKERS);
     let owner = owner(&fleet);
     for id in 0..JOBS {
-        // Each task takes a whole worker, and they end at all times.
+        // Each task needs a whole worker, and tasks end at all times.
         let full_worker = Step {
             cpu_milli: 8_000,
             ..step(20, 700 + 17 * id, &[])
--- a/tests/dispatch_waits.rs
+++ b/tests/dispatch_waits.rs
@@ -1,5 +1,4 @@
-//! What keeps a task from its start: that it is told, and that none of it lasts once its cause is
-//! over.
+//! Reasons why a task waits: each is reported, and each wait ends once its cause has ended.
 
 use crate::dispatch::JOB;
 use crate::fleet::Fleet;
@@ -17,28 +16,28 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// Time in which a job must have begun for which there is room: one that could run and does not for
+/// Time within which a job must start if its tasks fit. A job that could run and does not start for
 /// longer counts as lost.
 const MAX_START_MS: u64 = 3_000;
 
-/// Time for which a job waits before its cause ends.
+/// Time for which the job waits before the cause of the wait ends.
 const WATCHED_MS: u64 = 6_000;
 
-/// Something that keeps a job from its start.
+/// A cause that prevents a job from starting.
 struct Case {
     name: &'static str,
-    /// What brings it about, before the job comes.
+    /// Brings the cause about, before the job is submitted.
     cause: fn(&mut Fleet),
     step: Step,
-    /// What must be told of the wait.
+    /// Text that the log detail of the wait must contain.
     expected_detail: &'static str,
-    /// What ends it.
+    /// Ends the cause.
     end: fn(&mut Fleet),
-    /// Time after that in which the job must have ended.
+    /// Time after the end of the cause within which the job must have ended.
     ends_within_ms: u64,
 }
 
-/// Gives a step of so many tasks, which each take most of a worker.
+/// Returns a step of `count` tasks that each need most of a worker.
 const fn wide(count: u32) -> Step {
     Step {
         count,
@@ -219,8 +218,8 @@
     ]
 }
 
-/// Symptom: nobody can tell from logs why a task does not run, or a job does not go on when what
-/// kept it is over.
+/// Guards against logs that don't show why a task does not run, and against jobs that do not
+/// continue once the cause of their wait has ended.
 #[gtest]
 fn a_wait_is_reported_and_ends_with_its_cause() {
     for case in cases() {
@@ -254,11 +253,12 @@
     }
 }
 
-/// Workers of the larger fleet, and members of a gang that needs most of each.
+/// Number of workers of the larger fleet, and members of a gang in which each needs most of a
+/// worker.
 const WORKERS: usize = 14;
 const MEMBERS: u32 = 12;
 
-/// Disturbs hosts and workers, and hands in small jobs.
+/// Disturbs hosts and workers, and submits small jobs.
 fn disturb(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
     let host = random.random_range(0..3);
     let all = addresses(fleet);
@@ -299,8 +299,9 @@
     fleet.run(random.random_range(100..1_200));
 }
 
-/// Guards against work that could run and doesn't: once faults have ended and room is free, all
-/// that can run has begun within three seconds, gangs that need nearly whole hosts among them.
+/// Guards against tasks that could run and do not start: within three seconds after faults have
+/// ended and resources are free, all jobs must have started, including gangs that need nearly whole
+/// workers.
 #[gtest]
 fn all_tasks_that_fit_start_once_faults_have_ended() {
     for seed in 0..20 {
@@ -316,7 +317,7 @@
             fleet.kill(host);
             fleet.start(host);
         }
-        // Leases must run out first.
+        // Leases must expire first.
         fleet.run(25_000);
         let submitted_ms = fleet.now_ms;
         let gang = Step {
