--- a/crates/dispatch/src/owner/calls.rs
+++ b/crates/dispatch/src/owner/calls.rs
@@ -94,7 +94,7 @@
     }
 
     /// Records the time of a worker's clock. If the clock has jumped, the worker has restarted, and
-    /// it honors leases that it was granted by its previous clock for as long as the longest lease
+    /// it respects leases that it was granted by its previous clock for as long as the longest lease
     /// lasts. Answers to orders show a jump before the next poll does.
     fn set_clock(&mut self, key: WorkerKey, clock_ms: u64, now_ms: u64) {
         let expired_ms = now_ms + self.max_lease_span_ms();
--- a/crates/dispatch/src/owner/costs.rs
+++ b/crates/dispatch/src/owner/costs.rs
@@ -31,9 +31,9 @@
 const SLIGHT_HEADROOM_LOSS: f64 = 0.01;
 /// Headroom loss below which the effect on a serving task is ignored.
 const MIN_HEADROOM_LOSS: f64 = 0.04;
-/// Cost reduction, in thousandths of a core, for each serving task of the same image on a worker,
-/// and cost increase for each one of another image. A best-effort task that is compatible with one
-/// serving task of an image is compatible with all of them.
+/// Cost reduction, in thousandths of a core, of a serving task for each serving task of the same
+/// image on a worker, and cost increase for each one of another image. A best-effort task that is
+/// compatible with one serving task of an image is compatible with all of them.
 const SAME_IMAGE_GAIN: i64 = 14_000;
 /// Cost, in thousandths of a core, of a worker that is not on the rack of a task's data.
 const REMOTE_DATA_COST: i64 = 1_000_000;
