--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -185,6 +185,8 @@
         self.poll_soon(key, now_ms);
     }
 
+    /// Handles an order to start that was refused or could not be sent: the run is dropped, and the
+    /// worker gets no new tasks for `avoid_ms`.
     fn on_refusal(
         &mut self,
         key: WorkerKey,
@@ -198,6 +200,7 @@
         self.lose_run(key, task, number, now_ms);
     }
 
+    /// Delays the next run of a task that a worker has rejected as faulty.
     fn back_off_task(&mut self, worker: WorkerKey, id: TaskId, now_ms: u64) {
         let job = self.job_keys.get(&id.job).copied();
         let task = job.and_then(|job| self.jobs[job].task_mut(id));
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -353,6 +353,7 @@
         }
     }
 
+    /// Assigns a task to a worker. The order to start the new run is sent once the run is recorded.
     pub(crate) fn assign(
         &mut self,
         key: JobKey,
