--- a/crates/dispatch/src/owner/gangs.rs
+++ b/crates/dispatch/src/owner/gangs.rs
@@ -1,9 +1,9 @@
-//! Steps whose tasks work only together.
+//! Gangs: steps whose tasks can only work together.
 //!
-//! A member that is there without the others waits, holds room and ends alone after some
-//! seconds. So all members are given their workers in one go, under one run number and
-//! from one checkpoint, or none is. When one of them ends, the others are broken by their
-//! workers, and the whole gang starts again.
+//! A member that runs without the others waits, occupies resources and exits after some seconds.
+//! Therefore either all members are assigned workers in the same pass, under one run number and
+//! from one checkpoint, or none is. When a member exits, the workers of the other members end those
+//! too, and the whole gang restarts.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -18,7 +18,7 @@
 use std::collections::BTreeSet;
 
 impl Owner {
-    /// Places all tasks of a gang or none, and tells whether it still waits.
+    /// Places all tasks of a gang or none. Returns whether the gang still waits.
     pub(crate) fn place_gang(
         &mut self,
         key: JobKey,
@@ -30,17 +30,17 @@
         let Some(state) = self.jobs[key].step_mut(first) else {
             return false;
         };
-        let is_whole = state.tasks.iter().all(|task| task.is_waiting());
-        let waits = state.tasks.iter().map(|task| task.not_before_ms);
-        let not_before_ms = waits.max().unwrap_or(0);
-        if !is_whole || not_before_ms > now.steady_ms {
-            // The end of the last member that still runs comes with an event of its own.
-            if is_whole {
+        let is_fully_waiting = state.tasks.iter().all(|task| task.is_waiting());
+        let not_before = state.tasks.iter().map(|task| task.not_before_ms);
+        let not_before_ms = not_before.max().unwrap_or(0);
+        if !is_fully_waiting || not_before_ms > now.steady_ms {
+            // No timer is needed for a member that still runs: its exit is an event.
+            if is_fully_waiting {
                 self.wake_ms = self.wake_ms.min(not_before_ms);
             }
             return true;
         }
-        align(state);
+        align_members(state);
         if self.is_used_up(first) {
             self.give_up(key, first, now, actions);
             return false;
@@ -54,7 +54,7 @@
         if members.any(|member| self.has_orphan(member)) {
             return true;
         }
-        let Some(workers) = self.find_gang(requirements, count, now.steady_ms) else {
+        let Some(workers) = self.find_gang_workers(requirements, count, now.steady_ms) else {
             return true;
         };
         for (index, worker) in workers.into_iter().enumerate() {
@@ -67,9 +67,9 @@
         false
     }
 
-    /// Stops the other members of a gang of which one is gone. Left alone they would wait
-    /// for it for seconds, hold room meanwhile and end for nothing.
-    pub(crate) fn break_gang(&mut self, key: JobKey, id: TaskId) {
+    /// Stops the remaining members of a gang that has lost a member. Otherwise they would wait for
+    /// it for seconds, occupy resources meanwhile and exit without a result.
+    pub(crate) fn stop_gang(&mut self, key: JobKey, id: TaskId) {
         let Some(state) = self.jobs[key].step_mut(id) else {
             return;
         };
@@ -89,12 +89,12 @@
             };
             worker.has_orders = true;
             if run.request_stop() {
-                self.lose_member(placement.worker, key, task, placement.run);
+                self.drop_member(placement.worker, key, task, placement.run);
             }
         }
     }
 
-    fn lose_member(&mut self, worker: WorkerKey, key: JobKey, id: TaskId, run: u32) {
+    fn drop_member(&mut self, worker: WorkerKey, key: JobKey, id: TaskId, run: u32) {
         self.workers[worker].remove(id, run);
         let job = &mut self.jobs[key];
         if let Some(task) = job.task_mut(id) {
@@ -106,8 +106,9 @@
         job.is_dirty = true;
     }
 
-    /// Finds workers for all members: on one rack if that matters and is possible.
-    fn find_gang(
+    /// Finds workers for all members, within one rack if the step is rack-sensitive and a rack has
+    /// sufficient resources.
+    fn find_gang_workers(
         &self,
         requirements: &TaskRequirements<'_>,
         count: usize,
@@ -119,16 +120,17 @@
                 racks.insert(&worker.entry.rack);
             }
             for rack in racks {
-                if let Some(workers) = self.fill_gang(requirements, count, Some(rack), now_ms) {
+                if let Some(workers) = self.choose_workers(requirements, count, Some(rack), now_ms)
+                {
                     return Some(workers);
                 }
             }
         }
-        self.fill_gang(requirements, count, None, now_ms)
+        self.choose_workers(requirements, count, None, now_ms)
     }
 
-    /// Takes the best workers one after the other, each for as many members as it holds.
-    fn fill_gang(
+    /// Chooses workers in order of cost, each for as many members as fit on it.
+    fn choose_workers(
         &self,
         requirements: &TaskRequirements<'_>,
         count: usize,
@@ -161,9 +163,9 @@
     }
 }
 
-/// Brings all members to one run number and one checkpoint. Checkpoints of a gang are
-/// valid for all members; the greatest in the order of text is the furthest.
-fn align(state: &mut StepState) {
+/// Sets all members to the same run number and checkpoint. A checkpoint of a gang is valid for all
+/// members. The lexicographically greatest one is the furthest.
+fn align_members(state: &mut StepState) {
     let run = state.tasks.iter().map(|task| task.run).max().unwrap_or(0);
     let checkpoint = state
         .tasks
@@ -178,7 +180,7 @@
 }
 
 impl StepState {
-    /// Counts the failures of all members, since the gang fails as one.
+    /// Returns the number of failures of all members, as a gang fails as a unit.
     pub(crate) fn gang_failures(&self) -> u32 {
         self.tasks.iter().map(|task| task.failures).sum()
     }
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to start and stop runs, and what their ends mean.
+//! Orders to start and stop runs, and the handling of their outcomes.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -16,20 +16,20 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Pause before a stop without an answer is sent again.
-const STOP_AGAIN_MS: u64 = 300;
-/// Time for which a worker that had no room gets nothing new.
-const NO_ROOM_MS: u64 = 400;
-/// Time for which a worker that is unwell or can't be reached gets nothing new.
-const UNWELL_MS: u64 = 1_500;
-/// Pause before a task that a worker did not understand is tried again, doubled with each further
-/// time.
-const FAULTY_MS: u64 = 1_000;
-/// Time for which a worker that refused for another reason gets nothing new.
-const UNREADY_MS: u64 = 1_000;
+/// Delay before an order to stop that failed or was not answered is sent again.
+const STOP_RETRY_MS: u64 = 300;
+/// Time for which a worker that lacked resources for a run gets no new tasks.
+const NO_ROOM_AVOID_MS: u64 = 400;
+/// Time for which a worker that is unhealthy or can't be reached gets no new tasks.
+const UNWELL_AVOID_MS: u64 = 1_500;
+/// Delay before a task that a worker rejected as faulty is started again, doubled with each further
+/// rejection.
+const FAULTY_BACKOFF_MS: u64 = 1_000;
+/// Time for which a worker that refused a run for another reason gets no new tasks.
+const REFUSED_AVOID_MS: u64 = 1_000;
 
 impl Owner {
-    /// Sends the order to start a run that is on record.
+    /// Sends the order to start a recorded run.
     pub(crate) fn send_start(
         &mut self,
         key: WorkerKey,
@@ -49,11 +49,12 @@
         let Some(clock_ms) = self.workers[key].clock_ms(now_ms) else {
             return self.drop_start(key, task, number, now_ms);
         };
-        // Its former run was heard of while this one was put on record.
+        // A previous run of the task was reported while this one was being recorded.
         if self.has_orphan(task) {
             return self.drop_start(key, task, number, now_ms);
         }
-        // An order would extend the lease of a worker that is on record as silent.
+        // An order to start would extend the leases of a worker that is recorded as silent.
+        // Successors rely on the expiry of these leases.
         if self.workers[key].is_recorded_silent {
             return self.drop_start(key, task, number, now_ms);
         }
@@ -103,11 +104,11 @@
             permit,
         };
         let purpose = Purpose::Start { task, run: number };
-        self.order(key, purpose, call, now_ms, tickets, actions);
+        self.send_order(key, purpose, call, now_ms, tickets, actions);
     }
 
-    /// Gives up a run that is not to be ordered any more. If an earlier order had no answer
-    /// the worker must agree first.
+    /// Drops a run whose order to start must not be sent any more. If an earlier order to start it
+    /// was not answered, the run is stopped at the worker first.
     fn drop_start(&mut self, key: WorkerKey, task: TaskId, number: u32, now_ms: u64) {
         self.workers[key].has_orders = true;
         let run = self.workers[key].runs.get_mut(&(task, number));
@@ -130,7 +131,7 @@
         let Some(run) = worker.runs.get_mut(&(task, number)) else {
             return;
         };
-        // It may be told to stop already, and be there all the same.
+        // The run may already be stopping and still be present at the worker.
         run.was_confirmed |= matches!(outcome, OrderOutcome::Done { .. });
         if run.phase != RunPhase::Sent {
             return;
@@ -143,15 +144,15 @@
                 run.phase = RunPhase::Doubtful { since_ms: now_ms };
                 let id = &worker.entry.id;
                 self.doubtful_starts.add(id, task, number, now_ms);
-                // No further lease is given to a worker that may be dead.
+                // A worker that may be dead gets no further leases.
                 self.workers[key].record_missed_answer(now_ms);
             }
             OrderOutcome::Refused(Refusal::Old) => {
                 run.phase = RunPhase::Stopped { since_ms: now_ms }
             }
-            // An earlier order for the same run may still be on its way.
+            // An earlier order to start the same run may still be in flight.
             _ if !is_first => run.phase = RunPhase::Stopping { again_ms: now_ms },
-            OrderOutcome::NotSent => self.refuse_start(key, task, number, UNWELL_MS, now_ms),
+            OrderOutcome::NotSent => self.on_refusal(key, task, number, UNWELL_AVOID_MS, now_ms),
             OrderOutcome::Refused(refusal) => {
                 actions.push(Action::Note(Note::new(
                     Code::StartRefused,
@@ -164,27 +165,29 @@
                 let avoid_ms = match refusal {
                     Refusal::Room => {
                         self.stats.refused_room += 1;
-                        NO_ROOM_MS
+                        NO_ROOM_AVOID_MS
                     }
                     Refusal::Permit => {
                         self.permits.drop_permit(StepId::of(task), key);
                         0
                     }
-                    Refusal::Unwell => UNWELL_MS,
-                    // The worker is well: it is the task that waits, and tries another one.
+                    Refusal::Unwell => UNWELL_AVOID_MS,
+                    // The worker is healthy. The task backs off and then tries another worker.
                     Refusal::Faulty => 0,
-                    _ => UNREADY_MS,
+                    _ => REFUSED_AVOID_MS,
                 };
-                self.refuse_start(key, task, number, avoid_ms, now_ms);
+                self.on_refusal(key, task, number, avoid_ms, now_ms);
                 if refusal == Refusal::Faulty {
-                    self.hold_back(key, task, now_ms);
+                    self.back_off_task(key, task, now_ms);
                 }
             }
         }
         self.poll_soon(key, now_ms);
     }
 
-    fn refuse_start(
+    /// Handles an order to start that was refused or could not be sent: the run is dropped, and the
+    /// worker gets no new tasks for `avoid_ms`.
+    fn on_refusal(
         &mut self,
         key: WorkerKey,
         task: TaskId,
@@ -197,16 +200,17 @@
         self.lose_run(key, task, number, now_ms);
     }
 
-    fn hold_back(&mut self, worker: WorkerKey, id: TaskId, now_ms: u64) {
+    /// Delays the next run of a task that a worker has rejected as faulty.
+    fn back_off_task(&mut self, worker: WorkerKey, id: TaskId, now_ms: u64) {
         let job = self.job_keys.get(&id.job).copied();
         let task = job.and_then(|job| self.jobs[job].task_mut(id));
         if let Some(task) = task {
             task.failed_on = Some(worker);
-            task.back_off(FAULTY_MS, now_ms);
+            task.back_off(FAULTY_BACKOFF_MS, now_ms);
         }
     }
 
-    /// Sends the stops that are due.
+    /// Sends the orders to stop that are due, for orphans and for all other runs that are stopping.
     pub(crate) fn stop_orphans(
         &mut self,
         now_ms: u64,
@@ -227,7 +231,7 @@
                     if !self.link.admits(CallPriority::Control) {
                         continue;
                     }
-                    *again_ms = now_ms + answer_timeout_ms + STOP_AGAIN_MS;
+                    *again_ms = now_ms + answer_timeout_ms + STOP_RETRY_MS;
                     due.push((key, *task, *number));
                 }
             }
@@ -235,7 +239,7 @@
         for (key, task, run) in due {
             let call = WorkerCall::Stop { task, run };
             let purpose = Purpose::Stop { task, run };
-            self.order(key, purpose, call, now_ms, tickets, actions);
+            self.send_order(key, purpose, call, now_ms, tickets, actions);
         }
     }
 
@@ -252,7 +256,7 @@
                 since_ms: now.steady_ms,
             },
             _ => RunPhase::Stopping {
-                again_ms: now.steady_ms + STOP_AGAIN_MS,
+                again_ms: now.steady_ms + STOP_RETRY_MS,
             },
         };
         self.set_phase(key, task, number, phase);
--- a/tests/dispatch_disturbances.rs
+++ b/tests/dispatch_disturbances.rs
@@ -1,4 +1,4 @@
-//! Disturbances of owner, store and workers, each of which a job must outlive.
+//! Disturbances of the owner, the store and workers, despite each of which a job must complete.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -11,177 +11,178 @@
 use goldcrestway_dispatch::Reply;
 use googletest::prelude::*;
 
-/// A disturbance that three hosts, four workers and a job of two steps must outlive.
+/// A disturbance of three hosts and four workers that run a job of two steps.
 struct Case {
     name: &'static str,
-    /// When it strikes, after the job was handed in.
+    /// Time from the submission of the job until the disturbance.
     after_ms: u64,
-    strike: fn(&mut Fleet),
-    /// When it ends, after it struck.
-    lasts_ms: u64,
-    heal: fn(&mut Fleet),
-    /// Time after that by which the job has ended.
+    inject: fn(&mut Fleet),
+    /// Duration of the disturbance.
+    duration_ms: u64,
+    recover: fn(&mut Fleet),
+    /// Time after the disturbance within which the job must have ended.
     ends_within_ms: u64,
 }
 
 fn nothing(_: &mut Fleet) {}
 
 const CASES: &[Case] = &[
-    // The owner's process dies with tasks under way; a successor takes them over as
-    // the workers list them.
+    // The owner's process dies while tasks run. The next owner takes over the tasks that the
+    // workers report.
     Case {
         name: "owner killed",
         after_ms: 300,
-        strike: |fleet| fleet.kill(owner(fleet)),
-        lasts_ms: 0,
-        heal: nothing,
+        inject: |fleet| fleet.kill(owner(fleet)),
+        duration_ms: 0,
+        recover: nothing,
         ends_within_ms: 4_000,
     },
-    // The owner dies right after the job was stored, before any order.
+    // The owner dies right after the job was stored, before any order was sent.
     Case {
         name: "owner killed at once",
         after_ms: 10,
-        strike: |fleet| fleet.kill(owner(fleet)),
-        lasts_ms: 0,
-        heal: nothing,
+        inject: |fleet| fleet.kill(owner(fleet)),
+        duration_ms: 0,
+        recover: nothing,
         ends_within_ms: 4_500,
     },
-    // The owner stands still, is replaced, wakes up and goes on as if nothing had
-    // happened. Store and workers refuse its token.
+    // The owner is paused and replaced. When it resumes and continues, the store and the workers
+    // refuse its token.
     Case {
         name: "owner paused",
         after_ms: 200,
-        strike: |fleet| fleet.pause(owner(fleet)),
-        lasts_ms: 3_500,
-        heal: |fleet| (0..3).for_each(|number| fleet.resume(number)),
+        inject: |fleet| fleet.pause(owner(fleet)),
+        duration_ms: 3_500,
+        recover: |fleet| (0..3).for_each(|number| fleet.resume(number)),
         ends_within_ms: 3_000,
     },
-    // The owner is cut off from the store and reaches all workers; another one claims.
+    // The owner can't reach the store but reaches all workers. Another host claims.
     Case {
-        name: "owner cut from store",
+        name: "owner disconnected from the store",
         after_ms: 200,
-        strike: |fleet| fleet.cut_from_store(owner(fleet), true),
-        lasts_ms: 4_000,
-        heal: |fleet| (0..3).for_each(|number| fleet.cut_from_store(number, false)),
+        inject: |fleet| fleet.cut_from_store(owner(fleet), true),
+        duration_ms: 4_000,
+        recover: |fleet| (0..3).for_each(|number| fleet.cut_from_store(number, false)),
         ends_within_ms: 3_000,
     },
-    // A planned stop: another host claims while the old owner still acts.
+    // The owner shuts down. Another host claims while the old owner is still active.
     Case {
-        name: "owner stopped as planned",
+        name: "owner shut down",
         after_ms: 200,
-        strike: |fleet| fleet.stop(owner(fleet)),
-        lasts_ms: 2_500,
-        heal: nothing,
+        inject: |fleet| fleet.stop(owner(fleet)),
+        duration_ms: 2_500,
+        recover: nothing,
         ends_within_ms: 1_000,
     },
-    // All processes die at once and start again.
+    // All processes die at the same time and restart.
     Case {
         name: "all killed",
         after_ms: 300,
-        strike: |fleet| (0..3).for_each(|number| fleet.kill(number)),
-        lasts_ms: 1_000,
-        heal: |fleet| (0..3).for_each(|number| fleet.start(number)),
+        inject: |fleet| (0..3).for_each(|number| fleet.kill(number)),
+        duration_ms: 1_000,
+        recover: |fleet| (0..3).for_each(|number| fleet.start(number)),
         ends_within_ms: 5_000,
     },
-    // The store is away; leases are extended meanwhile, so that nothing lapses.
+    // The store is unavailable. Leases are extended meanwhile, so that none expires.
     Case {
         name: "store silent",
         after_ms: 200,
-        strike: |fleet| fleet.store.mode = Mode::Silent,
-        lasts_ms: 9_000,
-        heal: |fleet| fleet.store.mode = Mode::Up,
+        inject: |fleet| fleet.store.mode = Mode::Silent,
+        duration_ms: 9_000,
+        recover: |fleet| fleet.store.mode = Mode::Up,
         ends_within_ms: 4_000,
     },
-    // Appends are carried out and not answered; the repeat with the same sequence
+    // Appends are carried out but not answered. A repeated append with the same sequence number
     // must not start anything twice.
     Case {
-        name: "answers of the store lost",
+        name: "store answers lost",
         after_ms: 10,
-        strike: |fleet| fleet.store.mode = Mode::LosesAnswers,
-        lasts_ms: 3_000,
-        heal: |fleet| fleet.store.mode = Mode::Up,
+        inject: |fleet| fleet.store.mode = Mode::LosesAnswers,
+        duration_ms: 3_000,
+        recover: |fleet| fleet.store.mode = Mode::Up,
         ends_within_ms: 5_000,
     },
-    // History is dropped while hosts read on; they load the newest records again.
+    // The history of the streams is dropped while hosts read them. They load the latest records
+    // again.
     Case {
         name: "history dropped",
         after_ms: 100,
-        strike: |fleet| fleet.store.drop_history(),
-        lasts_ms: 0,
-        heal: nothing,
+        inject: |fleet| fleet.store.drop_history(),
+        duration_ms: 0,
+        recover: nothing,
         ends_within_ms: 3_000,
     },
-    // A worker dies for good; its tasks start elsewhere once its lease must be over.
+    // A worker dies permanently. Its tasks start elsewhere once its leases must have expired.
     Case {
         name: "worker dies",
         after_ms: 300,
-        strike: |fleet| {
+        inject: |fleet| {
             fleet
                 .workers
                 .values_mut()
                 .take(1)
                 .for_each(|worker| worker.die())
         },
-        lasts_ms: 0,
-        heal: nothing,
+        duration_ms: 0,
+        recover: nothing,
         ends_within_ms: 9_000,
     },
-    // A worker is cut off and runs on, then comes back.
+    // A worker becomes unreachable but continues to run, and is reachable again later.
     Case {
-        name: "worker cut off",
+        name: "worker unreachable",
         after_ms: 300,
-        strike: |fleet| fleet.cut_workers = fleet.workers.keys().take(1).cloned().collect(),
-        lasts_ms: 7_000,
-        heal: |fleet| fleet.cut_workers.clear(),
+        inject: |fleet| fleet.cut_workers = fleet.workers.keys().take(1).cloned().collect(),
+        duration_ms: 7_000,
+        recover: |fleet| fleet.cut_workers.clear(),
         ends_within_ms: 3_000,
     },
-    // A worker crashes and another incarnation lives at its address at once.
+    // A worker crashes, and another incarnation is immediately present at its address.
     Case {
-        name: "worker reborn",
+        name: "worker replaced",
         after_ms: 300,
-        strike: |fleet| {
+        inject: |fleet| {
             let address = fleet.workers.keys().next().cloned().unwrap_or_default();
             fleet.add_worker(&address, "w0-2");
         },
-        lasts_ms: 0,
-        heal: nothing,
+        duration_ms: 0,
+        recover: nothing,
         ends_within_ms: 4_000,
     },
-    // Orders get no answer and are carried out two seconds later.
+    // Orders are not answered and are carried out two seconds later.
     Case {
         name: "orders carried out late",
         after_ms: 10,
-        strike: |fleet| fleet.late_ms = Some(2_000),
-        lasts_ms: 3_000,
-        heal: |fleet| fleet.late_ms = None,
+        inject: |fleet| fleet.late_ms = Some(2_000),
+        duration_ms: 3_000,
+        recover: |fleet| fleet.late_ms = None,
         ends_within_ms: 12_000,
     },
-    // What runs on a worker stands still while it answers every look.
+    // All tasks of a worker stall while it still answers each poll.
     Case {
-        name: "worker hangs",
+        name: "tasks of a worker stalled",
         after_ms: 100,
-        strike: |fleet| {
+        inject: |fleet| {
             let worker = fleet.workers.values_mut().next();
             worker
                 .into_iter()
                 .for_each(|worker| worker.manners = Manners::Hangs);
         },
-        lasts_ms: 0,
-        heal: nothing,
+        duration_ms: 0,
+        recover: nothing,
         ends_within_ms: 9_000,
     },
-    // A worker fails all that it starts; tasks have three attempts.
+    // A worker fails all tasks that it starts. Tasks have three attempts.
     Case {
-        name: "worker fails all",
+        name: "worker fails all tasks",
         after_ms: 100,
-        strike: |fleet| {
+        inject: |fleet| {
             let worker = fleet.workers.values_mut().next();
             worker
                 .into_iter()
                 .for_each(|worker| worker.manners = Manners::Fails);
         },
-        lasts_ms: 2_000,
-        heal: |fleet| {
+        duration_ms: 2_000,
+        recover: |fleet| {
             for worker in fleet.workers.values_mut() {
                 worker.manners = Manners::Sound;
             }
@@ -190,10 +191,10 @@
     },
 ];
 
-/// Symptom: a job is lost, late beyond reason, or runs in two places. Sequence and cause
-/// stand with each case.
+/// Guards against jobs that are lost, end far too late or run in two places at once. The sequence
+/// of events is described at each case.
 #[gtest]
-fn a_job_outlives_each_disturbance() {
+fn a_job_completes_despite_each_disturbance() {
     for case in CASES {
         let mut fleet = Fleet::new(3, 4);
         let warm_up = job(vec![step(8, 400, &[])]);
@@ -201,9 +202,9 @@
         fleet.run(1_500);
         let request = fleet.submit(1, JOB, &job(vec![step(12, 900, &[]), step(6, 700, &[0])]));
         fleet.run(case.after_ms);
-        (case.strike)(&mut fleet);
-        fleet.run(case.lasts_ms);
-        (case.heal)(&mut fleet);
+        (case.inject)(&mut fleet);
+        fleet.run(case.duration_ms);
+        (case.recover)(&mut fleet);
         fleet.run(case.ends_within_ms);
         let alive = (0..3).find(|number| fleet.is_ready(*number)).unwrap_or(0);
         let is_stored = fleet.replies.get(&request) == Some(&Reply::Stored);
