--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -255,7 +255,7 @@
             Event::ConnectionLost { conn } if conn.is_incoming() => self.relay.lose(conn),
             Event::ConnectionLost { conn } => {
                 if let Some(owner) = &mut self.owner {
-                    owner.lose_relay(conn, now, actions);
+                    owner.handle_relay_lost(conn, now, actions);
                 }
             }
             Event::Submit {
--- a/crates/dispatch/src/entry/owning.rs
+++ b/crates/dispatch/src/entry/owning.rs
@@ -228,7 +228,7 @@
         for (job, state) in owner.unpublished() {
             self.job_table.set_state(*job, *state);
         }
-        owner.list_workers(&self.worker_entries, now, actions);
+        owner.apply_worker_list(&self.worker_entries, now, actions);
         actions.push(Action::Note(Note::new(
             Code::OwnerBegun,
             &*self.host,
--- a/crates/dispatch/src/entry/worker_list.rs
+++ b/crates/dispatch/src/entry/worker_list.rs
@@ -50,12 +50,12 @@
             return;
         };
         if progress.is_reloaded {
-            owner.list_workers(&self.worker_entries, now, actions);
+            owner.apply_worker_list(&self.worker_entries, now, actions);
         } else {
             for id in changed {
-                owner.list_worker(&id, self.worker_entries.get(&id), now, actions);
+                owner.apply_worker_entry(&id, self.worker_entries.get(&id), now, actions);
             }
         }
-        owner.expire_doubts(now);
+        owner.expire_doubtful_starts(now);
     }
 }
--- a/crates/dispatch/src/owner/adopting.rs
+++ b/crates/dispatch/src/owner/adopting.rs
@@ -145,7 +145,7 @@
     }
 
     /// Takes in the platform's list of workers, as a whole.
-    pub(crate) fn list_workers(
+    pub(crate) fn apply_worker_list(
         &mut self,
         entries: &BTreeMap<Box<str>, WorkerEntry>,
         now: Now,
@@ -158,14 +158,14 @@
             }
         }
         for id in entries.keys().chain(&unlisted) {
-            self.list_worker(id, entries.get(id), now, actions);
+            self.apply_worker_entry(id, entries.get(id), now, actions);
         }
         self.spread_first_polls(now.steady_ms);
     }
 
     /// Takes in what the platform says of a worker, if it lists it. Most reports say what the
     /// former one did.
-    pub(crate) fn list_worker(
+    pub(crate) fn apply_worker_entry(
         &mut self,
         id: &str,
         entry: Option<&WorkerEntry>,
@@ -210,7 +210,7 @@
     }
 
     /// Forgets orders that are too old to be carried out.
-    pub(crate) fn expire_doubts(&mut self, now: Now) {
+    pub(crate) fn expire_doubtful_starts(&mut self, now: Now) {
         self.doubtful_starts.expire(now.steady_ms);
     }
 }
--- a/crates/dispatch/src/owner/calls.rs
+++ b/crates/dispatch/src/owner/calls.rs
@@ -115,7 +115,7 @@
             OrderOutcome::NotSent => {}
             OrderOutcome::Unknown => {
                 self.answers.record_missing(now_ms);
-                self.pass_over_relay(order.worker, now_ms);
+                self.switch_relay(order.worker, now_ms);
             }
             _ if took_ms >= order.wait_ms => {
                 self.answers.record_answer(took_ms - order.wait_ms, now_ms);
--- a/crates/dispatch/src/owner/costs.rs
+++ b/crates/dispatch/src/owner/costs.rs
@@ -66,7 +66,7 @@
         now_ms: u64,
     ) -> BinaryHeap<Reverse<(i64, WorkerKey)>> {
         let mut ranked = BinaryHeap::new();
-        for (key, worker) in self.workers.open() {
+        for (key, worker) in self.workers.eligible() {
             if let Ok(cost) = self.permitted_cost(key, worker, requirements, now_ms) {
                 ranked.push(Reverse((cost, key)));
             }
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -381,13 +381,13 @@
             ),
         )));
         if is_to_blame {
-            self.give_up(key, task, now, actions);
+            self.fail_crashing_job(key, task, now, actions);
         }
         is_to_blame
     }
 
     /// Gives a job up as a task of it crashes its workers.
-    pub(super) fn give_up(
+    pub(super) fn fail_crashing_job(
         &mut self,
         key: JobKey,
         task: TaskId,
--- a/crates/dispatch/src/owner/gangs.rs
+++ b/crates/dispatch/src/owner/gangs.rs
@@ -42,7 +42,7 @@
         }
         align(state);
         if self.is_used_up(first) {
-            self.give_up(key, first, now, actions);
+            self.fail_crashing_job(key, first, now, actions);
             return false;
         }
         if let Some(until_ms) = self.undecided_until_ms(first, now.steady_ms) {
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -205,7 +205,7 @@
     /// When the first task that was told to wait may be placed.
     wake_ms: u64,
     /// When steps that wait for long are told of next.
-    next_waits_ms: u64,
+    next_waits_report_ms: u64,
     stepdown: Option<Stepdown>,
     pub(crate) stats: OwnerStats,
 }
@@ -268,7 +268,7 @@
             must_place: true,
             next_place_ms: 0,
             wake_ms: u64::MAX,
-            next_waits_ms: 0,
+            next_waits_report_ms: 0,
             stepdown: None,
             stats: OwnerStats::default(),
         };
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -194,7 +194,7 @@
             }
             let failed_on = task.failed_on;
             if task.suspicion.is_used_up() {
-                self.give_up(key, id, now, actions);
+                self.fail_crashing_job(key, id, now, actions);
                 return false;
             }
             if let Some(until_ms) = task.undecided_until_ms(now.steady_ms) {
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -101,7 +101,7 @@
     /// Has another relay, or none, carry the orders for a worker of which one had no answer: it
     /// may be the relay that does not reach the worker. Workers would be given up otherwise
     /// that others still reach.
-    pub(super) fn pass_over_relay(&mut self, key: WorkerKey, now_ms: u64) {
+    pub(super) fn switch_relay(&mut self, key: WorkerKey, now_ms: u64) {
         if !self.uses_relays {
             return;
         }
@@ -117,7 +117,12 @@
         self.relays.handle_opened(conn, now.steady_ms);
     }
 
-    pub(crate) fn lose_relay(&mut self, conn: ConnectionId, now: Now, actions: &mut Vec<Action>) {
+    pub(crate) fn handle_relay_lost(
+        &mut self,
+        conn: ConnectionId,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
         let outcomes = self.relays.lose(conn, now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
     }
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -93,10 +93,10 @@
 impl Owner {
     /// Tells of the steps that have waited for long, and what for.
     pub(super) fn report_waits(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if now.steady_ms < self.next_waits_ms {
+        if now.steady_ms < self.next_waits_report_ms {
             return;
         }
-        self.next_waits_ms = now.steady_ms + SEARCH_MS;
+        self.next_waits_report_ms = now.steady_ms + SEARCH_MS;
         self.stats.waits = [0; WaitReason::ALL.len()];
         let mut waiting = self.list_waiting(now.steady_ms);
         waiting.sort_by_key(|step| step.since_ms);
--- a/crates/dispatch/src/owner/workers.rs
+++ b/crates/dispatch/src/owner/workers.rs
@@ -33,7 +33,7 @@
     /// Those on which something is about to end.
     ending: BTreeSet<WorkerKey>,
     /// Those that may get new work.
-    open: BTreeSet<WorkerKey>,
+    eligible: BTreeSet<WorkerKey>,
     /// How often one of them was weighed for some task.
     evaluated: Cell<u64>,
 }
@@ -49,7 +49,7 @@
             in_doubt: BTreeSet::new(),
             workers_refreshed: 0,
             ending: BTreeSet::new(),
-            open: BTreeSet::new(),
+            eligible: BTreeSet::new(),
             evaluated: Cell::new(0),
         }
     }
@@ -73,7 +73,7 @@
         self.unrecorded.remove(&key);
         self.in_doubt.remove(&key);
         self.ending.remove(&key);
-        self.open.remove(&key);
+        self.eligible.remove(&key);
         Some(worker)
     }
 
@@ -127,13 +127,13 @@
             );
             let in_doubt = worker.is_in_doubt();
             let ending = worker.activity() == Activity::Ending;
-            let open = worker.untimed_exclusion().is_none();
+            let eligible = worker.untimed_exclusion().is_none();
             self.schedule(key, due_ms);
             keep(&mut self.with_orders, key, orders);
             keep(&mut self.unrecorded, key, unrecorded);
             keep(&mut self.in_doubt, key, in_doubt);
             keep(&mut self.ending, key, ending);
-            keep(&mut self.open, key, open);
+            keep(&mut self.eligible, key, eligible);
         }
     }
 
@@ -184,10 +184,10 @@
     }
 
     /// Lists the workers that might get new work as of when they were last looked over.
-    pub(crate) fn open(&self) -> impl Iterator<Item = (WorkerKey, &Worker)> {
-        let count = self.open.len() as u64;
+    pub(crate) fn eligible(&self) -> impl Iterator<Item = (WorkerKey, &Worker)> {
+        let count = self.eligible.len() as u64;
         self.evaluated.set(self.evaluated.get() + count);
-        self.open.iter().map(|key| (*key, &self.slots[*key]))
+        self.eligible.iter().map(|key| (*key, &self.slots[*key]))
     }
 
     /// Gives how often a worker was weighed for some task.
