--- a/crates/dispatch/src/owner/adopting.rs
+++ b/crates/dispatch/src/owner/adopting.rs
@@ -38,14 +38,18 @@
         if record.submission.is_none() {
             return;
         }
-        let foreign_ms = self.foreign_expiry_ms(now.steady_ms);
+        let default_expiry_ms = self.previous_owner_expiry_ms(now.steady_ms);
         let progress = self.unread_progress.remove(&id);
-        let (silent, recorded_as_silent) = (&self.silent, &self.recorded_silent);
+        let (inherited_expiry_ms, silent_workers) =
+            (&self.inherited_expiry_ms, &self.recorded_silent);
         let listed = &self.recorded_workers;
         let (workers, keys) = (&mut self.workers, &mut self.worker_keys);
         let job = Job::new(id, record, progress.as_ref(), now, |name| {
             *keys.entry(name.into()).or_insert_with(|| {
-                let leases_expired_ms = silent.get(name).copied().unwrap_or(foreign_ms);
+                let leases_expired_ms = inherited_expiry_ms
+                    .get(name)
+                    .copied()
+                    .unwrap_or(default_expiry_ms);
                 let mut worker = Worker::unlisted(name, leases_expired_ms);
                 // Whoever answers at its address tells what became of it.
                 if let Some(entry) = listed.get(name) {
@@ -53,7 +57,7 @@
                     worker.incarnation = entry.incarnation;
                     worker.was_leaving = entry.is_leaving;
                 }
-                worker.is_recorded_silent = recorded_as_silent.contains(name);
+                worker.is_recorded_silent = silent_workers.contains(name);
                 workers.insert(worker)
             })
         });
@@ -83,7 +87,7 @@
 
     /// Time after which a worker that this owner never reached holds nothing of a former
     /// one: that one stops within a while of losing its confirmation.
-    fn foreign_expiry_ms(&self, now_ms: u64) -> u64 {
+    fn previous_owner_expiry_ms(&self, now_ms: u64) -> u64 {
         now_ms + MAX_UNCONFIRMED_MS + self.lease_span_ms()
     }
 
@@ -139,7 +143,7 @@
     /// silent gets no lease before it is on record no more.
     pub(crate) fn make_worker(&self, entry: WorkerEntry, now_ms: u64) -> Worker {
         let is_recorded_silent = self.recorded_silent.contains(&entry.id);
-        let mut worker = Worker::new(entry, self.foreign_expiry_ms(now_ms));
+        let mut worker = Worker::new(entry, self.previous_owner_expiry_ms(now_ms));
         worker.is_recorded_silent = is_recorded_silent;
         worker
     }
@@ -173,7 +177,7 @@
         actions: &mut Vec<Action>,
     ) {
         let known = self.worker_keys.get(id).copied();
-        let is_news = match (known, entry) {
+        let has_changed = match (known, entry) {
             (Some(key), Some(entry)) => {
                 let worker = &self.workers[key];
                 !worker.is_listed || worker.entry != *entry || !worker.is_reported()
@@ -182,7 +186,7 @@
             (None, entry) => entry.is_some(),
         };
         let is_recorded = self.recorded_workers.contains_key(id);
-        if !is_news && is_recorded == entry.is_some() {
+        if !has_changed && is_recorded == entry.is_some() {
             return;
         }
         self.unrecorded_workers.insert(id.into());
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -30,10 +30,10 @@
 
 /// Time for which a crash that no task can have caused is remembered: workers that crashed with
 /// that one are back by then.
-const OUTAGE_KEPT_MS: u64 = 30_000;
+const OUTAGE_RETENTION_MS: u64 = 30_000;
 
 /// Time in which a worker has crashed: after its last answer, before the first one was missing.
-type Span = (u64, u64);
+type CrashWindow = (u64, u64);
 
 /// A worker that is given up, and of which it is not known whether it has crashed.
 #[derive(Debug)]
@@ -41,17 +41,17 @@
     address: Box<str>,
     incarnation: Incarnation,
     /// Not known of one that a former owner has given up.
-    span: Option<Span>,
+    crash_window: Option<CrashWindow>,
     /// What was lost there: tasks, or the first members of gangs.
     tasks: BTreeSet<TaskId>,
 }
 
 impl LostWorker {
-    fn new(lost_run: &LostRun, span: Option<Span>) -> Self {
+    fn new(lost_run: &LostRun, crash_window: Option<CrashWindow>) -> Self {
         Self {
             address: lost_run.address.clone(),
             incarnation: lost_run.incarnation,
-            span,
+            crash_window,
             tasks: BTreeSet::new(),
         }
     }
@@ -61,13 +61,13 @@
 pub(super) struct RemovedWorker {
     worker: Box<str>,
     /// It was leaving, so it may have ended as planned.
-    is_planned: bool,
+    is_expected_exit: bool,
     /// Another incarnation answers at its address.
     is_replaced: bool,
     /// It was known, and nothing there can have been the cause.
     is_unexplained: bool,
     /// When it crashed, if it did; not known of one that this owner never heard.
-    span: Option<Span>,
+    crash_window: Option<CrashWindow>,
     /// What is lost, by task or gang.
     lost_runs: Vec<(TaskId, LostRun)>,
 }
@@ -75,46 +75,46 @@
 /// What is known of crashes.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    lost: HashMap<Box<str>, LostWorker>,
+    lost_workers: HashMap<Box<str>, LostWorker>,
     /// Workers whose crash nothing that had just begun there can have caused, and when.
-    outages: Vec<(Box<str>, Span)>,
+    outages: Vec<(Box<str>, CrashWindow)>,
 }
 
 impl Crashes {
     /// Tells whether another worker than this one crashed at the same time, unexplained.
-    fn overlaps_outage(&self, worker: &str, span: Span) -> bool {
+    fn overlaps_outage(&self, worker: &str, crash_window: CrashWindow) -> bool {
         let mut others = self.outages.iter().filter(|(id, _)| **id != *worker);
-        others.any(|(_, outage)| overlap(*outage, span))
+        others.any(|(_, outage)| overlap(*outage, crash_window))
     }
 
-    fn keep(&mut self, worker: Box<str>, outage: Span, now_ms: u64) {
+    fn record_outage(&mut self, worker: Box<str>, outage: CrashWindow, now_ms: u64) {
         self.outages
-            .retain(|(_, (_, until_ms))| until_ms + OUTAGE_KEPT_MS > now_ms);
+            .retain(|(_, (_, until_ms))| until_ms + OUTAGE_RETENTION_MS > now_ms);
         self.outages.push((worker, outage));
     }
 
     /// Forgets what a job lost.
     pub(super) fn forget(&mut self, job: JobId) {
-        for lost in self.lost.values_mut() {
+        for lost in self.lost_workers.values_mut() {
             lost.tasks.retain(|task| task.job != job);
         }
-        self.lost.retain(|_, lost| !lost.tasks.is_empty());
+        self.lost_workers.retain(|_, lost| !lost.tasks.is_empty());
     }
 }
 
 /// Adds what went with a worker. Members of a gang go with it as one.
-fn add_lost_run(lost_runs: &mut Vec<(TaskId, LostRun)>, unit: TaskId, lost_run: LostRun) {
+fn add_lost_run(lost_runs: &mut Vec<(TaskId, LostRun)>, suspicion_unit: TaskId, lost_run: LostRun) {
     let mut known = lost_runs.iter_mut();
-    match known.find(|(other, previous)| *other == unit && previous.run == lost_run.run) {
+    match known.find(|(other, previous)| *other == suspicion_unit && previous.run == lost_run.run) {
         Some((_, previous)) => {
             previous.is_suspect |= lost_run.is_suspect;
             previous.is_confirmed |= lost_run.is_confirmed;
         }
-        None => lost_runs.push((unit, lost_run)),
+        None => lost_runs.push((suspicion_unit, lost_run)),
     }
 }
 
-fn overlap(one: Span, other: Span) -> bool {
+fn overlap(one: CrashWindow, other: CrashWindow) -> bool {
     one.0 <= other.1 && other.0 <= one.1
 }
 
@@ -138,7 +138,7 @@
 
 impl Worker {
     /// Gives the time in which it has crashed, if it has.
-    fn span(&self, now_ms: u64) -> Span {
+    fn crash_window(&self, now_ms: u64) -> CrashWindow {
         (self.answered_ms, self.first_missed_ms.unwrap_or(now_ms))
     }
 }
@@ -151,7 +151,7 @@
     }
 
     /// Gives whose suspicion a task shares: a gang crashes as one, its first member stands for it.
-    fn unit(&self, task: TaskId) -> TaskId {
+    fn suspicion_unit(&self, task: TaskId) -> TaskId {
         let key = self.job_keys.get(&task.job);
         let step = key.and_then(|key| self.jobs[*key].step(task));
         match step.is_some_and(|step| step.is_gang) {
@@ -172,7 +172,7 @@
         let suspects: BTreeSet<TaskId> = started
             .clone()
             .filter(|(_, run)| run.is_suspect())
-            .map(|((task, _), _)| self.unit(*task))
+            .map(|((task, _), _)| self.suspicion_unit(*task))
             .collect();
         let mut lost_runs = Vec::new();
         for ((task, number), run) in started {
@@ -191,15 +191,15 @@
                 is_sole_suspect: suspects.len() == 1,
                 is_confirmed: matches!(run.phase, RunPhase::Present { .. }),
             };
-            add_lost_run(&mut lost_runs, self.unit(*task), lost_run);
+            add_lost_run(&mut lost_runs, self.suspicion_unit(*task), lost_run);
         }
         let is_replaced = removal_reason.is_replaced();
         RemovedWorker {
             worker: worker.entry.id.clone(),
-            is_planned: worker.was_leaving,
+            is_expected_exit: worker.was_leaving,
             is_replaced,
             is_unexplained: (is_replaced || worker.is_silent()) && suspects.is_empty(),
-            span: worker.is_known.then(|| worker.span(now_ms)),
+            crash_window: worker.is_known.then(|| worker.crash_window(now_ms)),
             lost_runs,
         }
     }
@@ -211,15 +211,15 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        if removed.is_planned {
+        if removed.is_expected_exit {
             return;
         }
-        if let Some(span) = removed.span.filter(|_| removed.is_unexplained) {
+        if let Some(crash_window) = removed.crash_window.filter(|_| removed.is_unexplained) {
             self.crashes
-                .keep(removed.worker.clone(), span, now.steady_ms);
+                .record_outage(removed.worker.clone(), crash_window, now.steady_ms);
         }
         for (task, lost_run) in removed.lost_runs {
-            self.record_lost_run(task, lost_run, removed.span, now.steady_ms);
+            self.record_lost_run(task, lost_run, removed.crash_window, now.steady_ms);
         }
         if removed.is_replaced {
             self.resolve_crash(&removed.worker, true, now, actions);
@@ -230,7 +230,7 @@
         &mut self,
         task: TaskId,
         lost_run: LostRun,
-        span: Option<Span>,
+        crash_window: Option<CrashWindow>,
         now_ms: u64,
     ) {
         let Some(key) = self.job_keys.get(&task.job).copied() else {
@@ -242,9 +242,9 @@
         };
         let lost = self
             .crashes
-            .lost
+            .lost_workers
             .entry(lost_run.worker.clone())
-            .or_insert_with(|| LostWorker::new(&lost_run, span));
+            .or_insert_with(|| LostWorker::new(&lost_run, crash_window));
         lost.tasks.insert(task);
         state.record_lost_run(lost_run, now_ms);
         job.is_dirty = true;
@@ -260,7 +260,11 @@
         });
         for (task, lost_run) in recovered {
             let lost = LostWorker::new(&lost_run, None);
-            let lost = self.crashes.lost.entry(lost_run.worker).or_insert(lost);
+            let lost = self
+                .crashes
+                .lost_workers
+                .entry(lost_run.worker)
+                .or_insert(lost);
             lost.tasks.insert(task);
         }
     }
@@ -276,7 +280,7 @@
     ) {
         let worker = &self.workers[key];
         let mut resolved = Vec::new();
-        for (id, lost) in &self.crashes.lost {
+        for (id, lost) in &self.crashes.lost_workers {
             if *id == worker.entry.id {
                 let has_crashed = lost.incarnation.differs_from(worker.incarnation);
                 resolved.push((id.clone(), has_crashed));
@@ -291,25 +295,27 @@
 
     /// Tells whether a worker fell silent at the same time that no task can have taken down, so
     /// that a whole rack or failure domain, or this host's own link, is the likelier cause.
-    fn is_outage(&self, id: &str, span: Span) -> bool {
-        let is_unexplained = |worker: &Worker| {
+    fn is_outage(&self, id: &str, window: CrashWindow) -> bool {
+        let unexplained = |worker: &Worker| {
             let has_suspects = worker.runs.values().any(Run::is_suspect);
             let is_other = *worker.entry.id != *id;
             is_other && worker.is_known && worker.is_silent() && !has_suspects
         };
-        self.crashes.overlaps_outage(id, span)
+        self.crashes.overlaps_outage(id, window)
             || self
                 .workers
                 .values()
-                .any(|worker| is_unexplained(worker) && overlap(worker.span(span.1), span))
+                .any(|worker| unexplained(worker) && overlap(worker.crash_window(window.1), window))
     }
 
     /// Counts the crash of a worker against what ran there, or drops what was kept of it.
     fn resolve_crash(&mut self, id: &str, has_crashed: bool, now: Now, actions: &mut Vec<Action>) {
-        let Some(lost) = self.crashes.lost.remove(id) else {
+        let Some(lost) = self.crashes.lost_workers.remove(id) else {
             return;
         };
-        let mut is_excused = lost.span.is_some_and(|span| self.is_outage(id, span));
+        let mut is_excused = lost
+            .crash_window
+            .is_some_and(|crash_window| self.is_outage(id, crash_window));
         let mut lost_runs = Vec::new();
         for task in lost.tasks {
             let Some(key) = self.job_keys.get(&task.job).copied() else {
@@ -317,9 +323,13 @@
             };
             let job = &mut self.jobs[key];
             if let Some(state) = job.task_mut(task) {
-                let taken = state.take_lost_runs(id);
+                let removed_runs = state.take_lost_runs(id);
                 job.is_dirty = true;
-                lost_runs.extend(taken.into_iter().map(|lost_run| (key, task, lost_run)));
+                lost_runs.extend(
+                    removed_runs
+                        .into_iter()
+                        .map(|lost_run| (key, task, lost_run)),
+                );
             }
         }
         if !has_crashed {
@@ -398,7 +408,9 @@
         if job.phase.is_final() {
             return;
         }
-        let suspicion = job.task(self.unit(task)).map(|state| &state.suspicion);
+        let suspicion = job
+            .task(self.suspicion_unit(task))
+            .map(|state| &state.suspicion);
         let (confirmed, crashes) = suspicion.map_or((0, 0), |it| (it.confirmed, it.crashes));
         actions.push(Action::Note(Note::new(
             Code::JobFailed,
@@ -412,7 +424,7 @@
     /// Counts a start of a task that may have crashed workers before.
     pub(super) fn record_start(&mut self, key: JobKey, task: TaskId) {
         // One member stands for its gang.
-        if self.unit(task) == task
+        if self.suspicion_unit(task) == task
             && let Some(state) = self.jobs[key].task_mut(task)
         {
             state.suspicion.record_start(state.unresolved_crashes());
@@ -434,19 +446,20 @@
 
     /// Tells whether a task must not be started any more.
     pub(super) fn is_used_up(&self, task: TaskId) -> bool {
-        let state = self.task(self.unit(task));
+        let state = self.task(self.suspicion_unit(task));
         state.is_some_and(|state| state.suspicion.is_used_up())
     }
 
     /// Gives until when a task waits for what became of its workers, if it does.
     pub(super) fn undecided_until_ms(&self, task: TaskId, now_ms: u64) -> Option<u64> {
-        self.task(self.unit(task))?.undecided_until_ms(now_ms)
+        self.task(self.suspicion_unit(task))?
+            .undecided_until_ms(now_ms)
     }
 
     /// Takes in that a run has been at work for long enough: its task crashes nobody. Members of a
     /// gang must all have been: one that has crashed its worker just now leaves others at work.
     pub(super) fn clear_suspicion(&mut self, task: TaskId) {
-        let unit = self.unit(task);
+        let suspicion_unit = self.suspicion_unit(task);
         let Some(key) = self.job_keys.get(&task.job).copied() else {
             return;
         };
@@ -454,7 +467,7 @@
             state.failed_starts = 0;
         }
         let job = &self.jobs[key];
-        let (Some(step), Some(state)) = (job.step(task), job.task(unit)) else {
+        let (Some(step), Some(state)) = (job.step(task), job.task(suspicion_unit)) else {
             return;
         };
         let is_long_running = step.is_long_running;
@@ -463,7 +476,7 @@
             return;
         }
         let job = &mut self.jobs[key];
-        if let Some(state) = job.task_mut(unit) {
+        if let Some(state) = job.task_mut(suspicion_unit) {
             state.suspicion.clear(is_long_running);
             state.lost_runs.retain(|lost_run| !lost_run.is_suspect);
             job.is_dirty = true;
@@ -487,7 +500,7 @@
     /// Tells where a task is suspected to have crashed its last worker; `None` if it is not
     /// suspected.
     pub(super) fn suspected_at(&self, task: TaskId) -> Option<Box<str>> {
-        let state = self.task(self.unit(task))?;
+        let state = self.task(self.suspicion_unit(task))?;
         if !state.is_suspect() {
             return None;
         }
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -14,12 +14,12 @@
 use goldcrestway_core::Note;
 
 /// Failures in a row after which a worker gets nothing new for a while.
-const MAX_FAILURES: u32 = 2;
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 /// That while, doubled with the next failure. A worker that has recovered must not stand
 /// empty for long: tasks that last must run again within seconds where there is room.
-const FAILED_AVOID_MS: u64 = 1_500;
+const FIRST_AVOID_MS: u64 = 1_500;
 /// Pause before a task that ended badly is started again, doubled with each further time.
-const AGAIN_MS: u64 = 30;
+const RESTART_DELAY_MS: u64 = 30;
 
 impl Owner {
     /// Handles an end that a worker has listed.
@@ -50,7 +50,7 @@
             _ => self.stats.broken += 1,
         }
         let is_first = self.task(task).is_none_or(|task| task.failed_starts == 0);
-        self.judge_worker(key, exit_reason, is_first, now.steady_ms);
+        self.avoid_failing_worker(key, exit_reason, is_first, now.steady_ms);
         if exit_reason != ExitReason::Done {
             actions.push(Action::Note(Note::new(
                 Code::RunBroken,
@@ -144,7 +144,7 @@
 
     /// Learns from an end whether a worker fails whatever it starts. A task that has just failed on
     /// another one says nothing of this one: it would take each worker from everybody in turn.
-    fn judge_worker(
+    fn avoid_failing_worker(
         &mut self,
         key: WorkerKey,
         exit_reason: ExitReason,
@@ -159,9 +159,9 @@
             ExitReason::Done => worker.consecutive_failures = 0,
             ExitReason::Failed if is_first => {
                 worker.consecutive_failures += 1;
-                if worker.consecutive_failures >= MAX_FAILURES {
-                    let doublings = (worker.consecutive_failures - MAX_FAILURES).min(1);
-                    worker.avoided_until_ms = now_ms + (FAILED_AVOID_MS << doublings);
+                if worker.consecutive_failures >= MAX_CONSECUTIVE_FAILURES {
+                    let doublings = (worker.consecutive_failures - MAX_CONSECUTIVE_FAILURES).min(1);
+                    worker.avoided_until_ms = now_ms + (FIRST_AVOID_MS << doublings);
                 }
             }
             _ => {}
@@ -211,7 +211,7 @@
         if !checkpoint.is_empty() {
             task.checkpoint = checkpoint.into();
         }
-        task.back_off(AGAIN_MS, now.steady_ms);
+        task.back_off(RESTART_DELAY_MS, now.steady_ms);
         if exit_reason == ExitReason::Failed {
             task.failed_on = Some(worker);
             task.failures += u32::from(!is_long_running);
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -21,7 +21,7 @@
 
 /// Time after which an order that had no answer is no longer carried out. Workers are seconds late
 /// with such orders.
-const LATE_MS: u64 = 15_000;
+const LATE_START_MS: u64 = 15_000;
 
 /// An order to start a run that had no answer, and when that was known.
 #[derive(Debug, Clone, Copy)]
@@ -34,7 +34,7 @@
 impl DoubtfulStart {
     /// Tells whether the order may still be carried out.
     fn is_open(&self, now_ms: u64) -> bool {
-        now_ms < self.since_ms + LATE_MS
+        now_ms < self.since_ms + LATE_START_MS
     }
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// Lists the orders that a worker may still carry out.
-    fn list(&mut self, worker: &str, now_ms: u64) -> BTreeSet<(TaskId, u32)> {
+    fn open_starts(&mut self, worker: &str, now_ms: u64) -> BTreeSet<(TaskId, u32)> {
         let starts = self.by_worker.get(worker).into_iter().flatten();
         let open = starts.filter(|start| start.is_open(now_ms));
         open.map(|start| (start.task, start.run)).collect()
@@ -107,12 +107,12 @@
         actions: &mut Vec<Action>,
     ) -> WorkerKey {
         let now_ms = now.steady_ms;
-        let kept = self.split_listed_runs(previous, report);
+        let listed = self.split_listed_runs(previous, report);
         self.record_removal(previous, RemovalReason::Restarted, now_ms, actions);
         let removed = self.describe_removal(previous, RemovalReason::Restarted, now_ms);
-        let doubtful = self.take_doubtful(previous, now_ms);
+        let doubtful = self.take_doubtful_runs(previous, now_ms);
         let key = self.begin_incarnation(previous, report, now_ms);
-        for (task, number, mut run) in kept {
+        for (task, number, mut run) in listed {
             run.phase = match run.phase {
                 // The promise not to start it later is gone with who gave it.
                 RunPhase::Stopping { .. } | RunPhase::Stopped { .. } => {
@@ -126,8 +126,8 @@
             run.phase = RunPhase::Stopping { again_ms: 0 };
             self.move_run(previous, key, task, number, run);
         }
-        let lost: Vec<(TaskId, u32)> = self.workers[previous].runs.keys().copied().collect();
-        for (task, run) in lost {
+        let lost_runs: Vec<(TaskId, u32)> = self.workers[previous].runs.keys().copied().collect();
+        for (task, run) in lost_runs {
             self.lose_run(previous, task, run, now_ms);
         }
         self.workers.remove(previous);
@@ -175,30 +175,30 @@
         ids.extend(report.runs.iter().map(|row| (row.task, row.run)));
         ids.extend(report.exits.iter().map(|exit| (exit.task, exit.run)));
         let worker = &mut self.workers[key];
-        let mut taken = Vec::new();
+        let mut removed_runs = Vec::new();
         for (task, number) in ids {
             if let Some(run) = worker.remove(task, number) {
-                taken.push((task, number, run));
+                removed_runs.push((task, number, run));
             }
         }
-        taken
+        removed_runs
     }
 
     /// Takes the runs off a worker whose orders may still be carried out.
-    fn take_doubtful(&mut self, key: WorkerKey, now_ms: u64) -> Vec<(TaskId, u32, Run)> {
-        self.record_unanswered(key, now_ms);
+    fn take_doubtful_runs(&mut self, key: WorkerKey, now_ms: u64) -> Vec<(TaskId, u32, Run)> {
+        self.record_unanswered_starts(key, now_ms);
         let worker = &mut self.workers[key];
-        let mut taken = Vec::new();
-        for (task, number) in self.doubtful_starts.list(&worker.entry.id, now_ms) {
+        let mut removed_runs = Vec::new();
+        for (task, number) in self.doubtful_starts.open_starts(&worker.entry.id, now_ms) {
             if let Some(run) = worker.remove(task, number) {
-                taken.push((task, number, run));
+                removed_runs.push((task, number, run));
             }
         }
-        taken
+        removed_runs
     }
 
     /// Notes the orders to start of which nothing will be heard, as their worker is given up.
-    pub(super) fn record_unanswered(&mut self, key: WorkerKey, now_ms: u64) {
+    pub(super) fn record_unanswered_starts(&mut self, key: WorkerKey, now_ms: u64) {
         let worker = &self.workers[key];
         for ((task, number), run) in &worker.runs {
             if run.phase == RunPhase::Sent {
@@ -231,11 +231,11 @@
 
     /// Has a worker that answers for the first time bar the runs whose orders may still reach it.
     /// Those that it lists have reached it.
-    pub(super) fn bar_late_starts(&mut self, key: WorkerKey, report: &WorkerReport, now_ms: u64) {
+    pub(super) fn block_late_starts(&mut self, key: WorkerKey, report: &WorkerReport, now_ms: u64) {
         let id = self.workers[key].entry.id.clone();
-        for (task, number) in self.doubtful_starts.list(&id, now_ms) {
-            let mut ends = report.exits.iter();
-            let has_ended = ends.any(|exit| exit.task == task && exit.run == number);
+        for (task, number) in self.doubtful_starts.open_starts(&id, now_ms) {
+            let mut run_exits = report.exits.iter();
+            let has_ended = run_exits.any(|exit| exit.task == task && exit.run == number);
             if has_ended || self.workers[key].runs.contains_key(&(task, number)) {
                 continue;
             }
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -81,7 +81,7 @@
 /// The store is silent for longer than that at times, the workers are not.
 const MAX_UNCONFIRMED_MS: u64 = 1_500;
 /// Age of the latest confirmation at which another one is looked for.
-const CONFIRMED_ANEW_MS: u64 = 300;
+const RECONFIRM_AFTER_MS: u64 = 300;
 /// Lease that tasks get. A task whose worker falls silent is started elsewhere once it is
 /// over, which must be within 6 s for tasks that last. A new owner extends leases within
 /// 3.5 s of its predecessor's end, 2 s to notice and 1.5 s for a store that is slow.
@@ -153,7 +153,7 @@
     host: Box<str>,
     bounds: Bounds,
     /// When what a former owner knew to be silent has lapsed, by worker.
-    silent: HashMap<Box<str>, u64>,
+    inherited_expiry_ms: HashMap<Box<str>, u64>,
     /// Workers that the newest record of silent ones names, or one under way.
     recorded_silent: BTreeSet<Box<str>>,
     jobs: SlotMap<JobKey, Job>,
@@ -195,11 +195,11 @@
     /// When the store or most workers last confirmed this owner.
     confirmed_ms: u64,
     /// The store does not confirm it, so that the workers have to.
-    are_workers_confirming: bool,
+    needs_worker_confirmation: bool,
     is_leaving: bool,
     /// Looks that may be sent in this turn, and when that was last counted.
-    polls_left: usize,
-    polled_ms: u64,
+    poll_budget: usize,
+    poll_budget_ms: u64,
     must_place: bool,
     next_place_ms: u64,
     /// When the first task that was told to wait may be placed.
@@ -231,7 +231,7 @@
             token,
             host: host.into(),
             bounds: bounds.clone(),
-            silent: HashMap::new(),
+            inherited_expiry_ms: HashMap::new(),
             recorded_silent: BTreeSet::new(),
             jobs: SlotMap::with_key(),
             job_keys: HashMap::new(),
@@ -261,10 +261,10 @@
             doubtful_starts: DoubtfulStarts::default(),
             writer: Writer::new(heartbeats, now.steady_ms),
             confirmed_ms: now.steady_ms,
-            are_workers_confirming: false,
+            needs_worker_confirmation: false,
             is_leaving: false,
-            polls_left: 0,
-            polled_ms: 0,
+            poll_budget: 0,
+            poll_budget_ms: 0,
             must_place: true,
             next_place_ms: 0,
             wake_ms: u64::MAX,
@@ -276,7 +276,7 @@
         for silent in &recovered.learned.silent {
             let leases_expired_ms = now.steady_ms + silent.remaining_ms;
             owner
-                .silent
+                .inherited_expiry_ms
                 .insert(silent.worker.as_str().into(), leases_expired_ms);
             owner.recorded_silent.insert(silent.worker.as_str().into());
         }
@@ -389,7 +389,7 @@
     pub(crate) fn advance(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
         self.link.refill(now.steady_ms);
         self.maintain_relays(now, tickets, actions);
-        self.open_due(now);
+        self.open_due_occurrences(now);
         self.check_confirmed(now.steady_ms);
         if !self.awaits_relays(now.steady_ms) {
             self.send_due_polls(now, tickets, actions);
@@ -428,7 +428,7 @@
         }
     }
 
-    fn open_due(&mut self, now: Now) {
+    fn open_due_occurrences(&mut self, now: Now) {
         for key in &self.live_jobs {
             let job = &mut self.jobs[*key];
             if job.next_occurrence < job.submission.repetitions
@@ -445,12 +445,12 @@
     fn check_confirmed(&mut self, now_ms: u64) {
         const ANSWERED_LATELY_MS: u64 = 2_000;
         // While the store confirms, the workers need not be counted.
-        let are_confirming = now_ms >= self.confirmed_ms + CONFIRMED_ANEW_MS;
-        if are_confirming && !self.are_workers_confirming {
+        let needs_confirmation = now_ms >= self.confirmed_ms + RECONFIRM_AFTER_MS;
+        if needs_confirmation && !self.needs_worker_confirmation {
             self.hasten_polls(now_ms);
         }
-        self.are_workers_confirming = are_confirming;
-        if !are_confirming {
+        self.needs_worker_confirmation = needs_confirmation;
+        if !needs_confirmation {
             return;
         }
         let mut count = 0;
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -24,21 +24,21 @@
 
 /// Time that a worker waits for an end before it answers a look. It bounds how late a
 /// silent worker is noticed, and how old the tails of served tasks are.
-const WAIT_MS: u64 = 700;
+const LONG_POLL_MS: u64 = 700;
 /// The same where fillers work beside a task that is over its target: how that goes on
 /// decides whether they are halted in time.
-const OVER_TARGET_WAIT_MS: u64 = 250;
+const OVER_TARGET_LONG_POLL_MS: u64 = 250;
 /// Looks that are sent in one turn, and in a millisecond where turns are shorter.
 const MAX_POLLS: usize = 100;
 const POLLS_PER_MS: u64 = 20;
 /// Time over which looks that are hastened are spread.
-const HASTENED_MS: u64 = 700;
+const HASTEN_SPREAD_MS: u64 = 700;
 /// Pause between looks while ends wait to be recorded, which a look would repeat.
-const HELD_GAP_MS: u64 = 1_000;
+const UNRECORDED_GAP_MS: u64 = 1_000;
 /// Pause before the look that follows one without an answer.
 const MISSED_GAP_MS: u64 = 20;
 /// Looks in a row without an answer at which that is told.
-const SILENT_AT: u32 = 2;
+const REPORT_SILENT_AFTER: u32 = 2;
 /// Pause between looks at a worker that gives no answer.
 const SILENT_GAP_MS: u64 = 300;
 /// Looks in a row without an answer, all of them after its lease was over, at which a worker is
@@ -63,12 +63,12 @@
         let mut dead = Vec::new();
         for key in self.workers.due(now_ms) {
             let worker = &self.workers[key];
-            let has_had_its_chances = !is_suspect
+            let has_missed_enough = !is_suspect
                 || !worker.is_listed
                 || worker.misses_after_expiry >= MAX_MISSED_WHILE_SUSPECT;
             let has_expired =
-                worker.may_be_dead() && now_ms > worker.leases_expired_ms && has_had_its_chances;
-            if worker.is_over() || has_expired && worker.is_removal_awaited() {
+                worker.may_be_dead() && now_ms > worker.leases_expired_ms && has_missed_enough;
+            if worker.is_obsolete() || has_expired && worker.is_removal_awaited() {
                 dead.push(key);
             } else if worker.can_be_polled() && now_ms >= worker.next_poll_ms {
                 let priority = match now_ms + renew_ms > worker.leases_expired_ms {
@@ -90,12 +90,12 @@
         // due at once, as they are for a new owner, the rest has to wait for the next turns: signs
         // of life go out between them.
         due.sort_unstable();
-        let passed_ms = now_ms.saturating_sub(self.polled_ms);
-        self.polled_ms = now_ms;
+        let passed_ms = now_ms.saturating_sub(self.poll_budget_ms);
+        self.poll_budget_ms = now_ms;
         let refill = (passed_ms * POLLS_PER_MS).min(MAX_POLLS as u64) as usize;
-        self.polls_left = (self.polls_left + refill).min(MAX_POLLS);
-        due.truncate(self.polls_left);
-        self.polls_left -= due.len();
+        self.poll_budget = (self.poll_budget + refill).min(MAX_POLLS);
+        due.truncate(self.poll_budget);
+        self.poll_budget -= due.len();
         for (priority, _, _, key) in due {
             if self.link.admits(priority) {
                 self.poll(key, now_ms, tickets, actions);
@@ -112,9 +112,10 @@
         // The lease of a silent worker must run out some day: its tasks are started
         // elsewhere only then. A look whose answer is lost would extend it. While answers are
         // late from all workers, this one is likely alive, and its tasks must not end for that.
-        let is_heard = worker.missed_answers == 0
+        let is_likely_alive = worker.missed_answers == 0
             || is_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
-        let extends = is_confirmed && worker.is_known && is_heard && !worker.is_recorded_silent;
+        let extends =
+            is_confirmed && worker.is_known && is_likely_alive && !worker.is_recorded_silent;
         let lease_until_ms = match worker.clock_ms(now_ms) {
             Some(clock_ms) if extends => Some(clock_ms + lease_ms),
             _ => None,
@@ -128,8 +129,8 @@
             && !has_unrecorded
             && worker.clock.is_some();
         let wait_ms = match waits {
-            true if worker.is_over_target => OVER_TARGET_WAIT_MS,
-            true => WAIT_MS,
+            true if worker.is_over_target => OVER_TARGET_LONG_POLL_MS,
+            true => LONG_POLL_MS,
             false => 0,
         };
         // A worker that has started again since would take the figure for its own ends, and forget
@@ -183,7 +184,7 @@
             if worker.is_silent() {
                 worker.next_poll_ms = now_ms + SILENT_GAP_MS;
             }
-            if worker.missed_answers == SILENT_AT {
+            if worker.missed_answers == REPORT_SILENT_AFTER {
                 actions.push(Action::Note(Note::new(
                     Code::WorkerSilent,
                     &*worker.entry.id,
@@ -227,13 +228,13 @@
         self.apply_run_exits(key, &report, now, actions);
         self.apply_run_reports(key, sent_ms, &report, now_ms, actions);
         if !was_known {
-            self.bar_late_starts(key, &report, now_ms);
+            self.block_late_starts(key, &report, now_ms);
         }
         self.adjust_best_effort(key, now_ms, actions);
         let gap_ms = self.poll_gap_ms(key);
         let worker = &mut self.workers[key];
         let gap_ms = match worker.handled_exit > worker.recorded_exit {
-            true => HELD_GAP_MS,
+            true => UNRECORDED_GAP_MS,
             false if was_known => gap_ms,
             false => 0,
         };
@@ -246,7 +247,7 @@
         let polls = PollIntervals {
             idle_workers: (self.workers.len() - ending) as u64,
             cpu_permille: self.bounds.cpu_permille,
-            are_confirming: self.are_workers_confirming,
+            are_confirming: self.needs_worker_confirmation,
         };
         let activity = self.workers[key].activity();
         let link_gap_ms = match activity {
@@ -267,22 +268,22 @@
     /// Those that run something are looked at first.
     pub(crate) fn spread_first_polls(&mut self, now_ms: u64) {
         let gap_us = first_gap_us(self.bounds.cpu_permille);
-        let mut waits_us = 0;
+        let mut delay_us = 0;
         for worker in self.workers.values_mut() {
             let was_polled = worker.is_known || worker.next_poll_ms > 0;
             if worker.runs.is_empty() && !was_polled {
-                worker.next_poll_ms = now_ms + waits_us / 1_000;
-                waits_us += gap_us;
+                worker.next_poll_ms = now_ms + delay_us / 1_000;
+                delay_us += gap_us;
             }
         }
     }
 
     /// Has workers at rest looked at within a second, as they have to confirm this owner.
     pub(super) fn hasten_polls(&mut self, now_ms: u64) {
-        let mut place = 0;
+        let mut position = 0;
         for worker in self.workers.values_mut() {
-            place += 1;
-            let at_ms = now_ms + place % HASTENED_MS;
+            position += 1;
+            let at_ms = now_ms + position % HASTEN_SPREAD_MS;
             worker.next_poll_ms = worker.next_poll_ms.min(at_ms);
         }
     }
--- a/crates/dispatch/src/owner/progress.rs
+++ b/crates/dispatch/src/owner/progress.rs
@@ -17,29 +17,29 @@
     for task in &mut state.tasks {
         task.is_done = step.is_done;
     }
-    for (task, past) in state.tasks.iter_mut().zip(&step.tasks) {
-        task.run = past.run.max(past.copy_run);
-        task.failures = past.failures;
-        task.checkpoint = past.checkpoint.as_str().into();
-        task.is_done = past.phase() == TaskPhase::Done;
+    for (task, recorded) in state.tasks.iter_mut().zip(&step.tasks) {
+        task.run = recorded.run.max(recorded.copy_run);
+        task.failures = recorded.failures;
+        task.checkpoint = recorded.checkpoint.as_str().into();
+        task.is_done = recorded.phase() == TaskPhase::Done;
         task.suspicion = Suspicion {
-            crashes: past.crashes,
-            confirmed: past.confirmed,
-            starts: past.suspect_starts,
-            run: past.crashed_run,
-            address: past.crashed_address.as_str().into(),
+            crashes: recorded.crashes,
+            confirmed: recorded.confirmed,
+            starts: recorded.suspect_starts,
+            run: recorded.crashed_run,
+            address: recorded.crashed_address.as_str().into(),
         };
-        task.lost_runs = past.lost_runs.iter().map(LostRun::new).collect();
-        if past.phase() == TaskPhase::Assigned {
+        task.lost_runs = recorded.lost_runs.iter().map(LostRun::new).collect();
+        if recorded.phase() == TaskPhase::Assigned {
             task.placement = Some(Placement {
-                run: past.run,
-                worker: worker(&past.worker),
+                run: recorded.run,
+                worker: worker(&recorded.worker),
             });
         }
-        if !past.copy_worker.is_empty() {
+        if !recorded.copy_worker.is_empty() {
             task.copy = Some(Placement {
-                run: past.copy_run,
-                worker: worker(&past.copy_worker),
+                run: recorded.copy_run,
+                worker: worker(&recorded.copy_worker),
             });
         }
     }
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -24,7 +24,7 @@
 const CONNECTING_MS: u64 = 300;
 /// Time for which a relay that had no answer of a worker is passed over there. Cuts last for
 /// seconds.
-const PASSED_OVER_MS: u64 = 5_000;
+const RELAY_AVOID_MS: u64 = 5_000;
 
 impl Owner {
     /// Takes in which hosts there are.
@@ -78,8 +78,8 @@
             return false;
         }
         let worker = &mut self.workers[key];
-        if now_ms >= worker.relay_until_ms {
-            worker.relay_place = 0;
+        if now_ms >= worker.relay_index_until_ms {
+            worker.relay_index = 0;
         }
         let order = RelayedOrder {
             ticket,
@@ -88,7 +88,7 @@
             failure_domain: &worker.entry.failure_domain,
             call,
             timeout_ms,
-            place: worker.relay_place,
+            place: worker.relay_index,
         };
         let Some(bytes) = self.relays.relay(&order, now_ms) else {
             return false;
@@ -109,8 +109,8 @@
             return;
         };
         // The place after the last relay stands for a direct call.
-        worker.relay_place = (worker.relay_place + 1) % (CHOICES + 1);
-        worker.relay_until_ms = now_ms + PASSED_OVER_MS;
+        worker.relay_index = (worker.relay_index + 1) % (CHOICES + 1);
+        worker.relay_index_until_ms = now_ms + RELAY_AVOID_MS;
     }
 
     pub(crate) fn handle_relay_opened(&mut self, conn: ConnectionId, now: Now) {
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -18,7 +18,7 @@
 const MAX_DOUBLINGS: u32 = 5;
 /// Time for which a suspected task waits for a worker without other suspects. A job that could run
 /// and does not for three seconds counts as lost.
-const ALONE_WAIT_MS: u64 = 2_000;
+const ISOLATION_WAIT_MS: u64 = 2_000;
 /// Maximum number of lost runs of a task that are kept until it is known whether their workers
 /// crashed.
 const MAX_LOST_RUNS: usize = 4;
@@ -134,7 +134,7 @@
     pub(crate) fn wait_for_isolation(&mut self, now_ms: u64) -> u64 {
         *self
             .isolation_until_ms
-            .get_or_insert(now_ms + ALONE_WAIT_MS)
+            .get_or_insert(now_ms + ISOLATION_WAIT_MS)
     }
 
     /// Tells whether it may still wait for such a worker.
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -217,8 +217,8 @@
     /// Missed answers to polls that were sent after its leases had expired.
     pub(crate) misses_after_expiry: u32,
     /// Index of the relay that carries its orders, and until when that is not the first one.
-    pub(crate) relay_place: usize,
-    pub(crate) relay_until_ms: u64,
+    pub(crate) relay_index: usize,
+    pub(crate) relay_index_until_ms: u64,
     /// It is recorded as silent, so a successor relies on the expiry of its leases.
     pub(crate) is_recorded_silent: bool,
     /// Time of its clock, and when it was received.
@@ -273,8 +273,8 @@
             first_missed_ms: None,
             probes: 0,
             misses_after_expiry: 0,
-            relay_place: 0,
-            relay_until_ms: 0,
+            relay_index: 0,
+            relay_index_until_ms: 0,
             is_recorded_silent: false,
             clock: None,
             leases_expired_ms,
@@ -363,9 +363,9 @@
         if self.runs.is_empty() {
             return Activity::None;
         }
-        let lasts =
+        let is_confirmed_long_running =
             |run: &Run| run.is_long_running && matches!(run.phase, RunPhase::Present { .. });
-        match self.is_over_target || !self.runs.values().all(lasts) {
+        match self.is_over_target || !self.runs.values().all(is_confirmed_long_running) {
             true => Activity::Ending,
             false => Activity::LongRunning,
         }
@@ -377,7 +377,7 @@
     }
 
     /// Tells whether it is no longer listed and nothing runs there or is awaited from it.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_obsolete(&self) -> bool {
         !self.is_listed && self.runs.is_empty() && !self.is_poll_pending
     }
 
@@ -394,7 +394,7 @@
     /// Gives when its next poll is due or it may be removed; `None` if only an answer or a new
     /// entry can change that.
     pub(crate) fn next_due_ms(&self) -> Option<u64> {
-        if self.is_over() {
+        if self.is_obsolete() {
             return Some(0);
         }
         let poll_ms = self.can_be_polled().then_some(self.next_poll_ms);
@@ -458,7 +458,7 @@
         }
         match step.max_per_worker {
             0 => count,
-            most => count.min(most),
+            limit => count.min(limit),
         }
     }
 
--- a/crates/dispatch/src/owner/worker_removal.rs
+++ b/crates/dispatch/src/owner/worker_removal.rs
@@ -10,7 +10,7 @@
 use goldcrestway_core::Note;
 
 /// Pause before a worker that is listed and was given up is looked at again.
-const AGAIN_MS: u64 = 300;
+const REPOLL_DELAY_MS: u64 = 300;
 
 impl Owner {
     /// Gives up a worker: nothing that was there can be alive.
@@ -23,7 +23,7 @@
     ) {
         self.record_removal(key, removal_reason, now.steady_ms, actions);
         let removed = self.describe_removal(key, removal_reason, now.steady_ms);
-        self.record_unanswered(key, now.steady_ms);
+        self.record_unanswered_starts(key, now.steady_ms);
         let runs: Vec<(TaskId, u32)> = self.workers[key].runs.keys().copied().collect();
         for (task, run) in runs {
             self.lose_run(key, task, run, now.steady_ms);
@@ -41,10 +41,10 @@
         // It may be alive and cut off; then it is met again as one that runs nothing.
         if worker.is_listed {
             let id = worker.entry.id.clone();
-            let mut again = self.make_worker(worker.entry, now.steady_ms);
-            again.incarnation = worker.incarnation;
-            again.next_poll_ms = now.steady_ms + AGAIN_MS;
-            let key = self.workers.insert(again);
+            let mut readded = self.make_worker(worker.entry, now.steady_ms);
+            readded.incarnation = worker.incarnation;
+            readded.next_poll_ms = now.steady_ms + REPOLL_DELAY_MS;
+            let key = self.workers.insert(readded);
             self.worker_keys.insert(id, key);
         }
         self.apply_removal(removed, now, actions);
--- a/crates/dispatch/src/owner/workers.rs
+++ b/crates/dispatch/src/owner/workers.rs
@@ -25,7 +25,7 @@
     /// Those to which orders may be due.
     with_orders: BTreeSet<WorkerKey>,
     /// Those whose newest ends are not on record.
-    unrecorded: BTreeSet<WorkerKey>,
+    with_unrecorded_exits: BTreeSet<WorkerKey>,
     /// Those on which something may run that the owner can't see.
     in_doubt: BTreeSet<WorkerKey>,
     /// How often a worker was looked over.
@@ -45,7 +45,7 @@
             changed: Vec::new(),
             due_queue: BTreeSet::new(),
             with_orders: BTreeSet::new(),
-            unrecorded: BTreeSet::new(),
+            with_unrecorded_exits: BTreeSet::new(),
             in_doubt: BTreeSet::new(),
             workers_refreshed: 0,
             ending: BTreeSet::new(),
@@ -70,7 +70,7 @@
             self.due_queue.remove(&(due_ms, key));
         }
         self.with_orders.remove(&key);
-        self.unrecorded.remove(&key);
+        self.with_unrecorded_exits.remove(&key);
         self.in_doubt.remove(&key);
         self.ending.remove(&key);
         self.eligible.remove(&key);
@@ -121,7 +121,7 @@
             worker.is_changed = false;
             self.workers_refreshed += 1;
             let due_ms = worker.next_due_ms();
-            let (orders, unrecorded) = (
+            let (orders, with_unrecorded_exits) = (
                 worker.has_orders,
                 worker.handled_exit > worker.recorded_exit,
             );
@@ -129,11 +129,11 @@
             let ending = worker.activity() == Activity::Ending;
             let eligible = worker.untimed_exclusion().is_none();
             self.schedule(key, due_ms);
-            keep(&mut self.with_orders, key, orders);
-            keep(&mut self.unrecorded, key, unrecorded);
-            keep(&mut self.in_doubt, key, in_doubt);
-            keep(&mut self.ending, key, ending);
-            keep(&mut self.eligible, key, eligible);
+            set_membership(&mut self.with_orders, key, orders);
+            set_membership(&mut self.with_unrecorded_exits, key, with_unrecorded_exits);
+            set_membership(&mut self.in_doubt, key, in_doubt);
+            set_membership(&mut self.ending, key, ending);
+            set_membership(&mut self.eligible, key, eligible);
         }
     }
 
@@ -178,9 +178,9 @@
     }
 
     /// Lists the workers whose newest ends are not on record.
-    pub(crate) fn unrecorded(&mut self) -> Vec<WorkerKey> {
+    pub(crate) fn with_unrecorded_exits(&mut self) -> Vec<WorkerKey> {
         self.refresh_changed();
-        self.unrecorded.iter().copied().collect()
+        self.with_unrecorded_exits.iter().copied().collect()
     }
 
     /// Lists the workers that might get new work as of when they were last looked over.
@@ -207,8 +207,8 @@
     }
 }
 
-fn keep(set: &mut BTreeSet<WorkerKey>, key: WorkerKey, is_kept: bool) {
-    match is_kept {
+fn set_membership(set: &mut BTreeSet<WorkerKey>, key: WorkerKey, is_member: bool) {
+    match is_member {
         true => set.insert(key),
         false => set.remove(&key),
     };
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -29,17 +29,17 @@
 
 /// Pause between appends of progress. Each costs a call to the store; a start that waits
 /// for 20 ms is still well inside objectives of 250 ms and more.
-const GAP_MS: u64 = 20;
+const PROGRESS_GAP_MS: u64 = 20;
 /// Pause between appends of states. Callers ask for them a few times a second.
 const STATES_GAP_MS: u64 = 40;
 /// Pause between two records of what was learned. A successor loses as much at most.
-const LEARNED_MS: u64 = 2_500;
+const LEARNED_GAP_MS: u64 = 2_500;
 /// The same while workers are silent, whose time runs.
-const SILENT_MS: u64 = 400;
+const LEARNED_SILENT_GAP_MS: u64 = 400;
 /// How many times what answers of workers take of late, and the link takes for the records, is
 /// added to that. Repeated too early, records of 30 kB would fill a link of 2 Mbit/s by
 /// themselves.
-const SLOW_FACTOR: u64 = 3;
+const REPEAT_FACTOR: u64 = 3;
 /// Bytes of records in one append, well under what the store takes at once.
 const MAX_BATCH_BYTES: usize = 200_000;
 
@@ -50,7 +50,7 @@
     acknowledged_exit: Vec<(WorkerKey, u64)>,
     states: Vec<(JobId, StateRecord)>,
     /// Workers that the records no longer name as silent.
-    answering: Vec<Box<str>>,
+    no_longer_silent: Vec<Box<str>>,
 }
 
 /// Appends of the owner.
@@ -109,25 +109,25 @@
     /// Appends what has changed, or repeats what has no answer.
     pub(crate) fn write(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
-        let gap_ms = GAP_MS.max(self.link.records_gap_ms(self.writer.progress.last_bytes));
+        let gap_ms = PROGRESS_GAP_MS.max(self.link.records_gap_ms(self.writer.progress.last_bytes));
         if self.writer.progress.may_begin(now_ms, gap_ms) {
-            self.fill_progress(now_ms);
+            self.begin_progress_append(now_ms);
         }
         if self.writer.states.may_begin(now_ms, STATES_GAP_MS) {
-            self.fill_states(now_ms);
+            self.begin_states_append(now_ms);
         }
         let before = actions.len();
         let link_ms = self.link.carries_in_ms(self.writer.progress.last_bytes);
-        let slow_ms = SLOW_FACTOR * (self.answers.usual_ms() + link_ms);
+        let repeat_after_ms = REPEAT_FACTOR * (self.answers.usual_ms() + link_ms);
         let Writer {
             progress, states, ..
         } = &mut self.writer;
-        progress.send(self.token, slow_ms, now_ms, tickets, actions);
-        states.send(self.token, slow_ms, now_ms, tickets, actions);
+        progress.send(self.token, repeat_after_ms, now_ms, tickets, actions);
+        states.send(self.token, repeat_after_ms, now_ms, tickets, actions);
         self.stats.appends += (actions.len() - before) as u64;
     }
 
-    fn fill_progress(&mut self, now_ms: u64) {
+    fn begin_progress_append(&mut self, now_ms: u64) {
         let mut records = Vec::new();
         let mut bytes = 0;
         let mut written = Vec::new();
@@ -152,16 +152,16 @@
             written.push(*key);
         }
         if records.is_empty() {
-            self.forget_ends_without_effect();
+            self.acknowledge_exits_without_effect();
         }
         for job in self.writer.retired.drain(..) {
             records.push((Key::Progress(job).text(), Box::default()));
         }
         self.record_workers(&mut records);
-        let mut answering = Vec::new();
-        if self.must_tell_learned(now_ms) {
+        let mut no_longer_silent = Vec::new();
+        if self.must_record_learned(now_ms) {
             self.writer.learned_ms = now_ms;
-            let mut learned = self.learned(now_ms, &mut answering);
+            let mut learned = self.learned(now_ms, &mut no_longer_silent);
             // Callers name the images, and may name very many.
             if learned.encoded_len() as u64 > self.bounds.max_record_bytes {
                 learned.images.clear();
@@ -170,7 +170,7 @@
         }
         if !records.is_empty() {
             self.writer.effects = self.collect_effects(&written);
-            self.writer.effects.answering = answering;
+            self.writer.effects.no_longer_silent = no_longer_silent;
             self.writer.progress.begin(records, now_ms);
         }
     }
@@ -208,8 +208,8 @@
 
     /// Tells whether what was learned is to be recorded: now and then, more often while
     /// workers are silent, at once when one is no longer.
-    fn must_tell_learned(&mut self, now_ms: u64) -> bool {
-        let mut pause_ms = LEARNED_MS;
+    fn must_record_learned(&mut self, now_ms: u64) -> bool {
+        let mut learned_gap_ms = LEARNED_GAP_MS;
         for id in &self.recorded_silent {
             let key = self.worker_keys.get(id);
             if !key.is_some_and(|key| self.workers[*key].is_in_doubt()) {
@@ -217,17 +217,17 @@
             }
         }
         if !self.workers.in_doubt().is_empty() {
-            pause_ms = SILENT_MS;
+            learned_gap_ms = LEARNED_SILENT_GAP_MS;
         }
-        now_ms >= self.writer.learned_ms + pause_ms
+        now_ms >= self.writer.learned_ms + learned_gap_ms
     }
 
-    fn learned(&mut self, now_ms: u64, answering: &mut Vec<Box<str>>) -> Learned {
+    fn learned(&mut self, now_ms: u64, no_longer_silent: &mut Vec<Box<str>>) -> Learned {
         let mut silent = Vec::new();
-        answering.extend(self.recorded_silent.iter().cloned());
+        no_longer_silent.extend(self.recorded_silent.iter().cloned());
         for key in self.workers.in_doubt() {
             let worker = &mut self.workers[key];
-            answering.retain(|id| *id != worker.entry.id);
+            no_longer_silent.retain(|id| *id != worker.entry.id);
             self.recorded_silent.insert(worker.entry.id.clone());
             worker.is_recorded_silent = true;
             silent.push(SilentWorker {
@@ -242,11 +242,11 @@
     }
 
     /// Ends that changed nothing need no record before workers forget them.
-    fn forget_ends_without_effect(&mut self) {
+    fn acknowledge_exits_without_effect(&mut self) {
         if !self.is_caught_up {
             return;
         }
-        for key in self.workers.unrecorded() {
+        for key in self.workers.with_unrecorded_exits() {
             let worker = &mut self.workers[key];
             worker.recorded_exit = worker.handled_exit;
             worker.next_poll_ms = 0;
@@ -276,7 +276,7 @@
         });
         let is_all_written = self.live_jobs.iter().all(|key| !self.jobs[*key].is_dirty);
         if self.is_caught_up && is_all_written {
-            for key in self.workers.unrecorded() {
+            for key in self.workers.with_unrecorded_exits() {
                 effects
                     .acknowledged_exit
                     .push((key, self.workers[key].handled_exit));
@@ -285,12 +285,12 @@
         effects
     }
 
-    fn fill_states(&mut self, now_ms: u64) {
-        let is_quiet =
+    fn begin_states_append(&mut self, now_ms: u64) {
+        let may_wait =
             now_ms < self.writer.states.last_ms + HEARTBEAT_MS && !self.writer.must_announce;
-        let has_news =
+        let has_changes =
             !self.writer.unpublished.is_empty() || !self.writer.retired_states.is_empty();
-        if !has_news && is_quiet {
+        if !has_changes && may_wait {
             return;
         }
         let mut records = Vec::new();
@@ -345,7 +345,7 @@
             return Some(Vec::new());
         }
         let effects = std::mem::take(&mut self.writer.effects);
-        for id in effects.answering {
+        for id in effects.no_longer_silent {
             self.recorded_silent.remove(&id);
             if let Some(key) = self.worker_keys.get(&id) {
                 self.workers[*key].is_recorded_silent = false;
@@ -359,7 +359,7 @@
             self.send_start(worker, task, run, now, tickets, actions);
         }
         self.writer.unpublished.extend_from_slice(&effects.states);
-        self.drop_final();
+        self.remove_finished_jobs();
         Some(effects.states)
     }
 
@@ -380,18 +380,18 @@
     }
 
     /// Lets go of jobs whose end is on record and of which nothing runs.
-    fn drop_final(&mut self) {
+    fn remove_finished_jobs(&mut self) {
         let (jobs, keys, finished_jobs) =
             (&mut self.jobs, &mut self.job_keys, &mut self.finished_jobs);
         self.live_jobs.retain(|key| {
             let job = &jobs[*key];
-            let stays = !job.phase.is_final() || job.is_dirty;
-            if !stays {
+            let is_retained = !job.phase.is_final() || job.is_dirty;
+            if !is_retained {
                 keys.remove(&job.id);
                 finished_jobs.insert(job.id, job.submission.clone());
                 jobs.remove(*key);
             }
-            stays
+            is_retained
         });
     }
 
