--- a/crates/dispatch/src/owner/adopting.rs
+++ b/crates/dispatch/src/owner/adopting.rs
@@ -1,4 +1,4 @@
-//! Jobs and workers that come to the owner's knowledge.
+//! Adds jobs and workers from the records and the platform's list to the owner's state.
 
 use crate::config::WorkerEntry;
 use crate::event::Action;
@@ -21,7 +21,7 @@
 use std::collections::BTreeMap;
 
 impl Owner {
-    /// Takes in a job from the ledger, with the runs that a former owner has recorded.
+    /// Adds a job of the job table, with the runs that a previous owner has recorded.
     pub(crate) fn adopt(
         &mut self,
         id: JobId,
@@ -51,7 +51,7 @@
                     .copied()
                     .unwrap_or(default_expiry_ms);
                 let mut worker = Worker::unlisted(name, leases_expired_ms);
-                // Whoever answers at its address tells what became of it.
+                // The incarnation that answers at its address shows what became of it.
                 if let Some(entry) = listed.get(name) {
                     worker.entry = entry.clone();
                     worker.incarnation = entry.incarnation;
@@ -64,7 +64,7 @@
         let Some(mut job) = job else {
             return;
         };
-        // A former owner may have died before it could tell.
+        // A previous owner may have died before it could publish the phase.
         if job.phase.stage() > job.published.stage() {
             job.published = job.phase;
             self.writer.publish(id, job.state());
@@ -85,23 +85,24 @@
         }
     }
 
-    /// Time after which a worker that this owner never reached holds nothing of a former
-    /// one: that one stops within a while of losing its confirmation.
+    /// Gives the time after which a worker that this owner has never reached runs nothing of a
+    /// previous owner any more, as that owner stops within `MAX_UNCONFIRMED_MS` after its last
+    /// confirmation.
     fn previous_owner_expiry_ms(&self, now_ms: u64) -> u64 {
         now_ms + MAX_UNCONFIRMED_MS + self.lease_span_ms()
     }
 
-    /// Lease that is given with looks and starts.
+    /// Gives the length of the lease that polls and orders to start carry.
     pub(crate) fn lease_ms(&self) -> u64 {
         self.bounds.max_lease_ms.min(LEASE_MS)
     }
 
-    /// Longest time from sending an order with a lease until that lease is over.
+    /// Gives the maximum time from sending an order with a lease until that lease has expired.
     pub(crate) fn lease_span_ms(&self) -> u64 {
         self.lease_ms() * CLOCK_SKEW_PERMILLE / 1_000 + LEASE_SLACK_MS
     }
 
-    /// Longest time for which a worker grants a lease, whatever is asked for.
+    /// Gives the maximum time for which a worker grants a lease, whatever is requested.
     pub(crate) fn max_lease_span_ms(&self) -> u64 {
         self.bounds.max_lease_ms * CLOCK_SKEW_PERMILLE / 1_000 + LEASE_SLACK_MS
     }
@@ -117,11 +118,11 @@
             let mut run = self.make_run(key, id, RunPhase::Inherited, 0);
             run.is_probe = self.suspected_at(id).is_some();
             if let Some(worker) = self.workers.get_mut(at.worker) {
-                // Its end may have been listed, and passed over, while the job was not read. A
-                // run that is neither there nor known to have ended counts as lost, and its
-                // task would run again. The worker still holds the ends that are not on record.
+                // Its exit may have been listed and skipped before the job was read. A run that
+                // neither is there nor is known to have ended counts as lost, and its task would
+                // run again. The worker still keeps the exits that are not recorded.
                 worker.handled_exit = worker.recorded_exit;
-                // It was met there before its job was read.
+                // It may have been added as an orphan before its job was read.
                 worker.remove(id, at.run);
                 worker.add(id, at.run, run);
             }
@@ -139,8 +140,8 @@
         Run::new(&step, self.images.key(&step.image), phase, now_ms)
     }
 
-    /// Makes a worker of which only what the list says is known. One that is on record as
-    /// silent gets no lease before it is on record no more.
+    /// Makes a worker of which only its entry in the list is known. One that is recorded as silent
+    /// gets no lease until that record is replaced.
     pub(crate) fn make_worker(&self, entry: WorkerEntry, now_ms: u64) -> Worker {
         let is_recorded_silent = self.recorded_silent.contains(&entry.id);
         let mut worker = Worker::new(entry, self.previous_owner_expiry_ms(now_ms));
@@ -148,7 +149,7 @@
         worker
     }
 
-    /// Takes in the platform's list of workers, as a whole.
+    /// Applies the platform's list of workers as a whole.
     pub(crate) fn apply_worker_list(
         &mut self,
         entries: &BTreeMap<Box<str>, WorkerEntry>,
@@ -167,8 +168,8 @@
         self.spread_first_polls(now.steady_ms);
     }
 
-    /// Takes in what the platform says of a worker, if it lists it. Most reports say what the
-    /// former one did.
+    /// Applies the platform's entry of a worker, or its absence. Most entries are the same as the
+    /// previous ones.
     pub(crate) fn apply_worker_entry(
         &mut self,
         id: &str,
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -1,9 +1,9 @@
-//! Workers that have crashed: what ran there, and which task took them down.
+//! Detects crashes of workers, and counts them against the tasks that may have caused them.
 //!
-//! A worker that can't be heard has not always crashed: it may be cut off, or this host's own
-//! link may be full. It has crashed if another incarnation answers at its address, unless it was
-//! leaving. That may be known at once, or only after its leases are over and its tasks run
-//! elsewhere; until then what was lost there is kept with the tasks, on record.
+//! A worker that does not answer has not always crashed: it may be cut off, or the link of the
+//! owner's own host may be full. It has crashed if another incarnation answers at its address,
+//! unless it was draining. That may be known at once, or only after its leases have expired and its
+//! tasks run elsewhere. Until then, its lost runs are kept with their tasks and recorded.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -28,21 +28,21 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// Time for which a crash that no task can have caused is remembered: workers that crashed with
-/// that one are back by then.
+/// Time for which a crash that no task can have caused is remembered. Workers that crashed at the
+/// same time answer again by then.
 const OUTAGE_RETENTION_MS: u64 = 30_000;
 
-/// Time in which a worker has crashed: after its last answer, before the first one was missing.
+/// Time window in which a worker has crashed: from its last answer to the first missed one.
 type CrashWindow = (u64, u64);
 
-/// A worker that is given up, and of which it is not known whether it has crashed.
+/// A removed worker of which it is not known whether it has crashed.
 #[derive(Debug)]
 struct LostWorker {
     address: Box<str>,
     incarnation: Incarnation,
-    /// Not known of one that a former owner has given up.
+    /// Unknown if a previous owner has removed it.
     crash_window: Option<CrashWindow>,
-    /// What was lost there: tasks, or the first members of gangs.
+    /// Tasks that lost a run there; a gang is represented by its first member.
     tasks: BTreeSet<TaskId>,
 }
 
@@ -57,31 +57,31 @@
     }
 }
 
-/// A worker that is given up, and what goes with it.
+/// A removed worker and the runs that are lost with it.
 pub(super) struct RemovedWorker {
     worker: Box<str>,
-    /// It was leaving, so it may have ended as planned.
+    /// It was draining, so it may have exited as planned.
     is_expected_exit: bool,
     /// Another incarnation answers at its address.
     is_replaced: bool,
-    /// It was known, and nothing there can have been the cause.
+    /// It is replaced or silent, and no run there can have been the cause.
     is_unexplained: bool,
-    /// When it crashed, if it did; not known of one that this owner never heard.
+    /// When it crashed, if it did; unknown if it has never answered this owner.
     crash_window: Option<CrashWindow>,
-    /// What is lost, by task or gang.
+    /// The lost runs, by task or gang.
     lost_runs: Vec<(TaskId, LostRun)>,
 }
 
-/// What is known of crashes.
+/// Crashes of workers, as far as they are known.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
     lost_workers: HashMap<Box<str>, LostWorker>,
-    /// Workers whose crash nothing that had just begun there can have caused, and when.
+    /// Workers whose crash no recently started run there can have caused, and when they crashed.
     outages: Vec<(Box<str>, CrashWindow)>,
 }
 
 impl Crashes {
-    /// Tells whether another worker than this one crashed at the same time, unexplained.
+    /// Tells whether another worker crashed at the same time without an explanation.
     fn overlaps_outage(&self, worker: &str, crash_window: CrashWindow) -> bool {
         let mut others = self.outages.iter().filter(|(id, _)| **id != *worker);
         others.any(|(_, outage)| overlap(*outage, crash_window))
@@ -93,7 +93,7 @@
         self.outages.push((worker, outage));
     }
 
-    /// Forgets what a job lost.
+    /// Forgets the lost runs of a job.
     pub(super) fn forget(&mut self, job: JobId) {
         for lost in self.lost_workers.values_mut() {
             lost.tasks.retain(|task| task.job != job);
@@ -102,7 +102,7 @@
     }
 }
 
-/// Adds what went with a worker. Members of a gang go with it as one.
+/// Adds a run that was lost with a worker. Runs of members of a gang count as one.
 fn add_lost_run(lost_runs: &mut Vec<(TaskId, LostRun)>, suspicion_unit: TaskId, lost_run: LostRun) {
     let mut known = lost_runs.iter_mut();
     match known.find(|(other, previous)| *other == suspicion_unit && previous.run == lost_run.run) {
@@ -119,9 +119,9 @@
 }
 
 impl Run {
-    /// Tells whether it may be at work, or may have been until just now. One that is being stopped
-    /// is at work until it has ended. One of unknown fate whose worker has agreed to bar it was
-    /// hardly there.
+    /// Tells whether it may be running, or may have been until just now. A run that is being
+    /// stopped runs until it has ended. A run that was never confirmed, and whose worker has
+    /// accepted the order to stop it, has most likely never started.
     fn may_have_started(&self) -> bool {
         match self.phase {
             RunPhase::Recording => self.start_attempts > 0,
@@ -137,20 +137,21 @@
 }
 
 impl Worker {
-    /// Gives the time in which it has crashed, if it has.
+    /// Gives the time window in which it has crashed, if it has.
     fn crash_window(&self, now_ms: u64) -> CrashWindow {
         (self.answered_ms, self.first_missed_ms.unwrap_or(now_ms))
     }
 }
 
 impl Owner {
-    /// Gives a task, if its job is under way.
+    /// Gives a task, if its job has not ended.
     pub(super) fn task(&self, id: TaskId) -> Option<&Task> {
         let key = self.job_keys.get(&id.job)?;
         self.jobs[*key].task(id)
     }
 
-    /// Gives whose suspicion a task shares: a gang crashes as one, its first member stands for it.
+    /// Gives the task that holds the suspicion of a task: a gang crashes as one, so its first
+    /// member holds it for all.
     fn suspicion_unit(&self, task: TaskId) -> TaskId {
         let key = self.job_keys.get(&task.job);
         let step = key.and_then(|key| self.jobs[*key].step(task));
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Gives what goes with a worker that is given up, as it speaks against the tasks.
+    /// Gives the runs that are lost with a removed worker, as evidence against their tasks.
     pub(super) fn describe_removal(
         &self,
         key: WorkerKey,
@@ -176,9 +177,9 @@
             .collect();
         let mut lost_runs = Vec::new();
         for ((task, number), run) in started {
-            // What had worked for a while is no explanation as long as there is another one.
+            // A stable run is no explanation as long as there is another one.
             let is_counted = run.is_suspect() || suspects.is_empty() && !run.is_long_running;
-            // Nobody can be met again at an address that is not known.
+            // Without an address, no later incarnation can be matched to this worker.
             if run.is_orphan || !is_counted || worker.entry.address.is_empty() {
                 continue;
             }
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Takes in how a worker was given up.
+    /// Records the crash or the lost runs of a removed worker.
     pub(super) fn apply_removal(
         &mut self,
         removed: RemovedWorker,
@@ -250,7 +251,7 @@
         job.is_dirty = true;
     }
 
-    /// Takes up what former owners have put on record of a job's losses.
+    /// Restores the lost runs of a job that previous owners have recorded.
     pub(super) fn recover_lost_runs(&mut self, key: JobKey) {
         let mut recovered = Vec::new();
         self.jobs[key].for_each_task(|id, task| {
@@ -269,9 +270,8 @@
         }
     }
 
-    /// Learns from the first answer of an incarnation what became of those that were lost: the
-    /// former one at its address, or under its id, has crashed, and one that answers itself has
-    /// not.
+    /// Resolves lost workers by the first answer of an incarnation: the previous incarnation at its
+    /// address, or under its id, has crashed; a lost worker that answers itself has not.
     pub(super) fn resolve_lost_workers(
         &mut self,
         key: WorkerKey,
@@ -293,8 +293,9 @@
         }
     }
 
-    /// Tells whether a worker fell silent at the same time that no task can have taken down, so
-    /// that a whole rack or failure domain, or this host's own link, is the likelier cause.
+    /// Tells whether another worker, which no task can have crashed, fell silent at the same time.
+    /// Then an outage of a whole rack or failure domain, or of the link of the owner's own host, is
+    /// the likelier cause.
     fn is_outage(&self, id: &str, window: CrashWindow) -> bool {
         let unexplained = |worker: &Worker| {
             let has_suspects = worker.runs.values().any(Run::is_suspect);
@@ -308,7 +309,8 @@
                 .any(|worker| unexplained(worker) && overlap(worker.crash_window(window.1), window))
     }
 
-    /// Counts the crash of a worker against what ran there, or drops what was kept of it.
+    /// Counts the crash of a worker against the runs that were lost there, or drops these if it has
+    /// not crashed.
     fn resolve_crash(&mut self, id: &str, has_crashed: bool, now: Now, actions: &mut Vec<Action>) {
         let Some(lost) = self.crashes.lost_workers.remove(id) else {
             return;
@@ -335,8 +337,8 @@
         if !has_crashed {
             return;
         }
-        // Those that are suspected most come first: what one of them has done for certain raises no
-        // suspicion against the others.
+        // Tasks with the most confirmed crashes come first: a crash that one of them has certainly
+        // caused raises no suspicion against the others.
         lost_runs.sort_by_key(|(key, task, _)| {
             let state = self.jobs[*key].task(*task);
             Reverse(state.map_or(0, |state| state.suspicion.confirmed))
@@ -346,7 +348,8 @@
         }
     }
 
-    /// Counts a crash against a task, and tells whether it was to blame.
+    /// Counts a crash against a task, and tells whether the task was the cause. If it was, its job
+    /// fails.
     fn count_crash(
         &mut self,
         key: JobKey,
@@ -396,7 +399,7 @@
         is_to_blame
     }
 
-    /// Gives a job up as a task of it crashes its workers.
+    /// Fails a job because one of its tasks crashes its workers.
     pub(super) fn fail_crashing_job(
         &mut self,
         key: JobKey,
@@ -423,7 +426,7 @@
 
     /// Counts a start of a task that may have crashed workers before.
     pub(super) fn record_start(&mut self, key: JobKey, task: TaskId) {
-        // One member stands for its gang.
+        // The first member counts for its gang.
         if self.suspicion_unit(task) == task
             && let Some(state) = self.jobs[key].task_mut(task)
         {
@@ -431,8 +434,8 @@
         }
     }
 
-    /// Takes in that a start was refused, so that it was none; of a gang other members may have
-    /// begun.
+    /// Undoes the count of a start that was refused. For a gang, the start still counts, as other
+    /// members may have started.
     pub(super) fn undo_start(&mut self, task: TaskId) {
         let Some(key) = self.job_keys.get(&task.job).copied() else {
             return;
@@ -444,20 +447,21 @@
         }
     }
 
-    /// Tells whether a task must not be started any more.
+    /// Tells whether a task has used up its starts.
     pub(super) fn is_used_up(&self, task: TaskId) -> bool {
         let state = self.task(self.suspicion_unit(task));
         state.is_some_and(|state| state.suspicion.is_used_up())
     }
 
-    /// Gives until when a task waits for what became of its workers, if it does.
+    /// Gives until when a task waits to know whether its workers crashed, if it does.
     pub(super) fn undecided_until_ms(&self, task: TaskId, now_ms: u64) -> Option<u64> {
         self.task(self.suspicion_unit(task))?
             .undecided_until_ms(now_ms)
     }
 
-    /// Takes in that a run has been at work for long enough: its task crashes nobody. Members of a
-    /// gang must all have been: one that has crashed its worker just now leaves others at work.
+    /// Clears the suspicion of a task, as one of its runs is stable. For a gang, the runs of all
+    /// members must be stable, as those of the other members still run when one has just crashed
+    /// its worker.
     pub(super) fn clear_suspicion(&mut self, task: TaskId) {
         let suspicion_unit = self.suspicion_unit(task);
         let Some(key) = self.job_keys.get(&task.job).copied() else {
@@ -497,8 +501,8 @@
         })
     }
 
-    /// Tells where a task is suspected to have crashed its last worker; `None` if it is not
-    /// suspected.
+    /// Gives the address of the worker that a task is suspected to have crashed last; `None` if it
+    /// is not suspected.
     pub(super) fn suspected_at(&self, task: TaskId) -> Option<Box<str>> {
         let state = self.task(self.suspicion_unit(task))?;
         if !state.is_suspect() {
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its task and job.
+//! Applies the exits of runs to their tasks and jobs.
 
 use crate::event::Action;
 use crate::event::ExitReason;
@@ -13,16 +13,17 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Failures in a row after which a worker gets nothing new for a while.
+/// Consecutive failures after which a worker gets no new tasks for a while.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
-/// That while, doubled with the next failure. A worker that has recovered must not stand
-/// empty for long: tasks that last must run again within seconds where there is room.
+/// Time for which such a worker is avoided, doubled with the next failure. A worker that has
+/// recovered must not stay empty for long: long-running tasks must run again within seconds where
+/// resources are free.
 const FIRST_AVOID_MS: u64 = 1_500;
-/// Pause before a task that ended badly is started again, doubled with each further time.
+/// Delay before a task whose run did not succeed is started again, doubled with each further time.
 const RESTART_DELAY_MS: u64 = 30;
 
 impl Owner {
-    /// Handles an end that a worker has listed.
+    /// Handles an exit that a worker has listed.
     #[expect(
         clippy::too_many_arguments,
         reason = "These are the columns of one row."
@@ -94,9 +95,9 @@
         );
     }
 
-    /// Takes a task for done whose run ended well before it was given up, and is told of
-    /// only now: its worker was cut off until its lease was over. Whatever was started in
-    /// its place is stopped, and it never starts again.
+    /// Marks a task as done whose run succeeded before the owner removed its worker, but whose exit
+    /// is listed only now, as its worker was cut off until its leases had expired. Runs that
+    /// replaced it are stopped, and the task never starts again.
     fn accept_late_exit(&mut self, id: TaskId, now: Now, actions: &mut Vec<Action>) {
         let Some(key) = self.job_keys.get(&id.job).copied() else {
             return;
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Takes a task for done, or all tasks of a gang, whose members end well together, and
-    /// stops what else runs of it.
+    /// Marks a task as done, or all tasks of a gang, as the members of a gang succeed together, and
+    /// stops their other runs.
     fn complete_task(&mut self, key: JobKey, id: TaskId) {
         let job = &mut self.jobs[key];
         let is_gang = job.step(id).is_some_and(|step| step.is_gang);
@@ -142,8 +143,9 @@
         }
     }
 
-    /// Learns from an end whether a worker fails whatever it starts. A task that has just failed on
-    /// another one says nothing of this one: it would take each worker from everybody in turn.
+    /// Updates from an exit whether a worker fails whatever it starts, and avoids it if so. A task
+    /// that has just failed elsewhere says nothing about this worker; if it counted, it would make
+    /// one worker after the other unavailable to all other tasks.
     fn avoid_failing_worker(
         &mut self,
         key: WorkerKey,
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Handles a run of which nothing can be there any more, and never will.
+    /// Handles the loss of a run that does not run any more and never will.
     pub(crate) fn lose_run(&mut self, key: WorkerKey, id: TaskId, number: u32, now_ms: u64) {
         let Some(run) = self.workers[key].remove(id, number) else {
             return;
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -1,10 +1,11 @@
-//! Workers that start again under their id.
+//! Handles workers that restart under their id.
 //!
-//! The former incarnation is gone with all that it held: what ran there, which ends it had listed
-//! and which were read, its clock, its room, and each promise not to start a run that was stopped.
-//! So the new one is another worker to the owner, under a key of its own. Two things go over: runs
-//! that it lists itself, as it may have got an order that was meant for the former one, and runs
-//! whose order may still reach it, which it has to bar before they count as lost.
+//! The previous incarnation took everything that it held with it: its runs, the exits that it had
+//! listed and which of them were acknowledged, its clock, its reserved resources, and each promise
+//! not to start a stopped run later. So the owner treats the new incarnation as another worker,
+//! under a key of its own. Two kinds of runs move to it: those that it lists itself, as it may have
+//! received an order that was meant for the previous incarnation, and those whose order may still
+//! reach it. The owner stops the latter there before it counts them as lost.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -19,8 +20,8 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// Time after which an order that had no answer is no longer carried out. Workers are seconds late
-/// with such orders.
+/// Time after which an order without an answer is no longer carried out. Workers carry out such
+/// orders seconds late.
 const LATE_START_MS: u64 = 15_000;
 
 /// An order to start a run that had no answer, and when that was known.
@@ -38,15 +39,15 @@
     }
 }
 
-/// Orders to start that may still be carried out, by the id of the worker. The id is all that an
-/// order names, so whoever bears it then carries it out.
+/// Orders to start that may still be carried out, by the id of the worker. An order names its
+/// worker by the id only, so any incarnation that has this id carries it out.
 #[derive(Debug, Default)]
 pub(super) struct DoubtfulStarts {
     by_worker: HashMap<Box<str>, Vec<DoubtfulStart>>,
 }
 
 impl DoubtfulStarts {
-    /// Notes that an order may be carried out late.
+    /// Records that an order may be carried out late.
     pub(super) fn add(&mut self, worker: &str, task: TaskId, run: u32, now_ms: u64) {
         let starts = self.by_worker.entry(worker.into()).or_default();
         starts.retain(|start| start.is_open(now_ms));
@@ -64,7 +65,7 @@
         open.map(|start| (start.task, start.run)).collect()
     }
 
-    /// Forgets what is too old to be carried out.
+    /// Forgets orders that are too old to be carried out.
     pub(super) fn expire(&mut self, now_ms: u64) {
         self.by_worker.retain(|_, starts| {
             starts.retain(|start| start.is_open(now_ms));
@@ -74,8 +75,8 @@
 }
 
 impl Owner {
-    /// Takes in which incarnation of a worker has answered, and gives the key under which it is
-    /// known from now on.
+    /// Matches an answer to an incarnation of the worker, and gives the key of that incarnation,
+    /// which replaces the previous one if it has restarted.
     pub(super) fn match_incarnation(
         &mut self,
         key: WorkerKey,
@@ -114,7 +115,7 @@
         let key = self.begin_incarnation(previous, report, now_ms);
         for (task, number, mut run) in listed {
             run.phase = match run.phase {
-                // The promise not to start it later is gone with who gave it.
+                // Only the previous incarnation had promised not to start it later.
                 RunPhase::Stopping { .. } | RunPhase::Stopped { .. } => {
                     RunPhase::Stopping { again_ms: 0 }
                 }
@@ -131,7 +132,7 @@
             self.lose_run(previous, task, run, now_ms);
         }
         self.workers.remove(previous);
-        // Connections that were open to the former one may hang.
+        // Connections to the previous incarnation may hang.
         let address = self.workers[key].entry.address.clone();
         actions.push(Action::Disconnect { address });
         self.apply_removal(removed, now, actions);
@@ -139,8 +140,8 @@
         key
     }
 
-    /// Makes the worker that stands for the new incarnation. What is reported may still be of the
-    /// former one; nothing new is given to it until that has changed.
+    /// Makes the worker that represents the new incarnation. The platform's list may still describe
+    /// the previous one; the new one gets no tasks until that has changed.
     fn begin_incarnation(
         &mut self,
         previous: WorkerKey,
@@ -152,11 +153,12 @@
             (previous.entry.clone(), previous.is_listed, previous.clock);
         let mut worker = self.make_worker(entry, now_ms);
         worker.is_listed = is_listed;
-        // It came with the answer that tells of this incarnation.
+        // The clock came with the answer of this incarnation.
         worker.clock = clock;
         worker.incarnation = report.incarnation;
         worker.was_leaving = worker.entry.is_leaving && worker.is_reported();
-        // What it got by the clock of its former life it grants for as long as it ever does.
+        // A lease that was given by the clock of the previous incarnation may be granted for the
+        // maximum time.
         worker.leases_expired_ms = now_ms + self.max_lease_span_ms();
         let id = worker.entry.id.clone();
         let key = self.workers.insert(worker);
@@ -165,7 +167,8 @@
         key
     }
 
-    /// Takes the runs off a worker that its new incarnation lists itself, at work or ended.
+    /// Removes and gives the runs of a worker that its new incarnation lists itself, as running or
+    /// as ended.
     fn split_listed_runs(
         &mut self,
         key: WorkerKey,
@@ -184,7 +187,7 @@
         removed_runs
     }
 
-    /// Takes the runs off a worker whose orders may still be carried out.
+    /// Removes and gives the runs of a worker whose orders to start may still be carried out.
     fn take_doubtful_runs(&mut self, key: WorkerKey, now_ms: u64) -> Vec<(TaskId, u32, Run)> {
         self.record_unanswered_starts(key, now_ms);
         let worker = &mut self.workers[key];
@@ -197,7 +200,7 @@
         removed_runs
     }
 
-    /// Notes the orders to start of which nothing will be heard, as their worker is given up.
+    /// Records the orders to start that stay unanswered, as their worker is removed.
     pub(super) fn record_unanswered_starts(&mut self, key: WorkerKey, now_ms: u64) {
         let worker = &self.workers[key];
         for ((task, number), run) in &worker.runs {
@@ -229,8 +232,8 @@
         }
     }
 
-    /// Has a worker that answers for the first time bar the runs whose orders may still reach it.
-    /// Those that it lists have reached it.
+    /// Stops the runs whose orders may still reach a worker that answers for the first time, so
+    /// that it does not start them later. Runs that it lists have already reached it.
     pub(super) fn block_late_starts(&mut self, key: WorkerKey, report: &WorkerReport, now_ms: u64) {
         let id = self.workers[key].entry.id.clone();
         for (task, number) in self.doubtful_starts.open_starts(&id, now_ms) {
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -1,13 +1,13 @@
-//! The owner of all jobs: starts, watches and stops tasks on workers.
+//! The owner of all jobs: starts, monitors and stops tasks on workers.
 //!
-//! What is written before what:
+//! The order of writes makes the work of a successor safe:
 //!
-//! - a run is on record as assigned before the order to start it is sent, so a
-//!   successor knows where each task may be;
-//! - an end is on record before the worker is told to forget it, so a successor finds
-//!   it in one place or the other;
-//! - all else a successor learns by looking at the workers under its higher token,
-//!   after which they refuse whatever a former owner still sends.
+//! - A run is recorded as assigned before the order to start it is sent, so a successor knows where
+//!   each task may be.
+//! - The exit of a run is recorded before its worker is told to forget it, so a successor finds it
+//!   either in the record or at the worker.
+//! - Everything else a successor learns by polling the workers under its higher token. From then
+//!   on, they refuse whatever a previous owner still sends.
 
 mod adopting;
 mod calls;
@@ -77,16 +77,17 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Time for which an owner goes on that neither the store nor the workers confirm.
-/// The store is silent for longer than that at times, the workers are not.
+/// Maximum time for which the owner continues without confirmation by the store or by most workers.
+/// The store is silent for longer than this at times, the workers are not.
 const MAX_UNCONFIRMED_MS: u64 = 1_500;
-/// Age of the latest confirmation at which another one is looked for.
+/// Age of the latest confirmation from which on the workers are asked to confirm the owner again.
 const RECONFIRM_AFTER_MS: u64 = 300;
-/// Lease that tasks get. A task whose worker falls silent is started elsewhere once it is
-/// over, which must be within 6 s for tasks that last. A new owner extends leases within
-/// 3.5 s of its predecessor's end, 2 s to notice and 1.5 s for a store that is slow.
+/// Lease that tasks get. A task whose worker falls silent is started elsewhere once its lease has
+/// expired; for long-running tasks, that must be within 6 s. A new owner extends leases within 3.5
+/// s after the previous one has ended: 2 s until that is noticed, and 1.5 s for a slow store.
 const LEASE_MS: u64 = 4_800;
-/// A clock may be slow by 2%; a third more covers the time on the way.
+/// Factor by which the owner overestimates leases: the clock of a worker may be slow by 2%. The
+/// rest, and `LEASE_SLACK_MS`, cover the time in transit.
 const CLOCK_SKEW_PERMILLE: u64 = 1_030;
 const LEASE_SLACK_MS: u64 = 300;
 
@@ -95,51 +96,51 @@
 pub struct OwnerStats {
     /// Orders to start that were sent.
     pub starts: u64,
-    /// Orders to start that were refused for want of room.
+    /// Orders to start that were refused for lack of resources.
     pub refused_room: u64,
-    /// Runs that ended well.
+    /// Runs that succeeded.
     pub done: u64,
     /// Runs that failed.
     pub failed: u64,
     /// Runs that ended in any other way.
     pub broken: u64,
-    /// Runs that went with their worker.
+    /// Runs that were lost with a removed worker.
     pub lost: u64,
-    /// Workers that were given up.
+    /// Workers that were removed.
     pub workers_removed: u64,
-    /// Those of them at whose address another incarnation answered.
+    /// Removed workers in whose place another incarnation has answered.
     pub workers_replaced: u64,
-    /// Jobs that were given up as a task of theirs crashes its workers.
+    /// Jobs that were failed because one of their tasks crashes its workers.
     pub given_up: u64,
-    /// Looks at workers.
+    /// Polls that were sent to workers.
     pub polls: u64,
-    /// How often the state of a worker was looked over in a turn.
+    /// Number of times that the sets of workers were refreshed for one worker.
     pub workers_refreshed: u64,
-    /// How often a worker was weighed for a step that waits.
+    /// Number of times that a worker was evaluated for a waiting step.
     pub evaluated: u64,
-    /// Changes of a filler's share.
+    /// Orders to change the CPU share of a best-effort task.
     pub share_changes: u64,
-    /// Appends to the stream of progress.
+    /// Appends to the streams of progress and of states.
     pub appends: u64,
-    /// Times that a call was put off since the link is full, by rank.
+    /// Number of times that a call was deferred because the link was full, by priority.
     pub deferred: [u64; CallPriority::ALL.len()],
-    /// Time that the link still takes for what goes out.
+    /// Time in milliseconds that the link still needs for queued outgoing bytes.
     pub link_out_ms: u64,
-    /// Time that the link still takes for what comes in.
+    /// Time in milliseconds that the link still needs for expected incoming bytes.
     pub link_in_ms: u64,
-    /// What answers of workers take usually.
+    /// Usual latency of answers of workers, in milliseconds.
     pub answer_ms: u64,
-    /// Orders that went over relays.
+    /// Orders that were sent over relays.
     pub relayed: u64,
-    /// Relays that take orders.
+    /// Relays that are connected and accept orders.
     pub relays: u64,
-    /// Times that the relays of a worker were selected anew.
+    /// Number of times that relays were selected for a worker.
     pub selected: u64,
-    /// Steps that have waited for long, by what for.
+    /// Steps that have waited for a long time, by the reason.
     pub waits: [u64; WaitReason::ALL.len()],
 }
 
-/// Why an owner ends.
+/// Reason for which an owner stops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stepdown {
     /// A store or worker has seen a higher token.
@@ -152,22 +153,22 @@
     token: u64,
     host: Box<str>,
     bounds: Bounds,
-    /// When what a former owner knew to be silent has lapsed, by worker.
+    /// Times at which the leases of workers expire that a previous owner recorded as silent.
     inherited_expiry_ms: HashMap<Box<str>, u64>,
-    /// Workers that the newest record of silent ones names, or one under way.
+    /// Workers that the newest record of silent workers names, be it stored or being appended.
     recorded_silent: BTreeSet<Box<str>>,
     jobs: SlotMap<JobKey, Job>,
     job_keys: HashMap<JobId, JobKey>,
     live_jobs: Vec<JobKey>,
     /// Progress of jobs that this owner has not read yet.
     unread_progress: HashMap<JobId, Progress>,
-    /// All jobs that stood in the store when this owner claimed are read.
+    /// All jobs that were in the store when this owner claimed are read.
     is_caught_up: bool,
-    /// Workers as they are on record for a successor.
+    /// Workers as recorded for a successor.
     recorded_workers: BTreeMap<Box<str>, WorkerEntry>,
-    /// Workers of which something else may be true than these say.
+    /// Workers whose record may be out of date.
     unrecorded_workers: BTreeSet<Box<str>>,
-    /// Jobs that are over. What still runs of them takes room until it has ended.
+    /// Jobs that have ended. Runs of them that are not stopped yet still use resources.
     finished_jobs: HashMap<JobId, Rc<Submission>>,
     workers: Workers,
     worker_keys: HashMap<Box<str>, WorkerKey>,
@@ -175,44 +176,45 @@
     link: LinkBudget,
     answers: AnswerLatencies,
     relays: Sessions,
-    /// Orders go over relays where there are any.
+    /// Orders are sent over relays where there are any.
     uses_relays: bool,
     survey: HostSurvey,
-    /// When orders no longer wait for them.
+    /// Time from which on orders no longer wait for the relays to be connected.
     relays_due_ms: u64,
     images: Images,
     interference: InterferenceModel,
     durations: Durations,
     permits: Permits,
     evacuations: Rc<Evacuations>,
-    /// The rules are too old to start anything by.
+    /// The rules are too old to start tasks.
     are_starts_paused: bool,
     crashes: Crashes,
-    /// Runs that workers have listed and that are no task's own, where they were listed last.
+    /// Runs that workers have reported and that no task owns any more, with the worker that
+    /// reported them last.
     orphans: HashMap<TaskId, (WorkerKey, u32)>,
     doubtful_starts: DoubtfulStarts,
     writer: Writer,
     /// When the store or most workers last confirmed this owner.
     confirmed_ms: u64,
-    /// The store does not confirm it, so that the workers have to.
+    /// The store does not confirm the owner at present, so the workers have to.
     needs_worker_confirmation: bool,
     is_leaving: bool,
-    /// Looks that may be sent in this turn, and when that was last counted.
+    /// Number of polls that may be sent in this turn, and when it was last updated.
     poll_budget: usize,
     poll_budget_ms: u64,
     must_place: bool,
     next_place_ms: u64,
-    /// When the first task that was told to wait may be placed.
+    /// Earliest time at which a task that is delayed may be placed.
     wake_ms: u64,
-    /// When steps that wait for long are told of next.
+    /// When steps that have waited for a long time are reported next.
     next_waits_report_ms: u64,
     stepdown: Option<Stepdown>,
     pub(crate) stats: OwnerStats,
 }
 
 impl Owner {
-    /// Begins to own what the ledger holds, under a token that the store has accepted. `heartbeats`
-    /// are the signs of life that it has given since.
+    /// Starts to own the jobs of the job table, under a token that the store has accepted.
+    /// `heartbeats` continues the appends of the heartbeats that were sent since the claim.
     #[expect(
         clippy::too_many_arguments,
         reason = "These are what a claim has come to, and what every decision takes."
@@ -272,7 +274,7 @@
             stepdown: None,
             stats: OwnerStats::default(),
         };
-        // The time since that record was written is not known, so it is not counted.
+        // The time since that record was written is unknown, so it is not subtracted.
         for silent in &recovered.learned.silent {
             let leases_expired_ms = now.steady_ms + silent.remaining_ms;
             owner
@@ -296,14 +298,14 @@
         owner
     }
 
-    /// Stops a job for good.
+    /// Cancels a job.
     pub(crate) fn cancel(&mut self, id: JobId, now: Now, actions: &mut Vec<Action>) {
         if let Some(key) = self.job_keys.get(&id) {
             self.finish(*key, JobPhase::Cancelled, now, actions);
         }
     }
 
-    /// Ends a job: whatever still runs of it is stopped.
+    /// Ends a job and stops all of its runs.
     fn finish(&mut self, key: JobKey, phase: JobPhase, now: Now, actions: &mut Vec<Action>) {
         let job = &mut self.jobs[key];
         if job.phase.is_final() {
@@ -330,7 +332,7 @@
         self.must_place = true;
     }
 
-    /// Has all runs of a job stop, of which no end is awaited any more.
+    /// Orders all runs of a job to stop. Nothing waits for their exits any more.
     fn stop_runs(&mut self, id: JobId) {
         let mut holders = Vec::new();
         for (key, worker) in &self.workers {
@@ -357,15 +359,15 @@
         }
     }
 
-    /// Notes that all jobs that stood in the store at the claim are read. Until then runs of
-    /// jobs that were not read go on, and ends are kept by their workers: they may be of such
-    /// a job.
+    /// Records that all jobs that were in the store at the claim are read. Until then, runs of
+    /// unknown jobs continue and workers keep their exits, as they may belong to a job that was not
+    /// read yet.
     pub(crate) fn mark_caught_up(&mut self) {
         if self.is_caught_up {
             return;
         }
         self.is_caught_up = true;
-        // What is left is of jobs whose keys were dropped.
+        // Progress that is left belongs to jobs whose keys were dropped.
         self.unread_progress.clear();
         for worker in self.workers.values_mut() {
             worker.handled_exit = worker.recorded_exit;
@@ -379,13 +381,13 @@
         }
     }
 
-    /// Marks that the host is about to stop, so that another one claims.
+    /// Announces that the host is about to stop, so that another one claims the jobs.
     pub(crate) fn leave(&mut self) {
         self.is_leaving = true;
         self.writer.announce();
     }
 
-    /// Does what is due.
+    /// Carries out all work that is due.
     pub(crate) fn advance(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
         self.link.refill(now.steady_ms);
         self.maintain_relays(now, tickets, actions);
@@ -416,7 +418,7 @@
         self.report_waits(now, actions);
     }
 
-    /// Has metrics show how full the link is.
+    /// Updates the statistics of the link, of answers and of evaluated workers.
     fn update_link_stats(&mut self) {
         self.stats.evaluated = self.workers.evaluated();
         self.stats.workers_refreshed = self.workers.workers_refreshed();
@@ -440,8 +442,8 @@
         }
     }
 
-    /// Notices confirmation by the workers: most of them have answered this token lately,
-    /// so no successor has called them before.
+    /// Checks whether the workers confirm this owner: if most of them have answered under its token
+    /// recently, no successor had called them before that.
     fn check_confirmed(&mut self, now_ms: u64) {
         const ANSWERED_LATELY_MS: u64 = 2_000;
         // While the store confirms, the workers need not be counted.
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -1,4 +1,4 @@
-//! Looking at workers: keeps leases alive and learns what runs and what has ended.
+//! Polls workers: renews their leases and fetches what runs and what has ended there.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -22,34 +22,35 @@
 use goldcrestway_core::Note;
 use std::collections::HashSet;
 
-/// Time that a worker waits for an end before it answers a look. It bounds how late a
-/// silent worker is noticed, and how old the tails of served tasks are.
+/// Time for which a worker delays the answer to a poll until a run ends. It bounds how late a
+/// silent worker is noticed, and how old the tail latencies of latency-critical tasks are.
 const LONG_POLL_MS: u64 = 700;
-/// The same where fillers work beside a task that is over its target: how that goes on
-/// decides whether they are halted in time.
+/// The same where best-effort tasks run beside a latency-critical task that is over its target: the
+/// next answer decides whether they are suspended in time.
 const OVER_TARGET_LONG_POLL_MS: u64 = 250;
-/// Looks that are sent in one turn, and in a millisecond where turns are shorter.
+/// Maximum number of polls in one turn, and in one millisecond where turns are shorter.
 const MAX_POLLS: usize = 100;
 const POLLS_PER_MS: u64 = 20;
-/// Time over which looks that are hastened are spread.
+/// Time over which hastened polls are spread.
 const HASTEN_SPREAD_MS: u64 = 700;
-/// Pause between looks while ends wait to be recorded, which a look would repeat.
+/// Interval between polls while exits wait to be recorded, as a poll would list them again.
 const UNRECORDED_GAP_MS: u64 = 1_000;
-/// Pause before the look that follows one without an answer.
+/// Delay before the poll that follows one without an answer.
 const MISSED_GAP_MS: u64 = 20;
-/// Looks in a row without an answer at which that is told.
+/// Consecutive polls without an answer at which the worker is reported as silent.
 const REPORT_SILENT_AFTER: u32 = 2;
-/// Pause between looks at a worker that gives no answer.
+/// Interval between polls of a worker that does not answer.
 const SILENT_GAP_MS: u64 = 300;
-/// Looks in a row without an answer, all of them after its lease was over, at which a worker is
-/// given up though this host's own link is suspected. Its platform lists it, so it is likely
-/// alive, and its list may hold ends of tasks that would run again.
+/// Consecutive polls without an answer, all of them sent after its leases had expired, after which
+/// a worker is removed even though the link of the owner's own host is suspected. The platform
+/// lists such a worker, so it is likely alive and may hold exits of tasks that would run again.
 const MAX_MISSED_WHILE_SUSPECT: u32 = 3;
-/// Runs of which an order to start may be repeated before the run is given up.
+/// Maximum number of orders to start a run. If the last one has timed out and the run is not there,
+/// it is stopped.
 const MAX_START_ATTEMPTS: u32 = 2;
 
 impl Owner {
-    /// Sends the looks that are due, and buries workers that can hold nothing any more.
+    /// Sends the polls that are due, and removes workers on which nothing can run any more.
     pub(crate) fn send_due_polls(
         &mut self,
         now: Now,
@@ -86,9 +87,9 @@
         for key in dead {
             self.remove_worker(key, RemovalReason::GivenUp, now, actions);
         }
-        // Those on which something runs come first, in the order in which leases end. Should all be
-        // due at once, as they are for a new owner, the rest has to wait for the next turns: signs
-        // of life go out between them.
+        // Workers with runs come first, in the order in which their leases expire. If all workers
+        // are due at once, as for a new owner, the rest wait for the next turns, so that heartbeats
+        // are sent in between.
         due.sort_unstable();
         let passed_ms = now_ms.saturating_sub(self.poll_budget_ms);
         self.poll_budget_ms = now_ms;
@@ -109,9 +110,10 @@
         let lease_ms = self.lease_ms();
         let is_suspect = self.answers.is_link_suspect();
         let worker = &mut self.workers[key];
-        // The lease of a silent worker must run out some day: its tasks are started
-        // elsewhere only then. A look whose answer is lost would extend it. While answers are
-        // late from all workers, this one is likely alive, and its tasks must not end for that.
+        // The leases of a silent worker must expire at some time, as its tasks are started
+        // elsewhere only then; a poll whose answer is lost would extend them. While the answers of
+        // all workers are late, this one is likely alive, and its tasks must not end because of the
+        // link.
         let is_likely_alive = worker.missed_answers == 0
             || is_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
         let extends =
@@ -133,9 +135,9 @@
             true => LONG_POLL_MS,
             false => 0,
         };
-        // A worker that has started again since would take the figure for its own ends, and forget
-        // what nobody has read. So it is told one only if there is something to forget, and not
-        // after an answer was missing.
+        // A worker that has restarted since would apply the number to its own exits, and forget
+        // some that the owner has not read. So the number is sent only if there is something to
+        // forget, and not after a missed answer.
         let acknowledged_exit =
             match worker.missed_answers == 0 && worker.recorded_exit > worker.forgotten_exit {
                 true => worker.recorded_exit,
@@ -241,7 +243,7 @@
         worker.next_poll_ms = now_ms + gap_ms;
     }
 
-    /// Gives the pause before the next look at a worker.
+    /// Gives the interval until the next poll of a worker.
     fn poll_gap_ms(&mut self, key: WorkerKey) -> u64 {
         let ending = self.workers.ending();
         let polls = PollIntervals {
@@ -257,15 +259,16 @@
         polls.gap_ms(activity).max(link_gap_ms)
     }
 
-    /// Has a worker that was at rest looked at like one on which something is about to end.
+    /// Schedules the next poll of an idle worker as soon as that of one whose runs may end at any
+    /// time.
     pub(super) fn poll_soon(&mut self, key: WorkerKey, now_ms: u64) {
         let at_ms = now_ms + self.poll_gap_ms(key);
         let worker = &mut self.workers[key];
         worker.next_poll_ms = worker.next_poll_ms.min(at_ms);
     }
 
-    /// Spreads the first looks at workers on which nothing runs, by what the owner's processor bears.
-    /// Those that run something are looked at first.
+    /// Spreads the first polls of workers without runs, at a rate that the owner's processor can
+    /// bear. Workers with runs are polled first.
     pub(crate) fn spread_first_polls(&mut self, now_ms: u64) {
         let gap_us = first_gap_us(self.bounds.cpu_permille);
         let mut delay_us = 0;
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Has workers at rest looked at within a second, as they have to confirm this owner.
+    /// Polls all workers within a second, as they have to confirm this owner.
     pub(super) fn hasten_polls(&mut self, now_ms: u64) {
         let mut position = 0;
         for worker in self.workers.values_mut() {
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Compares what the worker lists as running with what should be there.
+    /// Compares the runs that a worker reports with those that it should have.
     fn apply_run_reports(
         &mut self,
         key: WorkerKey,
@@ -366,7 +369,7 @@
     ) {
         match phase {
             RunPhase::Recording | RunPhase::Sent | RunPhase::Stopping { .. } => {}
-            // Orders of a former owner are refused from this look on.
+            // The worker refuses orders of a previous owner from this poll on.
             RunPhase::Inherited => {
                 let id = &self.workers[key].entry.id;
                 self.doubtful_starts.add(id, task, number, now_ms);
@@ -386,8 +389,8 @@
         }
     }
 
-    /// Tells of a run that was there and is missing, though its end was not listed. It will run
-    /// again, so if it has ended well after all, it runs twice.
+    /// Reports a confirmed run that is missing although its exit was not listed. Its task will run
+    /// again, so if the run has succeeded after all, the task runs twice.
     fn report_vanished(
         &self,
         key: WorkerKey,
@@ -420,7 +423,7 @@
             return;
         };
         run.phase = match run.start_attempts < MAX_START_ATTEMPTS && !run.is_orphan {
-            // The same number makes a repeat harmless.
+            // A repeated order has the same run number, which makes it idempotent.
             true => RunPhase::Recording,
             false => RunPhase::Stopping { again_ms: now_ms },
         };
@@ -441,14 +444,14 @@
 }
 
 fn apply_run_report(run: &mut Run, row: &RunReport, now_ms: u64) {
-    // What a former owner started is judged from the first look on.
+    // The speed of a run that a previous owner started is measured from the first poll on.
     if run.phase == RunPhase::Inherited {
         run.started_ms = now_ms;
         run.first_ms = now_ms;
         run.first_percent = row.percent;
         run.progressed_ms = now_ms;
     }
-    // A resumed run begins at the share of the work that its checkpoint holds.
+    // A resumed run starts with the progress that its checkpoint contains.
     if run.percent == 0 && !run.checkpoint.is_empty() && run.first_percent == 0 {
         run.first_percent = row.percent;
         run.first_ms = now_ms;
--- a/crates/dispatch/src/owner/progress.rs
+++ b/crates/dispatch/src/owner/progress.rs
@@ -1,4 +1,4 @@
-//! Steps of jobs as they are put on record, and taken up from there.
+//! Converts the progress of steps to and from its records.
 
 use crate::owner::job::StepState;
 use crate::owner::task::LostRun;
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -1,4 +1,4 @@
-//! Orders of the owner that go over relays.
+//! Sends orders of the owner over relays.
 
 use crate::election::HostSurvey;
 use crate::event::Action;
@@ -18,23 +18,23 @@
 use crate::relay::RelayedOutcome;
 use std::collections::HashMap;
 
-/// Time for which an owner that needs relays gives no orders while it connects to them. Without
-/// it 3,000 workers got a connection each from the owner, which it did not need any more a
-/// moment later; leases bear the pause.
+/// Time for which an owner that needs relays sends no orders while it connects to them. Without
+/// this delay, the owner opened a connection to each of 3,000 workers that it did not need any more
+/// a moment later; the leases last longer than the delay.
 const CONNECTING_MS: u64 = 300;
-/// Time for which a relay that had no answer of a worker is passed over there. Cuts last for
-/// seconds.
+/// Time for which a relay that got no answer from a worker is not used for that worker. Network
+/// cuts last for seconds.
 const RELAY_AVOID_MS: u64 = 5_000;
 
 impl Owner {
-    /// Takes in which hosts there are.
+    /// Updates the hosts that may serve as relays.
     pub(crate) fn update_hosts(&mut self, hosts: &HashMap<Box<str>, HostRecord>) {
         self.survey = HostSurvey::of(hosts);
         self.relays.update_hosts(&self.host, hosts);
     }
 
-    /// Keeps connections to relays if there are too many workers for this host, and gives up
-    /// what is overdue.
+    /// Maintains connections to relays if there are too many workers for this host, and times out
+    /// overdue orders.
     pub(super) fn maintain_relays(
         &mut self,
         now: Now,
@@ -45,7 +45,7 @@
             link_bytes_per_s: self.bounds.link_bytes_per_s,
             cpu_permille: self.bounds.cpu_permille,
         };
-        // Connections stay when a few workers go: opening them anew costs more.
+        // Connections are kept when a few workers are removed, as it costs more to open them again.
         if !self.uses_relays {
             self.uses_relays = needs_relays(self.workers.len(), means);
             self.relays_due_ms = now.steady_ms + CONNECTING_MS;
@@ -60,12 +60,12 @@
         self.stats.selected = self.relays.selected();
     }
 
-    /// Tells whether orders are to wait until there are relays.
+    /// Tells whether orders are to wait until a relay is connected.
     pub(super) fn awaits_relays(&self, now_ms: u64) -> bool {
         self.uses_relays && now_ms < self.relays_due_ms && self.relays.are_all_opening()
     }
 
-    /// Gives an order to a relay, and tells whether there is one to take it.
+    /// Sends an order to a relay, and tells whether one has accepted it.
     pub(super) fn relay(
         &mut self,
         ticket: u64,
@@ -98,9 +98,9 @@
         true
     }
 
-    /// Has another relay, or none, carry the orders for a worker of which one had no answer: it
-    /// may be the relay that does not reach the worker. Workers would be given up otherwise
-    /// that others still reach.
+    /// Switches the orders for a worker to another relay, or to direct calls, after one of them had
+    /// no answer: it may be the relay that can't reach the worker. Otherwise, workers that others
+    /// still reach would be removed.
     pub(super) fn switch_relay(&mut self, key: WorkerKey, now_ms: u64) {
         if !self.uses_relays {
             return;
@@ -108,7 +108,7 @@
         let Some(worker) = self.workers.get_mut(key) else {
             return;
         };
-        // The place after the last relay stands for a direct call.
+        // The index after the last relay stands for a direct call.
         worker.relay_index = (worker.relay_index + 1) % (CHOICES + 1);
         worker.relay_index_until_ms = now_ms + RELAY_AVOID_MS;
     }
@@ -127,7 +127,7 @@
         self.handle_order_outcomes(outcomes, now, actions);
     }
 
-    /// Takes in what came of relayed orders.
+    /// Handles a frame of a relay, which may contain outcomes of relayed orders.
     pub(crate) fn handle_relay_frame(
         &mut self,
         conn: ConnectionId,
@@ -152,17 +152,17 @@
         }
     }
 
-    /// Takes what other hosts have asked.
+    /// Removes and gives the inquiries of other hosts.
     pub(crate) fn take_inquiries(&mut self) -> Vec<Inquiry> {
         self.relays.take_inquiries()
     }
 
-    /// Answers another host.
+    /// Answers an inquiry of another host.
     pub(crate) fn answer_host(&mut self, asker: Asker, reply: &Reply) {
         self.relays.answer(asker, reply);
     }
 
-    /// Lets go of all relays, as this owner ends.
+    /// Closes the connections to all relays, as this owner stops.
     pub(crate) fn close_relays(&mut self, actions: &mut Vec<Action>) {
         self.relays.close(actions);
     }
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -17,13 +17,13 @@
 /// after a failure. Long-running tasks must run again within seconds where they can.
 const MAX_DOUBLINGS: u32 = 5;
 /// Time for which a suspected task waits for a worker without other suspects. A job that could run
-/// and does not for three seconds counts as lost.
+/// but has not started for 3 s counts as lost.
 const ISOLATION_WAIT_MS: u64 = 2_000;
 /// Maximum number of lost runs of a task that are kept until it is known whether their workers
 /// crashed.
 const MAX_LOST_RUNS: usize = 4;
 /// Time for which a task that may have used up its starts waits until it is known whether its
-/// workers have crashed. Workers that crash are mostly back within twice a lease.
+/// workers have crashed. Crashed workers mostly answer again within twice the length of a lease.
 const MAX_UNDECIDED_MS: u64 = 6_000;
 
 /// A run that was lost with a removed worker.
@@ -43,7 +43,8 @@
 
 impl LostRun {
     /// Tells whether the run was confirmed and may have crashed the worker. A run that a new owner
-    /// has never seen there is not suspected: after an outage that would be all tasks of a domain.
+    /// has never seen at its worker is not suspected: after an outage, all tasks of a failure
+    /// domain would be.
     pub(crate) fn may_be_cause(&self) -> bool {
         self.is_suspect && self.is_confirmed
     }
@@ -143,7 +144,7 @@
             .is_none_or(|until_ms| now_ms < until_ms)
     }
 
-    /// Keeps a lost run until it is known whether its worker crashed.
+    /// Records a lost run until it is known whether its worker crashed.
     pub(crate) fn record_lost_run(&mut self, lost_run: LostRun, now_ms: u64) {
         self.lost_ms = now_ms;
         if self.lost_runs.len() == MAX_LOST_RUNS {
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -64,7 +64,7 @@
     Label,
     /// It has the maximum number of tasks of the step.
     Spread,
-    /// A best-effort task would slow down a service there, or already does.
+    /// A best-effort task would slow down a latency-critical task there, or already does.
     Disturbed,
     /// Best-effort tasks already use its unused processor time.
     Crowded,
@@ -131,7 +131,7 @@
     pub(crate) gauge: u64,
     /// The gauge of the previous poll.
     pub(crate) previous_gauge: u64,
-    /// Recent headroom, if it is a service.
+    /// Recent headroom, if it is latency-critical.
     pub(crate) baseline: Baseline,
     /// Since when its tail latency is over its target.
     pub(crate) over_since_ms: Option<u64>,
@@ -182,8 +182,8 @@
 impl Run {
     /// Requests that a run stops, because nothing waits for its exit any more, or because its task
     /// restarts after it. Tells whether no order to start it was ever sent, so that it can simply
-    /// be dropped. This is not so for a run that waits for its second order: the first one timed
-    /// out and may be carried out seconds later, unless an order to stop bars it.
+    /// be dropped. A run that waits for its second order can't be dropped: the first one timed out
+    /// and may be carried out seconds later, unless an order to stop prevents that.
     pub(crate) fn request_stop(&mut self) -> bool {
         match self.phase {
             RunPhase::Recording if self.start_attempts == 0 => return true,
@@ -257,7 +257,7 @@
     pub(crate) queued_due_ms: Option<u64>,
     /// Earliest time of the next change of CPU shares.
     pub(crate) next_share_change_ms: u64,
-    /// Best-effort tasks run beside a service that is over its target.
+    /// Best-effort tasks run beside a latency-critical task that is over its target.
     pub(crate) is_over_target: bool,
 }
 
@@ -376,7 +376,7 @@
         self.is_silent() || !self.is_known || self.entry.address.is_empty()
     }
 
-    /// Tells whether it is no longer listed and nothing runs there or is awaited from it.
+    /// Tells whether it is no longer listed, has no runs, and no answer is pending.
     pub(crate) fn is_obsolete(&self) -> bool {
         !self.is_listed && self.runs.is_empty() && !self.is_poll_pending
     }
@@ -428,7 +428,7 @@
         self.untimed_exclusion().or(avoided)
     }
 
-    /// The same without reasons that pass with time alone.
+    /// Gives the same, without reasons that end with time alone.
     pub(crate) fn untimed_exclusion(&self) -> Option<Exclusion> {
         if !self.is_listed {
             return Some(Exclusion::Unlisted);
--- a/crates/dispatch/src/owner/worker_removal.rs
+++ b/crates/dispatch/src/owner/worker_removal.rs
@@ -1,4 +1,4 @@
-//! Workers that are given up.
+//! Removes workers on which nothing can run any more.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -9,11 +9,11 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Pause before a worker that is listed and was given up is looked at again.
+/// Delay before a worker that was removed but is still listed is polled again.
 const REPOLL_DELAY_MS: u64 = 300;
 
 impl Owner {
-    /// Gives up a worker: nothing that was there can be alive.
+    /// Removes a worker: nothing there can be alive.
     pub(crate) fn remove_worker(
         &mut self,
         key: WorkerKey,
@@ -38,7 +38,7 @@
                 address: worker.entry.address.clone(),
             });
         }
-        // It may be alive and cut off; then it is met again as one that runs nothing.
+        // The worker may be alive and cut off; it is added again as one without runs.
         if worker.is_listed {
             let id = worker.entry.id.clone();
             let mut readded = self.make_worker(worker.entry, now.steady_ms);
@@ -53,8 +53,9 @@
 }
 
 impl Owner {
-    /// Tells why a worker is given up and what goes with it, so that a task which takes its
-    /// workers down can be told from tasks that are merely there, and a crash from a cut.
+    /// Reports why a worker is removed and which runs are lost with it, so that operators can tell
+    /// a task that crashes its workers from tasks that merely ran beside it, and a crash from a
+    /// network cut.
     pub(super) fn record_removal(
         &mut self,
         key: WorkerKey,
--- a/crates/dispatch/src/owner/workers.rs
+++ b/crates/dispatch/src/owner/workers.rs
@@ -1,9 +1,10 @@
-//! All workers of the owner, and which of them need attention.
+//! All workers of the owner, and the sets of those that need work.
 //!
-//! Load: an owner takes hundreds of turns a second, and most of them are about one worker. Passes
-//! over all workers in each turn cost turns times workers, which is more than a small host has at
-//! a few thousand of them. So whatever changes a worker marks it, and only marked workers are
-//! looked over: what follows for them is kept in order of time, or in sets.
+//! Load: an owner takes hundreds of turns a second, and most of them concern one worker. If each
+//! turn passed over all workers, the cost would be turns times workers, which is more than a small
+//! host can bear with a few thousand workers. So each change of a worker marks it as changed, and
+//! only changed workers are evaluated again; the results are kept in a queue ordered by time, and
+//! in sets.
 
 use crate::owner::worker::Worker;
 use crate::owner::worker::WorkerKey;
@@ -18,23 +19,24 @@
 #[derive(Debug)]
 pub(crate) struct Workers {
     slots: SlotMap<WorkerKey, Worker>,
-    /// Those that may have changed since they were last looked over, each once.
+    /// Workers that may have changed since the last refresh, each once.
     changed: Vec<WorkerKey>,
-    /// When each needs attention next.
+    /// Workers by the time at which they are due next.
     due_queue: BTreeSet<(u64, WorkerKey)>,
-    /// Those to which orders may be due.
+    /// Workers to which orders may be due.
     with_orders: BTreeSet<WorkerKey>,
-    /// Those whose newest ends are not on record.
+    /// Workers whose newest exits are not recorded.
     with_unrecorded_exits: BTreeSet<WorkerKey>,
-    /// Those on which something may run that the owner can't see.
+    /// Workers on which something may run that the owner can't see.
     in_doubt: BTreeSet<WorkerKey>,
-    /// How often a worker was looked over.
+    /// Number of times that a worker was refreshed.
     workers_refreshed: u64,
-    /// Those on which something is about to end.
+    /// Workers that run something which may end at any time, or best-effort tasks beside a
+    /// latency-critical task over its target.
     ending: BTreeSet<WorkerKey>,
-    /// Those that may get new work.
+    /// Workers that may get new tasks.
     eligible: BTreeSet<WorkerKey>,
-    /// How often one of them was weighed for some task.
+    /// Number of times that one of them was evaluated for a task.
     evaluated: Cell<u64>,
 }
 
@@ -94,7 +96,7 @@
         self.slots.values()
     }
 
-    /// Gives all workers to be changed, which has all of them looked over.
+    /// Gives mutable references to all workers, and marks all of them as changed.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         let keys: Vec<WorkerKey> = self.slots.keys().collect();
         for key in keys {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Looks over the workers that may have changed.
+    /// Updates the queue and the sets for the workers that may have changed.
     pub(crate) fn refresh_changed(&mut self) {
         for key in std::mem::take(&mut self.changed) {
             let Some(worker) = self.slots.get_mut(key) else {
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Lists the workers that need attention by now. Each is on the list again in the next turn,
-    /// unless that has changed.
+    /// Lists the workers that are due. Each is due again in the next turn, unless its time has
+    /// changed.
     pub(crate) fn due(&mut self, now_ms: u64) -> Vec<WorkerKey> {
         self.refresh_changed();
         let mut due = Vec::new();
@@ -166,7 +168,7 @@
         due
     }
 
-    /// Gives how often a worker was looked over.
+    /// Gives the number of times that a worker was refreshed.
     pub(crate) fn workers_refreshed(&self) -> u64 {
         self.workers_refreshed
     }
@@ -177,25 +179,25 @@
         self.with_orders.iter().copied().collect()
     }
 
-    /// Lists the workers whose newest ends are not on record.
+    /// Lists the workers whose newest exits are not recorded.
     pub(crate) fn with_unrecorded_exits(&mut self) -> Vec<WorkerKey> {
         self.refresh_changed();
         self.with_unrecorded_exits.iter().copied().collect()
     }
 
-    /// Lists the workers that might get new work as of when they were last looked over.
+    /// Lists the workers that might get new tasks, as of the last refresh.
     pub(crate) fn eligible(&self) -> impl Iterator<Item = (WorkerKey, &Worker)> {
         let count = self.eligible.len() as u64;
         self.evaluated.set(self.evaluated.get() + count);
         self.eligible.iter().map(|key| (*key, &self.slots[*key]))
     }
 
-    /// Gives how often a worker was weighed for some task.
+    /// Gives the number of times that a worker was evaluated for a task.
     pub(crate) fn evaluated(&self) -> u64 {
         self.evaluated.get()
     }
 
-    /// Gives on how many workers something is about to end.
+    /// Gives the number of workers that run something which may end at any time.
     pub(crate) fn ending(&self) -> usize {
         self.ending.len()
     }
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -1,8 +1,8 @@
-//! Writing progress to the store, and what follows once it is stored.
+//! Appends progress to the store, and carries out what depends on it once it is stored.
 //!
-//! Progress, task by task, goes to a stream that nobody reads but the next owner. The few
-//! bytes that all hosts need, states of jobs and signs of life, follow in a stream of
-//! their own: hosts on thin links could not keep up with the first one.
+//! The progress of each task goes to a stream that only the next owner reads. The few bytes that
+//! all hosts need, states of jobs and heartbeats, follow in a stream of their own: hosts with slow
+//! links could not keep up with the first one.
 
 use crate::appender::Appender;
 use crate::appender::HEARTBEAT_MS;
@@ -27,29 +27,30 @@
 use crate::worker_record::WorkerRecord;
 use prost::Message;
 
-/// Pause between appends of progress. Each costs a call to the store; a start that waits
-/// for 20 ms is still well inside objectives of 250 ms and more.
+/// Interval between appends of progress. Each costs a call to the store; a start that waits for 20
+/// ms is still well within objectives of 250 ms and more.
 const PROGRESS_GAP_MS: u64 = 20;
-/// Pause between appends of states. Callers ask for them a few times a second.
+/// Interval between appends of states. Callers poll for them a few times a second.
 const STATES_GAP_MS: u64 = 40;
-/// Pause between two records of what was learned. A successor loses as much at most.
+/// Interval between two records of learned data. It is the maximum time for which a successor loses
+/// them.
 const LEARNED_GAP_MS: u64 = 2_500;
-/// The same while workers are silent, whose time runs.
+/// The same while workers are silent, as the record contains the remaining time of their leases.
 const LEARNED_SILENT_GAP_MS: u64 = 400;
-/// How many times what answers of workers take of late, and the link takes for the records, is
-/// added to that. Repeated too early, records of 30 kB would fill a link of 2 Mbit/s by
-/// themselves.
-const REPEAT_FACTOR: u64 = 3;
-/// Bytes of records in one append, well under what the store takes at once.
+/// Multiple of the usual latency of workers plus the time that the link needs for the records. It
+/// is added to the timeout of an append: repeated too early, records of 30 kB would fill a link of
+/// 2 Mbit/s by themselves.
+const EXTRA_TIMEOUT_FACTOR: u64 = 3;
+/// Bytes of records after which an append gets no further job, well below the limit of the store.
 const MAX_BATCH_BYTES: usize = 200_000;
 
-/// What follows once an append of progress is stored.
+/// Actions that follow once an append of progress is stored.
 #[derive(Debug, Default)]
 struct Effects {
     starts: Vec<(WorkerKey, TaskId, u32)>,
     acknowledged_exit: Vec<(WorkerKey, u64)>,
     states: Vec<(JobId, StateRecord)>,
-    /// Workers that the records no longer name as silent.
+    /// Workers that the append no longer records as silent.
     no_longer_silent: Vec<Box<str>>,
 }
 
@@ -64,18 +65,18 @@
     learned_ms: u64,
     /// Runs whose records are in no append yet.
     starts: Vec<(WorkerKey, TaskId, u32)>,
-    /// Jobs whose keys are to be dropped, from each of the two streams.
+    /// Jobs whose keys are to be removed, for each of the two streams.
     retired: Vec<JobId>,
     retired_states: Vec<JobId>,
-    /// States that are true by the stored progress and not told yet.
+    /// States that follow from the stored progress and are not published yet.
     unpublished: Vec<(JobId, StateRecord)>,
 }
 
 impl Writer {
-    /// Goes on in the stream of states where the claim has given its signs of life.
+    /// Continues the stream of states after the heartbeats that the claim has sent.
     pub(crate) fn new(states: Appender, now_ms: u64) -> Self {
         Self {
-            // The claim was number 0.
+            // The claim was append number 0.
             progress: Appender::new(Stream::Progress, 1, now_ms),
             states,
             effects: Effects::default(),
@@ -89,24 +90,24 @@
         }
     }
 
-    /// Has the next append of states tell about the owner.
+    /// Requests that the next append of states contains the record of the owner.
     pub(crate) fn announce(&mut self) {
         self.must_announce = true;
     }
 
-    /// Has a run started once its job's record is stored.
+    /// Starts a run once the record of its job is stored.
     pub(crate) fn start_once_stored(&mut self, worker: WorkerKey, task: TaskId, run: u32) {
         self.starts.push((worker, task, run));
     }
 
-    /// Tells the state of a job whose progress is stored.
+    /// Publishes the state of a job whose progress is stored.
     pub(crate) fn publish(&mut self, job: JobId, state: StateRecord) {
         self.unpublished.push((job, state));
     }
 }
 
 impl Owner {
-    /// Appends what has changed, or repeats what has no answer.
+    /// Appends records of what has changed, and repeats appends that have no answer.
     pub(crate) fn write(&mut self, now: Now, tickets: &mut u64, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         let gap_ms = PROGRESS_GAP_MS.max(self.link.records_gap_ms(self.writer.progress.last_bytes));
@@ -118,12 +119,12 @@
         }
         let before = actions.len();
         let link_ms = self.link.carries_in_ms(self.writer.progress.last_bytes);
-        let repeat_after_ms = REPEAT_FACTOR * (self.answers.usual_ms() + link_ms);
+        let extra_timeout_ms = EXTRA_TIMEOUT_FACTOR * (self.answers.usual_ms() + link_ms);
         let Writer {
             progress, states, ..
         } = &mut self.writer;
-        progress.send(self.token, repeat_after_ms, now_ms, tickets, actions);
-        states.send(self.token, repeat_after_ms, now_ms, tickets, actions);
+        progress.send(self.token, extra_timeout_ms, now_ms, tickets, actions);
+        states.send(self.token, extra_timeout_ms, now_ms, tickets, actions);
         self.stats.appends += (actions.len() - before) as u64;
     }
 
@@ -142,7 +143,7 @@
                     .get(worker)
                     .map_or(String::new(), |worker| worker.entry.id.to_string())
             });
-            // The store would refuse it for good, and whatever comes after it.
+            // The store would refuse a larger record permanently, and with it all that follow.
             if progress.encoded_len() as u64 > self.bounds.max_record_bytes {
                 progress.shorten();
             }
@@ -162,7 +163,7 @@
         if self.must_record_learned(now_ms) {
             self.writer.learned_ms = now_ms;
             let mut learned = self.learned(now_ms, &mut no_longer_silent);
-            // Callers name the images, and may name very many.
+            // The images come from callers, who may name a great many.
             if learned.encoded_len() as u64 > self.bounds.max_record_bytes {
                 learned.images.clear();
             }
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Records which workers are listed, where that has changed. A successor needs their
-    /// addresses at once, to extend leases, and the platform's list may be away just then.
+    /// Records which workers are listed, where that has changed. A successor needs their addresses
+    /// at once to extend leases, and the platform's list may be unavailable then.
     fn record_workers(&mut self, records: &mut Records) {
         for id in std::mem::take(&mut self.unrecorded_workers) {
             let known = self.worker_keys.get(&id);
@@ -184,7 +185,7 @@
                 Some(worker) if worker.is_listed => {
                     let entry = WorkerEntry {
                         cold_ms: 0,
-                        // Its runs that are on record are of this one.
+                        // Its recorded runs belong to this incarnation.
                         incarnation: worker.incarnation,
                         ..worker.entry.clone()
                     };
@@ -194,8 +195,8 @@
                         self.recorded_workers.insert(id, entry);
                     }
                 }
-                // A successor finds out at its address what became of one on which runs are on
-                // record.
+                // A successor needs the address of a worker with recorded runs to find out what
+                // became of it.
                 Some(worker) if !worker.runs.is_empty() => drop(self.unrecorded_workers.insert(id)),
                 _ => {
                     if self.recorded_workers.remove(&id).is_some() {
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Tells whether what was learned is to be recorded: now and then, more often while
-    /// workers are silent, at once when one is no longer.
+    /// Tells whether learned data are to be recorded: at intervals, more often while workers are
+    /// silent, and at once when one no longer is.
     fn must_record_learned(&mut self, now_ms: u64) -> bool {
         let mut learned_gap_ms = LEARNED_GAP_MS;
         for id in &self.recorded_silent {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Ends that changed nothing need no record before workers forget them.
+    /// Acknowledges exits that changed nothing, as they need no record before workers forget them.
     fn acknowledge_exits_without_effect(&mut self) {
         if !self.is_caught_up {
             return;
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Collects what follows once the records of these jobs are stored.
+    /// Collects the actions that follow once the records of these jobs are stored.
     fn collect_effects(&mut self, written: &[JobKey]) -> Effects {
         let mut effects = Effects::default();
         for key in written {
@@ -321,8 +322,8 @@
         record.row()
     }
 
-    /// Takes in the end of the append with this ticket, if it is one of this owner. Gives
-    /// the states that may be told from now on.
+    /// Handles the outcome of the append with this ticket, if it is one of this owner. Gives the
+    /// states that may be published from now on.
     pub(crate) fn handle_append(
         &mut self,
         ticket: u64,
@@ -379,7 +380,7 @@
         }
     }
 
-    /// Lets go of jobs whose end is on record and of which nothing runs.
+    /// Removes jobs whose end is recorded.
     fn remove_finished_jobs(&mut self) {
         let (jobs, keys, finished_jobs) =
             (&mut self.jobs, &mut self.job_keys, &mut self.finished_jobs);
@@ -395,19 +396,20 @@
         });
     }
 
-    /// Drops all that is on record of a job that nobody need be told about any more.
+    /// Removes all records of a job that nobody needs to be informed about any more.
     pub(crate) fn retire(&mut self, job: JobId) {
         self.finished_jobs.remove(&job);
         self.writer.retired.push(job);
         self.writer.retired_states.push(job);
     }
 
-    /// Lists the states that a former owner has recorded and did not tell.
+    /// Lists the states that follow from the stored progress and are not published yet, such as
+    /// those that a previous owner left.
     pub(crate) fn unpublished(&self) -> &[(JobId, StateRecord)] {
         &self.writer.unpublished
     }
 
-    /// Tells whether a run still awaits its order.
+    /// Tells whether the order to start a run still waits for its record to be stored.
     pub(crate) fn is_recording(&self, worker: WorkerKey, task: TaskId, run: u32) -> bool {
         self.workers
             .get(worker)
