--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -3,10 +3,10 @@
 //! Each sequence is drawn from its seed, so a failure names the seed that repeats it. Set
 //! `DISPATCH_SEQUENCES` for more than CI runs.
 
-use crate::dispatch_former_failures::FORMER_FAILURES;
-use crate::dispatch_former_failures::FORMER_FAILURES_POISONOUS;
-use crate::dispatch_former_failures::FORMER_FAILURES_REBORN;
-use crate::dispatch_former_failures::OPEN_FAILURES_REBORN;
+use crate::dispatch_regression_seeds::FORMER_FAILURES;
+use crate::dispatch_regression_seeds::FORMER_FAILURES_POISONOUS;
+use crate::dispatch_regression_seeds::FORMER_FAILURES_REBORN;
+use crate::dispatch_regression_seeds::OPEN_FAILURES_REBORN;
 use crate::fleet::EVACUATED_MS;
 use crate::fleet::Fleet;
 use crate::fleet::Manners;
