--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -83,8 +83,9 @@
 /// Age of the latest confirmation from which on the workers are asked to confirm the owner again.
 const RECONFIRM_AFTER_MS: u64 = 300;
 /// Lease that tasks get. A task whose worker falls silent is started elsewhere once its lease has
-/// expired; for long-running tasks, that must be within 6 s. A new owner extends leases within 3.5
-/// s after the previous one has ended: 2 s until that is noticed, and 1.5 s for a slow store.
+/// expired; for long-running tasks, that must be within 6 s. A new owner extends leases at the
+/// latest 3.5 s after the previous one has ended: 2 s until that is noticed, and 1.5 s for a slow
+/// store.
 const LEASE_MS: u64 = 4_800;
 /// Factor by which the owner overestimates leases: the clock of a worker may be slow by 2%. The
 /// rest, and `LEASE_SLACK_MS`, cover the time in transit.
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -27,8 +27,8 @@
 use crate::worker_record::WorkerRecord;
 use prost::Message;
 
-/// Interval between appends of progress. Each costs a call to the store; a start that waits for 20
-/// ms is still well within objectives of 250 ms and more.
+/// Interval between appends of progress. Each append costs a call to the store; a start that waits
+/// for 20 ms is still well within objectives of 250 ms and more.
 const PROGRESS_GAP_MS: u64 = 20;
 /// Interval between appends of states. Callers poll for them a few times a second.
 const STATES_GAP_MS: u64 = 40;
