--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -3,10 +3,10 @@
 //! Each sequence is drawn from its seed, so a failure names the seed that repeats it. Set
 //! `DISPATCH_SEQUENCES` for more than CI runs.
 
-use crate::dispatch_regression_seeds::FORMER_FAILURES;
-use crate::dispatch_regression_seeds::FORMER_FAILURES_POISONOUS;
-use crate::dispatch_regression_seeds::FORMER_FAILURES_REBORN;
-use crate::dispatch_regression_seeds::OPEN_FAILURES_REBORN;
+use crate::dispatch_regression_seeds::OPEN_SEEDS_RESTARTING;
+use crate::dispatch_regression_seeds::REGRESSION_SEEDS;
+use crate::dispatch_regression_seeds::REGRESSION_SEEDS_CRASHING;
+use crate::dispatch_regression_seeds::REGRESSION_SEEDS_RESTARTING;
 use crate::fleet::EVACUATED_MS;
 use crate::fleet::Fleet;
 use crate::fleet::Manners;
@@ -403,7 +403,7 @@
             "seed {seed}"
         );
     }
-    for (seed, cause) in FORMER_FAILURES {
+    for (seed, cause) in REGRESSION_SEEDS {
         expect_that!(
             play(
                 *seed,
@@ -474,7 +474,7 @@
 /// up with it, or a worker whose room has shrunk is brought over it.
 #[gtest]
 fn promises_hold_with_tasks_that_crash_workers_and_rooms_that_shrink() {
-    let former = FORMER_FAILURES_POISONOUS.iter().map(|(seed, _)| *seed);
+    let former = REGRESSION_SEEDS_CRASHING.iter().map(|(seed, _)| *seed);
     for seed in (0..sequences()).chain(former) {
         for orders in [Orders::Direct, Orders::Relayed] {
             expect_that!(
@@ -495,11 +495,11 @@
         Callers::Insistent,
         Callers::Poisonous,
     ];
-    let former = FORMER_FAILURES_REBORN.iter().map(|(seed, _)| *seed);
+    let former = REGRESSION_SEEDS_RESTARTING.iter().map(|(seed, _)| *seed);
     for seed in (0..sequences()).chain(former) {
         for callers in CALLERS {
             for orders in [Orders::Direct, Orders::Relayed] {
-                let is_open = OPEN_FAILURES_REBORN.contains(&(seed, orders));
+                let is_open = OPEN_SEEDS_RESTARTING.contains(&(seed, orders));
                 if is_open && callers == Callers::Poisonous {
                     continue;
                 }
@@ -573,7 +573,7 @@
 /// half a minute after all other faults have ended. Seeds of wide runs that are not mended.
 #[gtest]
 fn promises_hold_in_sequences_that_are_open() {
-    for (seed, orders) in OPEN_FAILURES_REBORN {
+    for (seed, orders) in OPEN_SEEDS_RESTARTING {
         expect_that!(
             play(
                 *seed,
--- a/tests/dispatch_regression_seeds.rs
+++ b/tests/dispatch_regression_seeds.rs
@@ -3,7 +3,7 @@
 use crate::dispatch_faults::Orders;
 
 /// Seeds that have failed once, with the cause.
-pub(crate) const FORMER_FAILURES: &[(u64, &str)] = &[
+pub(crate) const REGRESSION_SEEDS: &[(u64, &str)] = &[
     (
         30,
         "an end told after its run was given up was forgotten, and the task ran again",
@@ -27,7 +27,7 @@
 ];
 
 /// The same with tasks that crash their workers.
-pub(crate) const FORMER_FAILURES_POISONOUS: &[(u64, &str)] = &[
+pub(crate) const REGRESSION_SEEDS_CRASHING: &[(u64, &str)] = &[
     (
         56,
         "a gang was cleared by members that outlived the one that crashed",
@@ -72,13 +72,13 @@
 ];
 
 /// The same with workers that start again under their ids.
-pub(crate) const FORMER_FAILURES_REBORN: &[(u64, &str)] = &[(
+pub(crate) const REGRESSION_SEEDS_RESTARTING: &[(u64, &str)] = &[(
     251,
     "a new incarnation was opened, and nobody looked at what waits",
 )];
 
 /// Seeds that fail still, with workers that start again under their ids.
-pub(crate) const OPEN_FAILURES_REBORN: &[(u64, Orders)] = &[
+pub(crate) const OPEN_SEEDS_RESTARTING: &[(u64, Orders)] = &[
     (219, Orders::Relayed),
     (240, Orders::Relayed),
     (29, Orders::Direct),
