--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -35,7 +35,7 @@
 /// `JobFailed` between them, shows that a run which goes with its worker was an end to nobody:
 /// only ends that a worker lists were counted.
 #[gtest]
-fn a_task_that_crashes_its_workers_is_given_up() {
+fn task_that_crashes_its_workers_fails_its_job() {
     let mut fleet = Fleet::new(3, 8);
     fleet.poison(task(JOB, 0, 0), CRASH_MS);
     fleet.submit(0, JOB, &job(vec![step(4, 300, &[])]));
@@ -54,16 +54,16 @@
     /// Occurrences of the job, 2 s apart; 0 for a plain one.
     repetitions: u32,
     /// Indexes in the first step of the tasks that crash their workers, and after which time.
-    poisoned: &'static [u16],
+    crashing_tasks: &'static [u16],
     crash_ms: u64,
     /// Time after which a crashed worker is back.
-    back_ms: u64,
+    down_ms: u64,
     /// It is back under its old id.
     keeps_ids: bool,
     /// What happens besides, each second.
-    besides: fn(&mut Fleet, u64),
+    disturb: fn(&mut Fleet, u64),
     /// Workers that it may take down.
-    crashes_most: u32,
+    max_crashes: u32,
 }
 
 const CASE: Case = Case {
@@ -73,12 +73,12 @@
     relays: false,
     steps: || vec![step(4, 300, &[])],
     repetitions: 0,
-    poisoned: &[0],
+    crashing_tasks: &[0],
     crash_ms: CRASH_MS,
-    back_ms: 3_400,
+    down_ms: 3_400,
     keeps_ids: false,
-    besides: |_, _| {},
-    crashes_most: 2,
+    disturb: |_, _| {},
+    max_crashes: 2,
 };
 
 /// Kills the owner now and then, and starts it again.
@@ -98,19 +98,19 @@
     // A lease is over long before the worker is back, so the task runs elsewhere by then.
     Case {
         name: "workers that are back only after their leases are over",
-        back_ms: 8_000,
-        crashes_most: 3,
+        down_ms: 8_000,
+        max_crashes: 3,
         ..CASE
     },
     Case {
         name: "a worker that is down before it has answered the order",
         crash_ms: 0,
-        crashes_most: 4,
+        max_crashes: 4,
         ..CASE
     },
     Case {
         name: "workers that are back at once",
-        back_ms: 50,
+        down_ms: 50,
         ..CASE
     },
     Case {
@@ -120,35 +120,35 @@
     },
     Case {
         name: "workers that are back at once under their old ids",
-        back_ms: 5,
+        down_ms: 5,
         keeps_ids: true,
         ..CASE
     },
     Case {
         name: "workers that are back under their old ids after their leases are over",
-        back_ms: 8_000,
+        down_ms: 8_000,
         keeps_ids: true,
-        crashes_most: 3,
+        max_crashes: 3,
         ..CASE
     },
     Case {
         name: "the same, and owners that die between the crashes",
-        back_ms: 8_000,
+        down_ms: 8_000,
         keeps_ids: true,
-        besides: kill_owner,
-        crashes_most: 5,
+        disturb: kill_owner,
+        max_crashes: 5,
         ..CASE
     },
     // What was counted must be on record before the next start.
     Case {
         name: "owners that die between the crashes",
-        besides: kill_owner,
-        crashes_most: 5,
+        disturb: kill_owner,
+        max_crashes: 5,
         ..CASE
     },
     Case {
         name: "all hosts die between the crashes",
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             for host in 0..3 {
                 if second.is_multiple_of(5) {
                     fleet.kill(host);
@@ -156,12 +156,12 @@
                 }
             }
         },
-        crashes_most: 5,
+        max_crashes: 5,
         ..CASE
     },
     Case {
         name: "a store that is away at times",
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             fleet.store.mode = match second % 6 {
                 2 | 3 => Mode::Silent,
                 _ => Mode::Up,
@@ -171,7 +171,7 @@
     },
     Case {
         name: "a slow store",
-        besides: |fleet, _| fleet.store.answer_ms = 200,
+        disturb: |fleet, _| fleet.store.answer_ms = 200,
         ..CASE
     },
     Case {
@@ -181,7 +181,7 @@
     },
     Case {
         name: "the job is handed in again and again",
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             let submission = fleet.promises.submitted[&JobId(JOB)].clone();
             fleet.submit(second as usize % 3, JOB, &submission);
         },
@@ -189,8 +189,8 @@
     },
     Case {
         name: "all tasks",
-        poisoned: &[0, 1, 2, 3],
-        crashes_most: 3,
+        crashing_tasks: &[0, 1, 2, 3],
+        max_crashes: 3,
         ..CASE
     },
     Case {
@@ -212,7 +212,7 @@
                 ..step(4, 300, &[])
             }]
         },
-        poisoned: &[0, 1, 2, 3],
+        crashing_tasks: &[0, 1, 2, 3],
         ..CASE
     },
     Case {
@@ -245,19 +245,19 @@
         name: "a task that crashes its worker only after a while",
         steps: || vec![step(2, 8_000, &[])],
         crash_ms: 2_500,
-        crashes_most: 5,
+        max_crashes: 5,
         ..CASE
     },
 ];
 
-fn play(case: &Case) -> Fleet {
+fn run_case(case: &Case) -> Fleet {
     let mut fleet = match case.relays {
         true => Fleet::with_relays(case.hosts, case.workers),
         false => Fleet::new(case.hosts, case.workers),
     };
-    fleet.set_back_ms(case.back_ms);
+    fleet.set_back_ms(case.down_ms);
     fleet.keep_ids(case.keeps_ids);
-    for index in case.poisoned {
+    for index in case.crashing_tasks {
         fleet.poison(task(JOB, 0, *index), case.crash_ms);
     }
     let submission = Submission {
@@ -269,7 +269,7 @@
     fleet.submit(0, JOB, &submission);
     for second in 1..=45 {
         fleet.run(1_000);
-        (case.besides)(&mut fleet, second);
+        (case.disturb)(&mut fleet, second);
     }
     fleet.run(5_000);
     fleet
@@ -278,9 +278,9 @@
 /// Symptom: a task that crashes its workers goes on for good, under one of these conditions, or
 /// takes more of them down than are needed to know it.
 #[gtest]
-fn a_task_that_crashes_its_workers_is_known_soon() {
+fn task_that_crashes_its_workers_fails_its_job_after_few_crashes() {
     for case in CASES {
-        let mut fleet = play(case);
+        let mut fleet = run_case(case);
         expect_that!(
             fleet.state(0, JOB),
             some(eq(JobState::Failed)),
@@ -289,11 +289,11 @@
             fleet.lines
         );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
-        for index in case.poisoned {
+        for index in case.crashing_tasks {
             let crashes = fleet.promises.crashes.get(&task(JOB, 0, *index));
             expect_that!(
                 crashes.copied().unwrap_or(0),
-                le(case.crashes_most),
+                le(case.max_crashes),
                 "{}: {:#?}",
                 case.name,
                 fleet.lines
@@ -303,24 +303,24 @@
 }
 
 /// Workers that go down for other reasons than a task.
-struct Luckless {
+struct UnrelatedCrashes {
     name: &'static str,
     steps: fn() -> Vec<Step>,
     /// What happens, each second.
-    besides: fn(&mut Fleet, u64),
+    disturb: fn(&mut Fleet, u64),
     /// Workers that crash are back under their old ids.
     keeps_ids: bool,
 }
 
 /// Gives the addresses of all workers on which something runs.
-pub(crate) fn busy(fleet: &Fleet) -> Vec<Box<str>> {
+pub(crate) fn busy_workers(fleet: &Fleet) -> Vec<Box<str>> {
     let workers = fleet.workers.iter();
-    let busy = workers.filter(|(_, worker)| worker.tasks().next().is_some());
-    busy.map(|(address, _)| address.clone()).collect()
+    let busy_workers = workers.filter(|(_, worker)| worker.tasks().next().is_some());
+    busy_workers.map(|(address, _)| address.clone()).collect()
 }
 
 /// Has all workers go dark at once, now and then.
-fn go_dark(fleet: &mut Fleet, second: u64) {
+fn crash_all_at_times(fleet: &mut Fleet, second: u64) {
     if matches!(second, 1 | 5 | 9 | 13) {
         let addresses: Vec<Box<str>> = fleet.workers.keys().cloned().collect();
         for address in addresses {
@@ -330,56 +330,56 @@
 }
 
 /// Crashes the workers on which something runs, now and then.
-fn crash_busy(fleet: &mut Fleet, second: u64) {
+fn crash_busy_at_times(fleet: &mut Fleet, second: u64) {
     if second.is_multiple_of(6) {
-        for address in busy(fleet) {
+        for address in busy_workers(fleet) {
             fleet.crash(&address);
         }
     }
 }
 
-fn last_long() -> Vec<Step> {
+fn long_running_steps() -> Vec<Step> {
     vec![Step {
         is_long_running: true,
         ..step(4, 1_000, &[])
     }]
 }
 
-const LUCKLESS: &[Luckless] = &[
+const UNRELATED_CRASHES: &[UnrelatedCrashes] = &[
     // All that works there runs elsewhere meanwhile, and has not crashed it.
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
         name: "workers that are cut off and come back",
         steps: || vec![step(6, 6_000, &[])],
-        besides: |fleet, second| match second {
-            1 | 12 | 23 => fleet.cut_workers = busy(fleet),
+        disturb: |fleet, second| match second {
+            1 | 12 | 23 => fleet.cut_workers = busy_workers(fleet),
             9 | 20 | 31 => fleet.cut_workers.clear(),
             _ => {}
         },
     },
     // The failure domain goes dark under runs that have just begun, and again under the next ones.
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
         name: "a failure domain that goes dark several times",
         steps: || vec![step(2, 20_000, &[])],
-        besides: go_dark,
+        disturb: crash_all_at_times,
     },
     // They serve for longer than hosts live here.
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
         name: "tasks that last, on hosts that crash by themselves",
-        steps: last_long,
-        besides: crash_busy,
+        steps: long_running_steps,
+        disturb: crash_busy_at_times,
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
         name: "workers that leave as planned, with another one at their address",
         steps: || vec![step(4, 60_000, &[])],
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             if !second.is_multiple_of(3) || second > 12 {
                 return;
             }
-            for address in busy(fleet) {
+            for address in busy_workers(fleet) {
                 let id = fleet.workers[&address].id.clone();
                 let text = format!("{address} leaving");
                 fleet.store.put(Stream::Workers, &id, text.as_bytes());
@@ -389,37 +389,37 @@
             }
         },
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
         name: "a host whose own way to all workers is cut",
         steps: || vec![step(4, 12_000, &[])],
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             let owner = owner(fleet);
             fleet.cut_from_workers(owner, matches!(second, 2..=4 | 9..=11));
         },
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: true,
         name: "a failure domain that goes dark several times, and keeps its ids",
         steps: || vec![step(2, 20_000, &[])],
-        besides: go_dark,
+        disturb: crash_all_at_times,
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: true,
         name: "tasks that last, on hosts that crash by themselves and keep their ids",
-        steps: last_long,
-        besides: crash_busy,
+        steps: long_running_steps,
+        disturb: crash_busy_at_times,
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: true,
         name: "workers that leave as planned and start again under their ids",
         steps: || vec![step(4, 60_000, &[])],
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             if second > 6 {
                 return;
             }
             fleet.set_back_ms(500);
-            for address in busy(fleet) {
+            for address in busy_workers(fleet) {
                 fleet.announce_leave(&address);
                 fleet.run(100);
                 fleet.crash(&address);
@@ -431,18 +431,18 @@
 /// Symptom: a job is shown as failed though no task of it did anything. Cause: whatever goes with
 /// a worker was taken for what brought it down.
 #[gtest]
-fn tasks_are_not_given_up_for_what_befalls_their_workers() {
-    for case in LUCKLESS {
+fn crashes_with_other_causes_do_not_fail_jobs() {
+    for case in UNRELATED_CRASHES {
         let mut fleet = Fleet::new(3, 6);
         fleet.keep_ids(case.keeps_ids);
         fleet.submit(0, JOB, &job((case.steps)()));
         for second in 1..=40 {
             fleet.run(1_000);
-            (case.besides)(&mut fleet, second);
+            (case.disturb)(&mut fleet, second);
         }
         fleet.run(30_000);
         let is_long_running = fleet.promises.submitted[&JobId(JOB)].steps[0].is_long_running;
-        let wanted = match is_long_running {
+        let expected = match is_long_running {
             true => JobState::Running,
             false => JobState::Completed,
         };
@@ -455,7 +455,13 @@
             }
             other => other,
         };
-        expect_that!(state, some(eq(wanted)), "{}: {:#?}", case.name, fleet.lines);
+        expect_that!(
+            state,
+            some(eq(expected)),
+            "{}: {:#?}",
+            case.name,
+            fleet.lines
+        );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
     }
 }
@@ -464,7 +470,7 @@
 /// crashes its workers. Sequence: jobs come one after the other while four poisoned ones do their
 /// damage. All others end, and none needs more than a few starts.
 #[gtest]
-fn bystanders_are_neither_given_up_nor_kept_waiting() {
+fn jobs_beside_crashing_tasks_complete_in_time() {
     let mut fleet = Fleet::new(3, 6);
     for number in 0..60_u64 {
         if number.is_multiple_of(15) {
@@ -475,13 +481,13 @@
     }
     fleet.run(20_000);
     for number in 0..60_u64 {
-        let wanted = match number.is_multiple_of(15) {
+        let expected = match number.is_multiple_of(15) {
             true => JobState::Failed,
             false => JobState::Completed,
         };
         expect_that!(
             fleet.state(0, number + 1),
-            some(eq(wanted)),
+            some(eq(expected)),
             "job {:x}: {:#?}",
             number + 1,
             fleet.lines
--- a/tests/dispatch_exits.rs
+++ b/tests/dispatch_exits.rs
@@ -16,10 +16,10 @@
 /// look is under way.
 const WORK_MS: u64 = 710;
 /// A pause between looks, records of the end and of the next start, and the ways between.
-const KNOWN_MS: u64 = 190;
+const DETECTION_MS: u64 = 190;
 
 /// Gives how long a job of steps that wait for one another takes.
-fn play(workers: usize) -> u64 {
+fn run_job(workers: usize) -> u64 {
     let mut fleet = Fleet::with_shares(&[1_000; 3], workers);
     let owner = owner(&fleet);
     // Its list of workers comes in pages.
@@ -31,17 +31,17 @@
         steps.push(step(3, WORK_MS, &after));
     }
     fleet.submit(owner, JOB, &job(steps));
-    let began_ms = fleet.now_ms;
+    let submitted_ms = fleet.now_ms;
     let last = TaskId {
         job: JobId(JOB),
         occurrence: 0,
         step: STEPS as u16 - 1,
         index: 0,
     };
-    while fleet.promises.ends_of(last) == 0 && fleet.now_ms < began_ms + 60_000 {
+    while fleet.promises.ends_of(last) == 0 && fleet.now_ms < submitted_ms + 60_000 {
         fleet.run(10);
     }
-    let took_ms = fleet.now_ms - began_ms;
+    let took_ms = fleet.now_ms - submitted_ms;
     fleet.run(500);
     expect_that!(fleet.state(owner, JOB), some(eq(JobState::Completed)));
     took_ms
@@ -50,9 +50,9 @@
 /// Symptom: jobs of short steps take a multiple of their work. Cause: the pause between two looks
 /// at a worker grew with the number of all workers, and the end of each step was known so late.
 #[gtest]
-fn an_end_is_known_as_soon_among_thousands_of_workers() {
+fn exits_are_detected_as_fast_among_thousands_of_workers() {
     for workers in [60, 600, 6_000] {
-        let most_ms = u64::from(STEPS) * (WORK_MS + KNOWN_MS);
-        expect_that!(play(workers), le(most_ms), "{workers} workers");
+        let max_ms = u64::from(STEPS) * (WORK_MS + DETECTION_MS);
+        expect_that!(run_job(workers), le(max_ms), "{workers} workers");
     }
 }
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
-use crate::dispatch_crashes::busy;
+use crate::dispatch_crashes::busy_workers;
 use crate::fleet::Fleet;
 use crate::fleet::Mode;
 use crate::fleet::job;
@@ -14,14 +14,14 @@
 use googletest::prelude::*;
 
 /// Time after which a worker that has crashed is back, a tenth of its lease.
-const BACK_MS: u64 = 600;
+const DOWN_MS: u64 = 600;
 
 /// Gives a fleet whose workers have each ended some tasks well, so that their ends are numbered
 /// higher than those of a worker that has just started.
-fn seasoned(workers: usize) -> Fleet {
+fn fleet_with_exits(workers: usize) -> Fleet {
     let mut fleet = Fleet::new(3, workers);
     fleet.keep_ids(true);
-    fleet.set_back_ms(BACK_MS);
+    fleet.set_back_ms(DOWN_MS);
     for number in 0..3 {
         let count = 8 * workers as u32;
         fleet.submit(0, JOB + 100 + number, &job(vec![step(count, 300, &[])]));
@@ -31,7 +31,7 @@
 }
 
 /// Crashes all workers at once.
-fn crash_all(fleet: &mut Fleet) {
+fn crash_all_workers(fleet: &mut Fleet) {
     let addresses: Vec<Box<str>> = fleet.workers.keys().cloned().collect();
     for address in addresses {
         fleet.crash(&address);
@@ -44,10 +44,10 @@
 /// and no `WorkerGone`. All 95 runs that were followed by another one with no end between them,
 /// `RunOrdered run=2` at 5.721 s and `RunOrdered run=3` at 8.006 s, were on such workers.
 #[gtest]
-fn a_task_that_ended_well_on_a_worker_that_started_again_does_not_run_again() {
-    let mut fleet = seasoned(4);
-    crash_all(&mut fleet);
-    fleet.run(BACK_MS + 3_000);
+fn task_that_succeeded_on_a_restarted_worker_does_not_run_again() {
+    let mut fleet = fleet_with_exits(4);
+    crash_all_workers(&mut fleet);
+    fleet.run(DOWN_MS + 3_000);
     fleet.submit(0, JOB, &job(vec![step(8, 1_000, &[])]));
     fleet.run(6_000);
     expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.lines);
@@ -59,10 +59,10 @@
 /// again and again, `RunOrdered run=20`, `run=21` and `run=22` within four seconds, and ended well
 /// there each time. That worker had started again under its old id 36 s before the job came.
 #[gtest]
-fn a_job_goes_on_with_its_next_step_on_a_worker_that_started_again() {
-    let mut fleet = seasoned(1);
-    crash_all(&mut fleet);
-    fleet.run(BACK_MS + 3_000);
+fn next_step_starts_on_a_restarted_worker() {
+    let mut fleet = fleet_with_exits(1);
+    crash_all_workers(&mut fleet);
+    fleet.run(DOWN_MS + 3_000);
     let steps = vec![step(1, 1_000, &[]), step(1, 1_000, &[0])];
     fleet.submit(0, JOB, &job(steps));
     fleet.run(10_000);
@@ -79,26 +79,26 @@
     name: &'static str,
     relays: bool,
     /// Time after which a worker that has crashed is back.
-    back_ms: u64,
+    down_ms: u64,
     /// By how much more its clock is set back each time.
-    set_back_ms: u64,
+    clock_back_ms: u64,
     /// Time after which a worker that is back reports itself.
     report_ms: u64,
     step: fn() -> Step,
     /// What happens, each half second for five seconds.
-    besides: fn(&mut Fleet, u64),
+    disturb: fn(&mut Fleet, u64),
 }
 
 const CASE: Case = Case {
     name: "",
     relays: false,
-    back_ms: BACK_MS,
-    set_back_ms: 0,
+    down_ms: DOWN_MS,
+    clock_back_ms: 0,
     report_ms: 0,
     step: || step(6, 400, &[]),
-    besides: |fleet, half| {
-        if half.is_multiple_of(3) {
-            crash(fleet, half);
+    disturb: |fleet, half_second| {
+        if half_second.is_multiple_of(3) {
+            crash(fleet, half_second);
         }
     },
 };
@@ -123,36 +123,36 @@
     },
     Case {
         name: "between two looks, so that no answer is missed",
-        back_ms: 5,
+        down_ms: 5,
         ..CASE
     },
     Case {
         name: "twice between two looks",
-        back_ms: 5,
-        besides: |fleet, half| {
-            crash(fleet, half);
+        down_ms: 5,
+        disturb: |fleet, half_second| {
+            crash(fleet, half_second);
             fleet.run(10);
-            crash(fleet, half);
+            crash(fleet, half_second);
         },
         ..CASE
     },
     Case {
         name: "with a clock that was set back",
-        set_back_ms: 60_000,
+        clock_back_ms: 60_000,
         ..CASE
     },
     Case {
         name: "a whole rack at once",
-        besides: |fleet, half| {
-            if half.is_multiple_of(4) {
-                crash_all(fleet);
+        disturb: |fleet, half_second| {
+            if half_second.is_multiple_of(4) {
+                crash_all_workers(fleet);
             }
         },
         ..CASE
     },
     Case {
         name: "behind a cut that is shorter than a lease",
-        besides: |fleet, half| match half {
+        disturb: |fleet, half_second| match half_second {
             1 => {
                 fleet.cut_workers = fleet.workers.keys().take(2).cloned().collect();
                 crash(fleet, 0);
@@ -165,14 +165,14 @@
     },
     Case {
         name: "after their leases are over",
-        back_ms: 7_000,
+        down_ms: 7_000,
         ..CASE
     },
     Case {
         name: "just before their owner dies",
-        besides: |fleet, half| {
-            if half.is_multiple_of(4) {
-                crash_all(fleet);
+        disturb: |fleet, half_second| {
+            if half_second.is_multiple_of(4) {
+                crash_all_workers(fleet);
                 restart_owner(fleet);
             }
         },
@@ -180,19 +180,19 @@
     },
     Case {
         name: "while a new owner begins",
-        back_ms: 1_200,
-        besides: |fleet, half| match half % 5 {
+        down_ms: 1_200,
+        disturb: |fleet, half_second| match half_second % 5 {
             0 => restart_owner(fleet),
-            2 => crash_all(fleet),
+            2 => crash_all_workers(fleet),
             _ => {}
         },
         ..CASE
     },
     Case {
         name: "under an owner that stops as planned",
-        besides: |fleet, half| {
-            if half.is_multiple_of(5) {
-                crash(fleet, half);
+        disturb: |fleet, half_second| {
+            if half_second.is_multiple_of(5) {
+                crash(fleet, half_second);
                 let owner = owner(fleet);
                 fleet.stop(owner);
             }
@@ -206,32 +206,32 @@
     },
     Case {
         name: "while the store is away",
-        besides: |fleet, half| {
-            fleet.store.mode = match half {
+        disturb: |fleet, half_second| {
+            fleet.store.mode = match half_second {
                 2..=7 => Mode::Silent,
                 _ => Mode::Up,
             };
-            crash(fleet, half);
+            crash(fleet, half_second);
         },
         ..CASE
     },
     Case {
         name: "with orders carried out late",
-        besides: |fleet, half| {
-            fleet.late_ms = matches!(half, 2..=4).then_some(2_500);
-            if half == 4 {
-                crash_all(fleet);
+        disturb: |fleet, half_second| {
+            fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
+            if half_second == 4 {
+                crash_all_workers(fleet);
             }
         },
         ..CASE
     },
     Case {
         name: "with orders carried out late by whoever lives then",
-        besides: |fleet, half| {
+        disturb: |fleet, half_second| {
             fleet.outlive_lives = true;
-            fleet.late_ms = matches!(half, 2..=4).then_some(2_500);
-            if half == 4 {
-                crash_all(fleet);
+            fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
+            if half_second == 4 {
+                crash_all_workers(fleet);
             }
         },
         ..CASE
@@ -265,43 +265,43 @@
 ];
 
 /// Plays a case and gives the fleet with the numbers of the jobs that came.
-fn play(case: &Case) -> (Fleet, Vec<u64>) {
+fn run_case(case: &Case) -> (Fleet, Vec<u64>) {
     let mut fleet = match case.relays {
         true => Fleet::with_relays(3, 4),
         false => Fleet::new(3, 4),
     };
     fleet.keep_ids(true);
-    fleet.set_back_ms(case.back_ms);
-    fleet.set_clocks_back(case.set_back_ms);
+    fleet.set_back_ms(case.down_ms);
+    fleet.set_clocks_back(case.clock_back_ms);
     fleet.set_report_ms(case.report_ms);
     for number in 0..3 {
         fleet.submit(0, JOB + 100 + number, &job(vec![step(24, 300, &[])]));
         fleet.run(2_000);
     }
     let mut jobs = Vec::new();
-    for half in 0..10 {
+    for half_second in 0..10 {
         let submission = job(vec![(case.step)(), step(2, 300, &[0])]);
-        fleet.submit(0, JOB + half, &submission);
-        jobs.push(JOB + half);
-        (case.besides)(&mut fleet, half);
+        fleet.submit(0, JOB + half_second, &submission);
+        jobs.push(JOB + half_second);
+        (case.disturb)(&mut fleet, half_second);
         fleet.run(500);
     }
     fleet.store.mode = Mode::Up;
     fleet.late_ms = None;
     fleet.cut_workers.clear();
-    fleet.run(ENDED_MS);
+    fleet.run(COMPLETION_MS);
     (fleet, jobs)
 }
 
 /// Time in which all jobs have ended once nothing disturbs: leases must run out first.
-const ENDED_MS: u64 = 20_000;
+const COMPLETION_MS: u64 = 20_000;
 
 /// Guards against tasks that run twice, and jobs that are lost, as workers start again under their
 /// ids in one of these ways.
 #[gtest]
-fn jobs_outlive_workers_that_start_again() {
+fn jobs_complete_although_workers_restart() {
     for case in CASES {
-        let (mut fleet, jobs) = play(case);
+        let (mut fleet, jobs) = run_case(case);
         expect_that!(
             fleet.promises.broken,
             is_empty(),
@@ -326,8 +326,8 @@
 /// Guards against taking a worker for another incarnation that was merely cut off: what runs there
 /// goes on, and none of it starts again.
 #[gtest]
-fn a_worker_that_was_cut_off_is_no_other_incarnation() {
-    let mut fleet = seasoned(4);
+fn cut_off_worker_is_not_taken_for_a_new_incarnation() {
+    let mut fleet = fleet_with_exits(4);
     fleet.submit(0, JOB, &job(vec![step(8, 6_000, &[])]));
     fleet.run(1_000);
     for _ in 0..3 {
@@ -338,8 +338,8 @@
     }
     fleet.run(6_000);
     let starts = &fleet.promises.starts;
-    let own = starts.iter().filter(|(_, task, _)| task.job == JobId(JOB));
-    expect_that!(own.count(), eq(8), "{:#?}", fleet.lines);
+    let own_starts = starts.iter().filter(|(_, task, _)| task.job == JobId(JOB));
+    expect_that!(own_starts.count(), eq(8), "{:#?}", fleet.lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     expect_that!(fleet.promises.broken, is_empty());
 }
@@ -347,12 +347,12 @@
 /// Guards against a worker that forgets its first ends as it is told a figure of its former life: it
 /// starts again at each moment between two looks, and quick tasks end there before the next one.
 #[gtest]
-fn ends_are_not_forgotten_whenever_a_worker_starts_again() {
+fn first_exits_of_a_restarted_worker_are_not_forgotten() {
     for offset_ms in (0..800).step_by(5) {
-        let mut fleet = seasoned(2);
+        let mut fleet = fleet_with_exits(2);
         fleet.set_back_ms(5);
         fleet.run(offset_ms);
-        crash_all(&mut fleet);
+        crash_all_workers(&mut fleet);
         fleet.submit(0, JOB, &job(vec![step(8, 10, &[])]));
         fleet.run(8_000);
         expect_that!(
@@ -383,17 +383,17 @@
 /// worker extends leases by its clock, so the new one grants the longest that it ever does, and is
 /// cut off right after.
 #[gtest]
-fn a_lease_by_the_clock_of_a_former_life_is_waited_out() {
+fn lease_by_the_clock_of_the_previous_incarnation_is_waited_out() {
     for offset_ms in (500..700).step_by(5) {
-        let mut fleet = seasoned(2);
+        let mut fleet = fleet_with_exits(2);
         fleet.set_back_ms(5);
         // Between two looks, so that the next one extends leases as if nothing had happened.
         fleet.run(offset_ms);
-        crash_all(&mut fleet);
+        crash_all_workers(&mut fleet);
         fleet.run(30);
         fleet.submit(0, JOB, &job(vec![step(4, 30_000, &[])]));
         fleet.run(120);
-        fleet.cut_workers = busy(&fleet);
+        fleet.cut_workers = busy_workers(&fleet);
         fleet.run(15_000);
         fleet.cut_workers.clear();
         fleet.run(35_000);
@@ -406,7 +406,7 @@
 /// Guards against calls that go where a worker was before: it starts again under its id at another
 /// address, and owners that have their orders relayed told the relays of its former one.
 #[gtest]
-fn a_worker_that_starts_again_at_another_address_is_found_there() {
+fn restarted_worker_is_reached_at_its_new_address() {
     for mut fleet in [Fleet::new(3, 1), Fleet::with_relays(3, 1)] {
         fleet.submit(0, JOB, &job(vec![step(4, 300, &[])]));
         fleet.run(1_500);
--- a/tests/dispatch_late_starts.rs
+++ b/tests/dispatch_late_starts.rs
@@ -52,29 +52,29 @@
 
 /// Time after which nothing of a cancelled job may run, counted from the start of a task
 /// that a worker began late: contact, cancelling and the grace of a stop.
-const GONE_MS: u64 = 3_000 + 3_000 + 900;
+const MAX_STOP_MS: u64 = 3_000 + 3_000 + 900;
 
 /// Symptom: a task of a cancelled job runs on. Sequence: its start is ordered, has no answer,
 /// and is carried out seconds later; meanwhile the job is cancelled, or the host that gave
 /// the order is gone for good. Cause: nobody stops what nobody has seen start.
 #[gtest]
-fn tasks_started_late_end_with_their_cancelled_job() {
+fn late_started_tasks_of_cancelled_jobs_are_stopped() {
     let mut started = 0;
     for case in CASES {
         let mut fleet = Fleet::new(4, 3);
-        let starter = owner(&fleet);
-        let asked = (starter + 1) % 4;
+        let first_owner = owner(&fleet);
+        let entry_host = (first_owner + 1) % 4;
         fleet.late_ms = Some(case.late_ms);
-        fleet.submit(asked, 0x7, &job(vec![step(3, 60_000, &[])]));
+        fleet.submit(entry_host, 0x7, &job(vec![step(3, 60_000, &[])]));
         fleet.run(300);
         fleet.late_ms = None;
         fleet.run(case.cancel_ms);
-        fleet.cancel(asked, 0x7);
+        fleet.cancel(entry_host, 0x7);
         if let Some(removed_ms) = case.removed_ms {
             fleet.run(removed_ms);
-            fleet.kill(starter);
+            fleet.kill(first_owner);
         }
-        fleet.run(case.late_ms + GONE_MS);
+        fleet.run(case.late_ms + MAX_STOP_MS);
         expect_that!(fleet.list_cancelled_runs(), is_empty(), "{}", case.name);
         let running: usize = fleet
             .workers
