--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that take down the workers that start them, and those that merely stand beside them.
+//! Tasks that crash the workers that start them, and tasks that merely run beside them.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -14,10 +14,10 @@
 use goldcrestway_dispatch::TaskId;
 use googletest::prelude::*;
 
-/// Time after its start at which a poisoned task takes its worker down.
+/// Time after its start at which a crashing task takes its worker down.
 const CRASH_MS: u64 = 10;
 
-/// Gives a task of a job that runs once.
+/// Gives the id of a task of a job that runs once.
 fn task(job: u64, step: u16, index: u16) -> TaskId {
     TaskId {
         job: JobId(job),
@@ -27,13 +27,14 @@
     }
 }
 
-/// Callers waited for good for a job whose first task took each worker down 10 ms after it had
-/// begun there. The worker was back 3.4 s later, its owner learned that from another incarnation
-/// at its address, and started the task elsewhere at once: 32 times in two minutes, 250 crashes
-/// on 66 workers in all, and quick jobs beside it were four times as often late. What the owner
-/// wrote, `WorkerGone runs=7` and 26 ms later `RunOrdered run=7`, with neither `RunBroken` nor
-/// `JobFailed` between them, shows that a run which goes with its worker was an end to nobody:
-/// only ends that a worker lists were counted.
+/// Guards against a task that crashes its workers and is started without end, so that its job never
+/// ends for its caller. The task took each worker down 10 ms after its start. The worker was back
+/// 3.4 s later, the owner learned that from another incarnation at its address, and started the
+/// task elsewhere at once: 32 times in two minutes, 250 crashes on 66 workers in all, and short
+/// jobs beside it were late four times as often. The cause: a run that was lost with its worker
+/// counted as no exit, as only exits that a worker lists were counted; the log showed `WorkerGone
+/// runs=7` and 26 ms later `RunOrdered run=7`, with neither `RunBroken` nor `JobFailed` between
+/// them.
 #[gtest]
 fn task_that_crashes_its_workers_fails_its_job() {
     let mut fleet = Fleet::new(3, 8);
@@ -44,25 +45,26 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Failed)));
 }
 
-/// A job with tasks that crash their workers, and what may become of it.
+/// A job with tasks that crash their workers, and how many crashes it may cause.
 struct Case {
     name: &'static str,
     hosts: usize,
     workers: usize,
     relays: bool,
     steps: fn() -> Vec<Step>,
-    /// Occurrences of the job, 2 s apart; 0 for a plain one.
+    /// Occurrences of the job, 2 s apart; 0 for a job that runs once.
     repetitions: u32,
-    /// Indexes in the first step of the tasks that crash their workers, and after which time.
+    /// Indexes of the tasks in the first step that crash their workers, and the time from their
+    /// start until they do.
     crashing_tasks: &'static [u16],
     crash_ms: u64,
-    /// Time after which a crashed worker is back.
+    /// Time after which a crashed worker runs again.
     down_ms: u64,
-    /// It is back under its old id.
+    /// It restarts under its old id.
     keeps_ids: bool,
-    /// What happens besides, each second.
+    /// Further faults, injected each second.
     disturb: fn(&mut Fleet, u64),
-    /// Workers that it may take down.
+    /// Maximum number of workers that each of these tasks may crash.
     max_crashes: u32,
 }
 
@@ -81,7 +83,7 @@
     max_crashes: 2,
 };
 
-/// Kills the owner now and then, and starts it again.
+/// Kills the owner every 4 s, and starts it again.
 fn kill_owner(fleet: &mut Fleet, second: u64) {
     let owner = owner(fleet);
     if second.is_multiple_of(4) {
@@ -95,9 +97,9 @@
         name: "one task of four",
         ..CASE
     },
-    // A lease is over long before the worker is back, so the task runs elsewhere by then.
+    // The leases expire long before the worker is back, so the task runs elsewhere by then.
     Case {
-        name: "workers that are back only after their leases are over",
+        name: "workers that are back only after their leases have expired",
         down_ms: 8_000,
         max_crashes: 3,
         ..CASE
@@ -125,7 +127,7 @@
         ..CASE
     },
     Case {
-        name: "workers that are back under their old ids after their leases are over",
+        name: "workers that are back under their old ids after their leases have expired",
         down_ms: 8_000,
         keeps_ids: true,
         max_crashes: 3,
@@ -139,7 +141,7 @@
         max_crashes: 5,
         ..CASE
     },
-    // What was counted must be on record before the next start.
+    // The counted crashes must be recorded before the next start.
     Case {
         name: "owners that die between the crashes",
         disturb: kill_owner,
@@ -160,7 +162,7 @@
         ..CASE
     },
     Case {
-        name: "a store that is away at times",
+        name: "a store that is unavailable at times",
         disturb: |fleet, second| {
             fleet.store.mode = match second % 6 {
                 2 | 3 => Mode::Silent,
@@ -180,7 +182,7 @@
         ..CASE
     },
     Case {
-        name: "the job is handed in again and again",
+        name: "the job is submitted repeatedly",
         disturb: |fleet, second| {
             let submission = fleet.promises.submitted[&JobId(JOB)].clone();
             fleet.submit(second as usize % 3, JOB, &submission);
@@ -226,7 +228,7 @@
         ..CASE
     },
     Case {
-        name: "tasks that last",
+        name: "long-running tasks",
         steps: || {
             vec![Step {
                 is_long_running: true,
@@ -240,7 +242,8 @@
         repetitions: 3,
         ..CASE
     },
-    // It has shown that it can be borne, so only many crashes in a row speak against it.
+    // The task is stable before it crashes its worker, so only many consecutive crashes speak
+    // against it.
     Case {
         name: "a task that crashes its worker only after a while",
         steps: || vec![step(2, 8_000, &[])],
@@ -275,8 +278,8 @@
     fleet
 }
 
-/// Symptom: a task that crashes its workers goes on for good, under one of these conditions, or
-/// takes more of them down than are needed to know it.
+/// Guards against a task that crashes its workers and is started without end under one of these
+/// conditions, or that crashes more workers than are needed to identify it.
 #[gtest]
 fn task_that_crashes_its_workers_fails_its_job_after_few_crashes() {
     for case in CASES {
@@ -302,24 +305,24 @@
     }
 }
 
-/// Workers that go down for other reasons than a task.
+/// Workers that go down for reasons other than a task.
 struct UnrelatedCrashes {
     name: &'static str,
     steps: fn() -> Vec<Step>,
-    /// What happens, each second.
+    /// The faults, injected each second.
     disturb: fn(&mut Fleet, u64),
-    /// Workers that crash are back under their old ids.
+    /// Crashed workers restart under their old ids.
     keeps_ids: bool,
 }
 
-/// Gives the addresses of all workers on which something runs.
+/// Gives the addresses of all workers with runs.
 pub(crate) fn busy_workers(fleet: &Fleet) -> Vec<Box<str>> {
     let workers = fleet.workers.iter();
     let busy_workers = workers.filter(|(_, worker)| worker.tasks().next().is_some());
     busy_workers.map(|(address, _)| address.clone()).collect()
 }
 
-/// Has all workers go dark at once, now and then.
+/// Crashes all workers at once, at seconds 1, 5, 9 and 13.
 fn crash_all_at_times(fleet: &mut Fleet, second: u64) {
     if matches!(second, 1 | 5 | 9 | 13) {
         let addresses: Vec<Box<str>> = fleet.workers.keys().cloned().collect();
@@ -329,7 +332,7 @@
     }
 }
 
-/// Crashes the workers on which something runs, now and then.
+/// Crashes the workers with runs, every 6 s.
 fn crash_busy_at_times(fleet: &mut Fleet, second: u64) {
     if second.is_multiple_of(6) {
         for address in busy_workers(fleet) {
@@ -346,7 +349,7 @@
 }
 
 const UNRELATED_CRASHES: &[UnrelatedCrashes] = &[
-    // All that works there runs elsewhere meanwhile, and has not crashed it.
+    // All their tasks run elsewhere meanwhile, and none of them has crashed a worker.
     UnrelatedCrashes {
         keeps_ids: false,
         name: "workers that are cut off and come back",
@@ -357,23 +360,23 @@
             _ => {}
         },
     },
-    // The failure domain goes dark under runs that have just begun, and again under the next ones.
+    // The failure domain fails under runs that have just started, and again under the next ones.
     UnrelatedCrashes {
         keeps_ids: false,
-        name: "a failure domain that goes dark several times",
+        name: "a failure domain that fails several times",
         steps: || vec![step(2, 20_000, &[])],
         disturb: crash_all_at_times,
     },
-    // They serve for longer than hosts live here.
+    // The tasks run for longer than the hosts do between two crashes.
     UnrelatedCrashes {
         keeps_ids: false,
-        name: "tasks that last, on hosts that crash by themselves",
+        name: "long-running tasks on hosts that crash by themselves",
         steps: long_running_steps,
         disturb: crash_busy_at_times,
     },
     UnrelatedCrashes {
         keeps_ids: false,
-        name: "workers that leave as planned, with another one at their address",
+        name: "workers that drain, with another one at their address",
         steps: || vec![step(4, 60_000, &[])],
         disturb: |fleet, second| {
             if !second.is_multiple_of(3) || second > 12 {
@@ -391,7 +394,7 @@
     },
     UnrelatedCrashes {
         keeps_ids: false,
-        name: "a host whose own way to all workers is cut",
+        name: "an owner that is cut off from all workers",
         steps: || vec![step(4, 12_000, &[])],
         disturb: |fleet, second| {
             let owner = owner(fleet);
@@ -400,19 +403,19 @@
     },
     UnrelatedCrashes {
         keeps_ids: true,
-        name: "a failure domain that goes dark several times, and keeps its ids",
+        name: "a failure domain that fails several times and whose workers keep their ids",
         steps: || vec![step(2, 20_000, &[])],
         disturb: crash_all_at_times,
     },
     UnrelatedCrashes {
         keeps_ids: true,
-        name: "tasks that last, on hosts that crash by themselves and keep their ids",
+        name: "long-running tasks on hosts that crash by themselves and keep their ids",
         steps: long_running_steps,
         disturb: crash_busy_at_times,
     },
     UnrelatedCrashes {
         keeps_ids: true,
-        name: "workers that leave as planned and start again under their ids",
+        name: "workers that drain and restart under their ids",
         steps: || vec![step(4, 60_000, &[])],
         disturb: |fleet, second| {
             if second > 6 {
@@ -428,8 +431,8 @@
     },
 ];
 
-/// Symptom: a job is shown as failed though no task of it did anything. Cause: whatever goes with
-/// a worker was taken for what brought it down.
+/// Guards against jobs that are shown as failed although none of their tasks did anything wrong:
+/// each run that was lost with a worker was taken for the cause of its crash.
 #[gtest]
 fn crashes_with_other_causes_do_not_fail_jobs() {
     for case in UNRELATED_CRASHES {
@@ -447,7 +450,7 @@
             false => JobState::Completed,
         };
         let state = fleet.state(0, JOB);
-        // The job that lasts for longest needs a minute.
+        // The longest job needs a minute.
         let state = match state {
             Some(JobState::Running) if !is_long_running => {
                 fleet.run(40_000);
@@ -466,9 +469,9 @@
     }
 }
 
-/// Symptom: jobs that do nothing wrong are given up, or wait, because they stand beside one that
-/// crashes its workers. Sequence: jobs come one after the other while four poisoned ones do their
-/// damage. All others end, and none needs more than a few starts.
+/// Guards against jobs that fail, or wait, because they run beside jobs that crash their workers.
+/// Jobs are submitted one after the other, and four of them have a crashing task. All others
+/// complete, and the crashing tasks take down 12 workers at most.
 #[gtest]
 fn jobs_beside_crashing_tasks_complete_in_time() {
     let mut fleet = Fleet::new(3, 6);
--- a/tests/dispatch_exits.rs
+++ b/tests/dispatch_exits.rs
@@ -1,4 +1,4 @@
-//! How soon the owner knows that a task has ended.
+//! How soon the owner detects that a task has ended.
 
 use crate::dispatch::owner;
 use crate::fleet::Fleet;
@@ -12,17 +12,18 @@
 
 const JOB: u64 = 1;
 const STEPS: u32 = 10;
-/// Each step takes a little longer than a worker holds a look back, so that its end comes while no
-/// look is under way.
+/// Each step takes a little longer than a worker delays its answer to a poll, so that its exit
+/// comes while no poll is pending.
 const WORK_MS: u64 = 710;
-/// A pause between looks, records of the end and of the next start, and the ways between.
+/// Time for an interval between polls, the records of the exit and of the next start, and the
+/// transit.
 const DETECTION_MS: u64 = 190;
 
-/// Gives how long a job of steps that wait for one another takes.
+/// Gives the time that a job of consecutive steps takes, in milliseconds.
 fn run_job(workers: usize) -> u64 {
     let mut fleet = Fleet::with_shares(&[1_000; 3], workers);
     let owner = owner(&fleet);
-    // Its list of workers comes in pages.
+    // The owner reads the list of workers in pages.
     fleet.store.limits.page_keys = 500;
     fleet.run(1_000);
     let mut steps: Vec<Step> = Vec::new();
@@ -47,8 +48,8 @@
     took_ms
 }
 
-/// Symptom: jobs of short steps take a multiple of their work. Cause: the pause between two looks
-/// at a worker grew with the number of all workers, and the end of each step was known so late.
+/// Guards against jobs of short steps that take a multiple of their work: the interval between two
+/// polls of a worker grew with the number of all workers, so each exit was detected late.
 #[gtest]
 fn exits_are_detected_as_fast_among_thousands_of_workers() {
     for workers in [60, 600, 6_000] {
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under the id that they had, and know nothing of before.
+//! Workers that restart under the id that they had, without any state of the previous incarnation.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -13,11 +13,11 @@
 use goldcrestway_dispatch::TaskId;
 use googletest::prelude::*;
 
-/// Time after which a worker that has crashed is back, a tenth of its lease.
+/// Time after which a crashed worker runs again, a tenth of its lease.
 const DOWN_MS: u64 = 600;
 
-/// Gives a fleet whose workers have each ended some tasks well, so that their ends are numbered
-/// higher than those of a worker that has just started.
+/// Gives a fleet whose workers have listed the exits of some tasks that succeeded, so that these
+/// exits have higher numbers than those of a worker that has just started.
 fn fleet_with_exits(workers: usize) -> Fleet {
     let mut fleet = Fleet::new(3, workers);
     fleet.keep_ids(true);
@@ -38,11 +38,12 @@
     }
 }
 
-/// Tasks of quick jobs that had ended well were started again a second later on another worker;
-/// 1,562 of them in two minutes. The worker had crashed, and 0.6 s later it had started again under
-/// its old id, so that it was heard again before it was given up: 19 lines like `WorkerBack runs=0`
-/// and no `WorkerGone`. All 95 runs that were followed by another one with no end between them,
-/// `RunOrdered run=2` at 5.721 s and `RunOrdered run=3` at 8.006 s, were on such workers.
+/// Guards against tasks of short jobs that succeeded and were started again a second later on
+/// another worker; 1,562 of them in two minutes. Their worker had crashed and 0.6 s later had
+/// restarted under its old id, so that it answered before it was removed: the log had 19 lines like
+/// `WorkerBack runs=0` and no `WorkerGone`. All 95 runs that were followed by another one without
+/// an exit between them, such as `RunOrdered run=2` at 5.721 s and `RunOrdered run=3` at 8.006 s,
+/// were on such workers.
 #[gtest]
 fn task_that_succeeded_on_a_restarted_worker_does_not_run_again() {
     let mut fleet = fleet_with_exits(4);
@@ -54,10 +55,11 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// A job of several steps stood still for 39 s, until the day was over, with most of the workers'
-/// room free: its second step could run and didn't. A task of its first step ran on the same worker
-/// again and again, `RunOrdered run=20`, `run=21` and `run=22` within four seconds, and ended well
-/// there each time. That worker had started again under its old id 36 s before the job came.
+/// Guards against a job of several steps that makes no progress: for 39 s, its second step could
+/// start and did not, with most resources of the workers free. A task of its first step ran on the
+/// same worker again and again, `RunOrdered run=20`, `run=21` and `run=22` within four seconds, and
+/// succeeded each time. That worker had restarted under its old id 36 s before the job was
+/// submitted.
 #[gtest]
 fn next_step_starts_on_a_restarted_worker() {
     let mut fleet = fleet_with_exits(1);
@@ -74,18 +76,18 @@
     );
 }
 
-/// A way in which workers start again.
+/// A way in which workers restart.
 struct Case {
     name: &'static str,
     relays: bool,
-    /// Time after which a worker that has crashed is back.
+    /// Time after which a crashed worker runs again.
     down_ms: u64,
-    /// By how much more its clock is set back each time.
+    /// Amount by which its clock is set back further at each restart.
     clock_back_ms: u64,
-    /// Time after which a worker that is back reports itself.
+    /// Time after which a restarted worker reports itself to the platform.
     report_ms: u64,
     step: fn() -> Step,
-    /// What happens, each half second for five seconds.
+    /// Faults, injected each half second for five seconds.
     disturb: fn(&mut Fleet, u64),
 }
 
@@ -103,7 +105,7 @@
     },
 };
 
-/// Crashes one worker after the other.
+/// Crashes one worker; consecutive numbers select one after the other.
 fn crash(fleet: &mut Fleet, number: u64) {
     let count = fleet.workers.len();
     let address = fleet.workers.keys().nth(number as usize % count).cloned();
@@ -122,12 +124,12 @@
         ..CASE
     },
     Case {
-        name: "between two looks, so that no answer is missed",
+        name: "between two polls, so that no answer is missed",
         down_ms: 5,
         ..CASE
     },
     Case {
-        name: "twice between two looks",
+        name: "twice between two polls",
         down_ms: 5,
         disturb: |fleet, half_second| {
             crash(fleet, half_second);
@@ -151,7 +153,7 @@
         ..CASE
     },
     Case {
-        name: "behind a cut that is shorter than a lease",
+        name: "during a network cut that is shorter than a lease",
         disturb: |fleet, half_second| match half_second {
             1 => {
                 fleet.cut_workers = fleet.workers.keys().take(2).cloned().collect();
@@ -164,7 +166,7 @@
         ..CASE
     },
     Case {
-        name: "after their leases are over",
+        name: "after their leases have expired",
         down_ms: 7_000,
         ..CASE
     },
@@ -179,7 +181,7 @@
         ..CASE
     },
     Case {
-        name: "while a new owner begins",
+        name: "while a new owner starts",
         down_ms: 1_200,
         disturb: |fleet, half_second| match half_second % 5 {
             0 => restart_owner(fleet),
@@ -189,7 +191,7 @@
         ..CASE
     },
     Case {
-        name: "under an owner that stops as planned",
+        name: "under an owner that shuts down",
         disturb: |fleet, half_second| {
             if half_second.is_multiple_of(5) {
                 crash(fleet, half_second);
@@ -200,12 +202,12 @@
         ..CASE
     },
     Case {
-        name: "as their entry in the store is still the old one",
+        name: "while the store still has their previous entry",
         report_ms: 4_000,
         ..CASE
     },
     Case {
-        name: "while the store is away",
+        name: "while the store is unavailable",
         disturb: |fleet, half_second| {
             fleet.store.mode = match half_second {
                 2..=7 => Mode::Silent,
@@ -226,7 +228,7 @@
         ..CASE
     },
     Case {
-        name: "with orders carried out late by whoever lives then",
+        name: "with orders carried out late by a later incarnation",
         disturb: |fleet, half_second| {
             fleet.outlive_lives = true;
             fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
@@ -242,7 +244,7 @@
         ..CASE
     },
     Case {
-        name: "under gangs",
+        name: "with gangs",
         step: || Step {
             is_gang: true,
             ..step(6, 400, &[])
@@ -250,7 +252,7 @@
         ..CASE
     },
     Case {
-        name: "under tasks with copies",
+        name: "with tasks that allow copies",
         step: || Step {
             is_speculative: true,
             ..step(6, 400, &[])
@@ -258,13 +260,13 @@
         ..CASE
     },
     Case {
-        name: "under long tasks",
+        name: "with long tasks",
         step: || step(6, 3_000, &[]),
         ..CASE
     },
 ];
 
-/// Plays a case and gives the fleet with the numbers of the jobs that came.
+/// Runs a case, and gives the fleet and the numbers of the submitted jobs.
 fn run_case(case: &Case) -> (Fleet, Vec<u64>) {
     let mut fleet = match case.relays {
         true => Fleet::with_relays(3, 4),
@@ -293,11 +295,11 @@
     (fleet, jobs)
 }
 
-/// Time in which all jobs have ended once nothing disturbs: leases must run out first.
+/// Time in which all jobs complete once there are no more faults: leases must expire first.
 const COMPLETION_MS: u64 = 20_000;
 
-/// Guards against tasks that run twice, and jobs that are lost, as workers start again under their
-/// ids in one of these ways.
+/// Guards against tasks that run twice and jobs that are lost, when workers restart under their ids
+/// in one of these ways.
 #[gtest]
 fn jobs_complete_although_workers_restart() {
     for case in CASES {
@@ -323,8 +325,8 @@
     }
 }
 
-/// Guards against taking a worker for another incarnation that was merely cut off: what runs there
-/// goes on, and none of it starts again.
+/// Guards against mistaking a worker that was cut off for a new incarnation: its runs continue, and
+/// none of its tasks starts again.
 #[gtest]
 fn cut_off_worker_is_not_taken_for_a_new_incarnation() {
     let mut fleet = fleet_with_exits(4);
@@ -344,8 +346,9 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Guards against a worker that forgets its first ends as it is told a figure of its former life: it
-/// starts again at each moment between two looks, and quick tasks end there before the next one.
+/// Guards against a worker that forgets its first exits because a poll acknowledges exits of its
+/// previous incarnation: it restarts at each moment between two polls, and short tasks end there
+/// before the next poll.
 #[gtest]
 fn first_exits_of_a_restarted_worker_are_not_forgotten() {
     for offset_ms in (0..800).step_by(5) {
@@ -379,15 +382,16 @@
     }
 }
 
-/// Guards against tasks that run in two places: a look that was meant for the former life of their
-/// worker extends leases by its clock, so the new one grants the longest that it ever does, and is
+/// Guards against tasks that run in two places: a poll that was meant for the previous incarnation
+/// of a worker extends leases by its clock, so the new incarnation grants the maximum lease, and is
 /// cut off right after.
 #[gtest]
 fn lease_by_the_clock_of_the_previous_incarnation_is_waited_out() {
     for offset_ms in (500..700).step_by(5) {
         let mut fleet = fleet_with_exits(2);
         fleet.set_back_ms(5);
-        // Between two looks, so that the next one extends leases as if nothing had happened.
+        // This is between two polls, so that the next one extends leases as if the worker had not
+        // restarted.
         fleet.run(offset_ms);
         crash_all_workers(&mut fleet);
         fleet.run(30);
@@ -403,8 +407,8 @@
     }
 }
 
-/// Guards against calls that go where a worker was before: it starts again under its id at another
-/// address, and owners that have their orders relayed told the relays of its former one.
+/// Guards against calls to the previous address of a worker: it restarts under its id at another
+/// address, and owners that relay their orders sent the previous address to the relays.
 #[gtest]
 fn restarted_worker_is_reached_at_its_new_address() {
     for mut fleet in [Fleet::new(3, 1), Fleet::with_relays(3, 1)] {
--- a/tests/dispatch_late_starts.rs
+++ b/tests/dispatch_late_starts.rs
@@ -1,4 +1,4 @@
-//! Orders to start that are carried out late, beside jobs that are cancelled.
+//! Orders to start that are carried out late, for jobs that are cancelled meanwhile.
 
 use crate::dispatch::owner;
 use crate::fleet::Fleet;
@@ -6,57 +6,57 @@
 use crate::fleet::step;
 use googletest::prelude::*;
 
-/// What happens between the order to start and its being carried out.
+/// What happens between the order to start and its execution.
 struct Case {
     name: &'static str,
-    /// Orders are carried out so much later, without an answer.
+    /// Delay after which orders are carried out, without an answer.
     late_ms: u64,
-    /// The job is cancelled so long after it was handed in.
+    /// Time from the submission of the job until it is cancelled.
     cancel_ms: u64,
-    /// The host that gave the order is removed for good so long after the cancelling.
+    /// Time from the cancellation until the host that sent the order is killed for good, if it is.
     removed_ms: Option<u64>,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "cancelled while the start is under way",
+        name: "cancelled while the order to start is in flight",
         late_ms: 2_500,
         cancel_ms: 200,
         removed_ms: None,
     },
     Case {
-        name: "carried out after the stop was agreed on",
+        name: "carried out after the worker has accepted the order to stop",
         late_ms: 6_000,
         cancel_ms: 1_000,
         removed_ms: None,
     },
     Case {
-        name: "its starter is removed right after the cancelling",
+        name: "the first owner is killed right after the cancellation",
         late_ms: 2_500,
         cancel_ms: 200,
         removed_ms: Some(50),
     },
     Case {
-        name: "its starter is removed before the order is carried out",
+        name: "the first owner is killed before the order is carried out",
         late_ms: 5_000,
         cancel_ms: 600,
         removed_ms: Some(400),
     },
     Case {
-        name: "its starter is removed, and the order is carried out before another host owns",
+        name: "the first owner is killed, and the order is carried out before another host claims",
         late_ms: 900,
         cancel_ms: 100,
         removed_ms: Some(0),
     },
 ];
 
-/// Time after which nothing of a cancelled job may run, counted from the start of a task
-/// that a worker began late: contact, cancelling and the grace of a stop.
+/// Maximum time for which a run of a cancelled job may go on, counted from its late start: contact
+/// with the worker, cancellation, and the grace period of a stop.
 const MAX_STOP_MS: u64 = 3_000 + 3_000 + 900;
 
-/// Symptom: a task of a cancelled job runs on. Sequence: its start is ordered, has no answer,
-/// and is carried out seconds later; meanwhile the job is cancelled, or the host that gave
-/// the order is gone for good. Cause: nobody stops what nobody has seen start.
+/// Guards against tasks of cancelled jobs that keep running. The order to start had no answer and
+/// is carried out seconds later; meanwhile, the job is cancelled or the host that sent the order is
+/// killed. Nobody stopped a run that nobody had seen start.
 #[gtest]
 fn late_started_tasks_of_cancelled_jobs_are_stopped() {
     let mut started = 0;
@@ -85,6 +85,6 @@
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
         started += fleet.promises.starts.len();
     }
-    // Otherwise the cases would show nothing: some orders must have been carried out.
+    // Without any start, the cases would prove nothing.
     expect_that!(started, gt(0));
 }
--- a/tests/dispatch_regression_seeds.rs
+++ b/tests/dispatch_regression_seeds.rs
@@ -1,4 +1,5 @@
-//! Seeds of random sequences that have failed once, each with its cause. They stay as they are.
+//! Seeds of random sequences that have failed once, each with its cause, as regression tests. They
+//! are never removed.
 
 use crate::dispatch_faults::Orders;
 
@@ -6,31 +7,31 @@
 pub(crate) const REGRESSION_SEEDS: &[(u64, &str)] = &[
     (
         30,
-        "an end told after its run was given up was forgotten, and the task ran again",
+        "an exit that was listed after its run was counted as lost was forgotten, and the task ran again",
     ),
     (39, "the same, in a later step"),
     (
         56,
-        "a new owner told others, and not itself, of a job that had ended before it",
+        "a new owner published a job that had ended before its claim, but did not apply that itself",
     ),
     (
         126,
-        "a new owner never told of a job that had begun before it",
+        "a new owner never published a job that had started before its claim",
     ),
     (
         60,
-        "an end was passed over as its run was to be barred, and the task ran again",
+        "an exit was skipped because its run was to be stopped, and the task ran again",
     ),
     (136, "the same"),
-    (182, "the same, on a worker that had started again"),
+    (182, "the same, on a worker that had restarted"),
     (307, "the same"),
 ];
 
-/// The same with tasks that crash their workers.
+/// The same, with tasks that crash their workers.
 pub(crate) const REGRESSION_SEEDS_CRASHING: &[(u64, &str)] = &[
     (
         56,
-        "a gang was cleared by members that outlived the one that crashed",
+        "the suspicion of a gang was cleared by members that ran longer than the one that crashed",
     ),
     (69, "the same"),
     (
@@ -39,45 +40,51 @@
     ),
     (
         105,
-        "a crash that was known only after the next one was not counted",
+        "a crash that was detected only after the next one was not counted",
     ),
     (
         109,
         "a task was blamed for a worker that was down before its order came",
     ),
-    (147, "starts that came to nothing were not bounded"),
+    (
+        147,
+        "the number of starts without a confirmed run was not limited",
+    ),
     (
         158,
-        "a task that had worked for long was blamed for what its neighbour did",
+        "a stable task was blamed for a crash that another task on the worker had caused",
     ),
     (
         193,
-        "a task beside several poisoned ones was given up with them",
+        "a task beside several crashing ones was failed with them",
+    ),
+    (
+        204,
+        "a run was taken for stable as soon as a new owner had polled it once",
     ),
-    (204, "a run was taken for sound as a new owner saw it once"),
     (
         55,
-        "a run that was told to stop before its start was answered counted for nothing",
+        "a run that was ordered to stop before its start was answered was not counted as suspect",
     ),
     (232, "the same"),
     (
         242,
-        "starts of a gang that came to nothing were not bounded",
+        "the number of starts of a gang without a confirmed run was not limited",
     ),
-    (278, "a run that was told to stop, as above"),
+    (278, "a run that was ordered to stop, as above"),
     (
         372,
-        "a task beside several poisoned ones was given up with them",
+        "a task beside several crashing ones was failed with them",
     ),
 ];
 
-/// The same with workers that start again under their ids.
+/// The same, with workers that restart under their ids.
 pub(crate) const REGRESSION_SEEDS_RESTARTING: &[(u64, &str)] = &[(
     251,
-    "a new incarnation was opened, and nobody looked at what waits",
+    "a new incarnation could accept tasks, but the waiting tasks were not evaluated",
 )];
 
-/// Seeds that fail still, with workers that start again under their ids.
+/// Seeds that still fail, with workers that restart under their ids.
 pub(crate) const OPEN_SEEDS_RESTARTING: &[(u64, Orders)] = &[
     (219, Orders::Relayed),
     (240, Orders::Relayed),
