--- a/crates/dispatch/src/owner/exits.rs
+++ b/crates/dispatch/src/owner/exits.rs
@@ -50,8 +50,8 @@
             ExitReason::Failed => self.stats.failed += 1,
             _ => self.stats.broken += 1,
         }
-        let is_first = self.task(task).is_none_or(|task| task.failed_starts == 0);
-        self.avoid_failing_worker(key, exit_reason, is_first, now.steady_ms);
+        let is_first_failure = self.task(task).is_none_or(|task| task.failed_starts == 0);
+        self.avoid_failing_worker(key, exit_reason, is_first_failure, now.steady_ms);
         if exit_reason != ExitReason::Done {
             actions.push(Action::Note(Note::new(
                 Code::RunBroken,
@@ -131,9 +131,9 @@
                 continue;
             }
             task.is_done = true;
-            let own = TaskId { index, ..id };
-            duplicates.extend(task.placement.take().map(|run| (own, run)));
-            duplicates.extend(task.copy.take().map(|run| (own, run)));
+            let member = TaskId { index, ..id };
+            duplicates.extend(task.placement.take().map(|run| (member, run)));
+            duplicates.extend(task.copy.take().map(|run| (member, run)));
         }
         step.recount();
         job.is_dirty = true;
@@ -150,7 +150,7 @@
         &mut self,
         key: WorkerKey,
         exit_reason: ExitReason,
-        is_first: bool,
+        is_first_failure: bool,
         now_ms: u64,
     ) {
         if !self.bounds.policy.avoids_failing_workers {
@@ -159,7 +159,7 @@
         let worker = &mut self.workers[key];
         match exit_reason {
             ExitReason::Done => worker.consecutive_failures = 0,
-            ExitReason::Failed if is_first => {
+            ExitReason::Failed if is_first_failure => {
                 worker.consecutive_failures += 1;
                 if worker.consecutive_failures >= MAX_CONSECUTIVE_FAILURES {
                     let doublings = (worker.consecutive_failures - MAX_CONSECUTIVE_FAILURES).min(1);
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -222,12 +222,12 @@
             run: number,
             worker: from,
         };
-        for place in [&mut state.placement, &mut state.copy]
+        for moved in [&mut state.placement, &mut state.copy]
             .into_iter()
             .flatten()
         {
-            if *place == previous {
-                place.worker = to;
+            if *moved == previous {
+                moved.worker = to;
             }
         }
     }
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -335,13 +335,13 @@
 
     /// Orders all runs of a job to stop. Nothing waits for their exits any more.
     fn stop_runs(&mut self, id: JobId) {
-        let mut holders = Vec::new();
+        let mut with_runs = Vec::new();
         for (key, worker) in &self.workers {
             if worker.runs_of(id).next().is_some() {
-                holders.push(key);
+                with_runs.push(key);
             }
         }
-        for key in holders {
+        for key in with_runs {
             let worker = &mut self.workers[key];
             worker.has_orders = true;
             let mut unsent = Vec::new();
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -58,13 +58,13 @@
         actions: &mut Vec<Action>,
     ) {
         let now_ms = now.steady_ms;
-        let is_suspect = self.answers.is_link_suspect();
+        let is_own_link_suspect = self.answers.is_link_suspect();
         let renew_ms = self.lease_span_ms() / 2;
         let mut due = Vec::new();
         let mut dead = Vec::new();
         for key in self.workers.due(now_ms) {
             let worker = &self.workers[key];
-            let has_missed_enough = !is_suspect
+            let has_missed_enough = !is_own_link_suspect
                 || !worker.is_listed
                 || worker.misses_after_expiry >= MAX_MISSED_WHILE_SUSPECT;
             let has_expired =
@@ -108,14 +108,14 @@
         let is_confirmed = self.is_confirmed(now_ms);
         let span_ms = self.lease_span_ms();
         let lease_ms = self.lease_ms();
-        let is_suspect = self.answers.is_link_suspect();
+        let is_own_link_suspect = self.answers.is_link_suspect();
         let worker = &mut self.workers[key];
         // The leases of a silent worker must expire at some time, as its tasks are started
         // elsewhere only then; a poll whose answer is lost would extend them. While the answers of
         // all workers are late, this one is likely alive, and its tasks must not end because of the
         // link.
         let is_likely_alive = worker.missed_answers == 0
-            || is_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
+            || is_own_link_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
         let extends =
             is_confirmed && worker.is_known && is_likely_alive && !worker.is_recorded_silent;
         let lease_until_ms = match worker.clock_ms(now_ms) {
