--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -420,7 +420,7 @@
             task.job.to_string(),
             format!("task={task} why=crashes confirmed={confirmed} crashes={crashes}"),
         )));
-        self.stats.given_up += 1;
+        self.stats.crashing_jobs_failed += 1;
         self.finish(key, JobPhase::Failed, now, actions);
     }
 
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -98,7 +98,7 @@
     /// Orders to start that were sent.
     pub starts: u64,
     /// Orders to start that were refused for lack of resources.
-    pub refused_room: u64,
+    pub refused_for_resources: u64,
     /// Runs that succeeded.
     pub done: u64,
     /// Runs that failed.
@@ -112,7 +112,7 @@
     /// Removed workers in whose place another incarnation has answered.
     pub workers_replaced: u64,
     /// Jobs that were failed because one of their tasks crashes its workers.
-    pub given_up: u64,
+    pub crashing_jobs_failed: u64,
     /// Polls that were sent to workers.
     pub polls: u64,
     /// Number of times that the sets of workers were refreshed for one worker.
@@ -136,7 +136,7 @@
     /// Relays that are connected and accept orders.
     pub relays: u64,
     /// Number of times that relays were selected for a worker.
-    pub selected: u64,
+    pub relay_selections: u64,
     /// Steps that have waited for a long time, by the reason.
     pub waits: [u64; WaitReason::ALL.len()],
 }
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -163,7 +163,7 @@
                 )));
                 let avoid_ms = match refusal {
                     Refusal::Room => {
-                        self.stats.refused_room += 1;
+                        self.stats.refused_for_resources += 1;
                         NO_ROOM_MS
                     }
                     Refusal::Permit => {
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -57,7 +57,7 @@
         let outcomes = self.relays.expire(now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
         self.stats.relays = self.relays.usable() as u64;
-        self.stats.selected = self.relays.selected();
+        self.stats.relay_selections = self.relays.selected();
     }
 
     /// Tells whether orders are to wait until a relay is connected.
--- a/tests/dispatch_relays.rs
+++ b/tests/dispatch_relays.rs
@@ -136,7 +136,7 @@
     let mut fleet = Fleet::with_relays(MANY_HOSTS, MANY_WORKERS);
     fleet.run(3_000);
     let owner = fleet.owner().expect("there is an owner");
-    let before = fleet.stats(owner).selected;
+    let before = fleet.stats(owner).relay_selections;
     let relay = (owner + 1) % MANY_HOSTS;
     fleet.kill(relay);
     fleet.run(1_000);
@@ -146,5 +146,5 @@
     let own = CHOICES * (MANY_WORKERS / MANY_HOSTS) as u64;
     // Workers are dealt out by chance: some relays have half as many again.
     let most = CHANGES * own * 3 / 2;
-    expect_that!(fleet.stats(owner).selected - before, le(most));
+    expect_that!(fleet.stats(owner).relay_selections - before, le(most));
 }
