--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -1,9 +1,9 @@
-//! Workers that have crashed: what ran there, and which task took them down.
+//! Detects crashes of workers, and counts them against the tasks that may have caused them.
 //!
-//! A worker that can't be heard has not always crashed: it may be cut off, or this host's own
-//! link may be full. It has crashed if another incarnation answers at its address, unless it was
-//! leaving. That may be known at once, or only after its leases are over and its tasks run
-//! elsewhere; until then what was lost there is kept with the tasks, on record.
+//! A worker that does not answer has not always crashed: it may be cut off, or the link of the
+//! owner's own host may be full. It has crashed if another incarnation answers at its address,
+//! unless it was draining. That may be known at once, or only after its leases have expired and its
+//! tasks run elsewhere. Until then, its lost runs are kept with their tasks and recorded.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -28,100 +28,100 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// Time for which a crash that no task can have caused is remembered: workers that crashed with
-/// that one are back by then.
-const OUTAGE_KEPT_MS: u64 = 30_000;
+/// Time for which a crash that no task can have caused is remembered. Workers that crashed at the
+/// same time answer again by then.
+const OUTAGE_RETENTION_MS: u64 = 30_000;
 
-/// Time in which a worker has crashed: after its last answer, before the first one was missing.
-type Span = (u64, u64);
+/// Time window in which a worker has crashed: from its last answer to the first missed one.
+type CrashWindow = (u64, u64);
 
-/// A worker that is given up, and of which it is not known whether it has crashed.
+/// A removed worker of which it is not known whether it has crashed.
 #[derive(Debug)]
 struct LostWorker {
     address: Box<str>,
     incarnation: Incarnation,
-    /// Not known of one that a former owner has given up.
-    span: Option<Span>,
-    /// What was lost there: tasks, or the first members of gangs.
+    /// Unknown if a previous owner has removed it.
+    crash_window: Option<CrashWindow>,
+    /// Tasks that lost a run there; a gang is represented by its first member.
     tasks: BTreeSet<TaskId>,
 }
 
 impl LostWorker {
-    fn new(lost_run: &LostRun, span: Option<Span>) -> Self {
+    fn new(lost_run: &LostRun, crash_window: Option<CrashWindow>) -> Self {
         Self {
             address: lost_run.address.clone(),
             incarnation: lost_run.incarnation,
-            span,
+            crash_window,
             tasks: BTreeSet::new(),
         }
     }
 }
 
-/// A worker that is given up, and what goes with it.
+/// A removed worker and the runs that are lost with it.
 pub(super) struct RemovedWorker {
     worker: Box<str>,
-    /// It was leaving, so it may have ended as planned.
-    is_planned: bool,
+    /// It was draining, so it may have exited as planned.
+    is_expected_exit: bool,
     /// Another incarnation answers at its address.
     is_replaced: bool,
-    /// It was known, and nothing there can have been the cause.
+    /// It is replaced or silent, and no run there can have been the cause.
     is_unexplained: bool,
-    /// When it crashed, if it did; not known of one that this owner never heard.
-    span: Option<Span>,
-    /// What is lost, by task or gang.
+    /// When it crashed, if it did; unknown if it has never answered this owner.
+    crash_window: Option<CrashWindow>,
+    /// The lost runs, by task or gang.
     lost_runs: Vec<(TaskId, LostRun)>,
 }
 
-/// What is known of crashes.
+/// Crashes of workers, as far as they are known.
 #[derive(Debug, Default)]
 pub(super) struct Crashes {
-    lost: HashMap<Box<str>, LostWorker>,
-    /// Workers whose crash nothing that had just begun there can have caused, and when.
-    outages: Vec<(Box<str>, Span)>,
+    lost_workers: HashMap<Box<str>, LostWorker>,
+    /// Workers whose crash no recently started run there can have caused, and when they crashed.
+    outages: Vec<(Box<str>, CrashWindow)>,
 }
 
 impl Crashes {
-    /// Tells whether another worker than this one crashed at the same time, unexplained.
-    fn overlaps_outage(&self, worker: &str, span: Span) -> bool {
+    /// Tells whether another worker crashed at the same time without an explanation.
+    fn overlaps_outage(&self, worker: &str, crash_window: CrashWindow) -> bool {
         let mut others = self.outages.iter().filter(|(id, _)| **id != *worker);
-        others.any(|(_, outage)| overlap(*outage, span))
+        others.any(|(_, outage)| overlap(*outage, crash_window))
     }
 
-    fn keep(&mut self, worker: Box<str>, outage: Span, now_ms: u64) {
+    fn record_outage(&mut self, worker: Box<str>, outage: CrashWindow, now_ms: u64) {
         self.outages
-            .retain(|(_, (_, until_ms))| until_ms + OUTAGE_KEPT_MS > now_ms);
+            .retain(|(_, (_, until_ms))| until_ms + OUTAGE_RETENTION_MS > now_ms);
         self.outages.push((worker, outage));
     }
 
-    /// Forgets what a job lost.
+    /// Forgets the lost runs of a job.
     pub(super) fn forget(&mut self, job: JobId) {
-        for lost in self.lost.values_mut() {
+        for lost in self.lost_workers.values_mut() {
             lost.tasks.retain(|task| task.job != job);
         }
-        self.lost.retain(|_, lost| !lost.tasks.is_empty());
+        self.lost_workers.retain(|_, lost| !lost.tasks.is_empty());
     }
 }
 
-/// Adds what went with a worker. Members of a gang go with it as one.
-fn add_lost_run(lost_runs: &mut Vec<(TaskId, LostRun)>, unit: TaskId, lost_run: LostRun) {
+/// Adds a run that was lost with a worker. Runs of members of a gang count as one.
+fn add_lost_run(lost_runs: &mut Vec<(TaskId, LostRun)>, suspicion_unit: TaskId, lost_run: LostRun) {
     let mut known = lost_runs.iter_mut();
-    match known.find(|(other, previous)| *other == unit && previous.run == lost_run.run) {
+    match known.find(|(other, previous)| *other == suspicion_unit && previous.run == lost_run.run) {
         Some((_, previous)) => {
             previous.is_suspect |= lost_run.is_suspect;
             previous.is_confirmed |= lost_run.is_confirmed;
         }
-        None => lost_runs.push((unit, lost_run)),
+        None => lost_runs.push((suspicion_unit, lost_run)),
     }
 }
 
-fn overlap(one: Span, other: Span) -> bool {
+fn overlap(one: CrashWindow, other: CrashWindow) -> bool {
     one.0 <= other.1 && other.0 <= one.1
 }
 
 impl Run {
-    /// Tells whether it may be at work, or may have been until just now. One that is being stopped
-    /// is at work until it has ended. One of unknown fate whose worker has agreed to bar it was
-    /// hardly there.
+    /// Tells whether it may be running, or may have been until just now. A run that is being
+    /// stopped runs until it has ended. A run that was never confirmed, and whose worker has
+    /// accepted the order to stop it, has most likely never started.
     fn may_have_started(&self) -> bool {
         match self.phase {
             RunPhase::Recording => self.start_attempts > 0,
@@ -137,21 +137,22 @@
 }
 
 impl Worker {
-    /// Gives the time in which it has crashed, if it has.
-    fn span(&self, now_ms: u64) -> Span {
+    /// Gives the time window in which it has crashed, if it has.
+    fn crash_window(&self, now_ms: u64) -> CrashWindow {
         (self.answered_ms, self.first_missed_ms.unwrap_or(now_ms))
     }
 }
 
 impl Owner {
-    /// Gives a task, if its job is under way.
+    /// Gives a task, if its job has not ended.
     pub(super) fn task(&self, id: TaskId) -> Option<&Task> {
         let key = self.job_keys.get(&id.job)?;
         self.jobs[*key].task(id)
     }
 
-    /// Gives whose suspicion a task shares: a gang crashes as one, its first member stands for it.
-    fn unit(&self, task: TaskId) -> TaskId {
+    /// Gives the task that holds the suspicion of a task: a gang crashes as one, so its first
+    /// member holds it for all.
+    fn suspicion_unit(&self, task: TaskId) -> TaskId {
         let key = self.job_keys.get(&task.job);
         let step = key.and_then(|key| self.jobs[*key].step(task));
         match step.is_some_and(|step| step.is_gang) {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Gives what goes with a worker that is given up, as it speaks against the tasks.
+    /// Gives the runs that are lost with a removed worker, as evidence against their tasks.
     pub(super) fn describe_removal(
         &self,
         key: WorkerKey,
@@ -172,13 +173,13 @@
         let suspects: BTreeSet<TaskId> = started
             .clone()
             .filter(|(_, run)| run.is_suspect())
-            .map(|((task, _), _)| self.unit(*task))
+            .map(|((task, _), _)| self.suspicion_unit(*task))
             .collect();
         let mut lost_runs = Vec::new();
         for ((task, number), run) in started {
-            // What had worked for a while is no explanation as long as there is another one.
+            // A stable run is no explanation as long as there is another one.
             let is_counted = run.is_suspect() || suspects.is_empty() && !run.is_long_running;
-            // Nobody can be met again at an address that is not known.
+            // Without an address, no later incarnation can be matched to this worker.
             if run.is_orphan || !is_counted || worker.entry.address.is_empty() {
                 continue;
             }
@@ -191,35 +192,35 @@
                 is_sole_suspect: suspects.len() == 1,
                 is_confirmed: matches!(run.phase, RunPhase::Present { .. }),
             };
-            add_lost_run(&mut lost_runs, self.unit(*task), lost_run);
+            add_lost_run(&mut lost_runs, self.suspicion_unit(*task), lost_run);
         }
         let is_replaced = removal_reason.is_replaced();
         RemovedWorker {
             worker: worker.entry.id.clone(),
-            is_planned: worker.was_leaving,
+            is_expected_exit: worker.was_leaving,
             is_replaced,
             is_unexplained: (is_replaced || worker.is_silent()) && suspects.is_empty(),
-            span: worker.is_known.then(|| worker.span(now_ms)),
+            crash_window: worker.is_known.then(|| worker.crash_window(now_ms)),
             lost_runs,
         }
     }
 
-    /// Takes in how a worker was given up.
+    /// Records the crash or the lost runs of a removed worker.
     pub(super) fn apply_removal(
         &mut self,
         removed: RemovedWorker,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        if removed.is_planned {
+        if removed.is_expected_exit {
             return;
         }
-        if let Some(span) = removed.span.filter(|_| removed.is_unexplained) {
+        if let Some(crash_window) = removed.crash_window.filter(|_| removed.is_unexplained) {
             self.crashes
-                .keep(removed.worker.clone(), span, now.steady_ms);
+                .record_outage(removed.worker.clone(), crash_window, now.steady_ms);
         }
         for (task, lost_run) in removed.lost_runs {
-            self.record_lost_run(task, lost_run, removed.span, now.steady_ms);
+            self.record_lost_run(task, lost_run, removed.crash_window, now.steady_ms);
         }
         if removed.is_replaced {
             self.resolve_crash(&removed.worker, true, now, actions);
@@ -230,7 +231,7 @@
         &mut self,
         task: TaskId,
         lost_run: LostRun,
-        span: Option<Span>,
+        crash_window: Option<CrashWindow>,
         now_ms: u64,
     ) {
         let Some(key) = self.job_keys.get(&task.job).copied() else {
@@ -242,15 +243,15 @@
         };
         let lost = self
             .crashes
-            .lost
+            .lost_workers
             .entry(lost_run.worker.clone())
-            .or_insert_with(|| LostWorker::new(&lost_run, span));
+            .or_insert_with(|| LostWorker::new(&lost_run, crash_window));
         lost.tasks.insert(task);
         state.record_lost_run(lost_run, now_ms);
         job.is_dirty = true;
     }
 
-    /// Takes up what former owners have put on record of a job's losses.
+    /// Restores the lost runs of a job that previous owners have recorded.
     pub(super) fn recover_lost_runs(&mut self, key: JobKey) {
         let mut recovered = Vec::new();
         self.jobs[key].for_each_task(|id, task| {
@@ -260,14 +261,17 @@
         });
         for (task, lost_run) in recovered {
             let lost = LostWorker::new(&lost_run, None);
-            let lost = self.crashes.lost.entry(lost_run.worker).or_insert(lost);
+            let lost = self
+                .crashes
+                .lost_workers
+                .entry(lost_run.worker)
+                .or_insert(lost);
             lost.tasks.insert(task);
         }
     }
 
-    /// Learns from the first answer of an incarnation what became of those that were lost: the
-    /// former one at its address, or under its id, has crashed, and one that answers itself has
-    /// not.
+    /// Resolves lost workers by the first answer of an incarnation: the previous incarnation at its
+    /// address, or under its id, has crashed; a lost worker that answers itself has not.
     pub(super) fn resolve_lost_workers(
         &mut self,
         key: WorkerKey,
@@ -276,7 +280,7 @@
     ) {
         let worker = &self.workers[key];
         let mut resolved = Vec::new();
-        for (id, lost) in &self.crashes.lost {
+        for (id, lost) in &self.crashes.lost_workers {
             if *id == worker.entry.id {
                 let has_crashed = lost.incarnation.differs_from(worker.incarnation);
                 resolved.push((id.clone(), has_crashed));
@@ -289,27 +293,31 @@
         }
     }
 
-    /// Tells whether a worker fell silent at the same time that no task can have taken down, so
-    /// that a whole rack or failure domain, or this host's own link, is the likelier cause.
-    fn is_outage(&self, id: &str, span: Span) -> bool {
-        let is_unexplained = |worker: &Worker| {
+    /// Tells whether another worker, which no task can have crashed, fell silent at the same time.
+    /// Then an outage of a whole rack or failure domain, or of the link of the owner's own host, is
+    /// the likelier cause.
+    fn is_outage(&self, id: &str, window: CrashWindow) -> bool {
+        let unexplained = |worker: &Worker| {
             let has_suspects = worker.runs.values().any(Run::is_suspect);
             let is_other = *worker.entry.id != *id;
             is_other && worker.is_known && worker.is_silent() && !has_suspects
         };
-        self.crashes.overlaps_outage(id, span)
+        self.crashes.overlaps_outage(id, window)
             || self
                 .workers
                 .values()
-                .any(|worker| is_unexplained(worker) && overlap(worker.span(span.1), span))
+                .any(|worker| unexplained(worker) && overlap(worker.crash_window(window.1), window))
     }
 
-    /// Counts the crash of a worker against what ran there, or drops what was kept of it.
+    /// Counts the crash of a worker against the runs that were lost there, or drops these if it has
+    /// not crashed.
     fn resolve_crash(&mut self, id: &str, has_crashed: bool, now: Now, actions: &mut Vec<Action>) {
-        let Some(lost) = self.crashes.lost.remove(id) else {
+        let Some(lost) = self.crashes.lost_workers.remove(id) else {
             return;
         };
-        let mut is_excused = lost.span.is_some_and(|span| self.is_outage(id, span));
+        let mut is_excused = lost
+            .crash_window
+            .is_some_and(|crash_window| self.is_outage(id, crash_window));
         let mut lost_runs = Vec::new();
         for task in lost.tasks {
             let Some(key) = self.job_keys.get(&task.job).copied() else {
@@ -317,16 +325,20 @@
             };
             let job = &mut self.jobs[key];
             if let Some(state) = job.task_mut(task) {
-                let taken = state.take_lost_runs(id);
+                let removed_runs = state.take_lost_runs(id);
                 job.is_dirty = true;
-                lost_runs.extend(taken.into_iter().map(|lost_run| (key, task, lost_run)));
+                lost_runs.extend(
+                    removed_runs
+                        .into_iter()
+                        .map(|lost_run| (key, task, lost_run)),
+                );
             }
         }
         if !has_crashed {
             return;
         }
-        // Those that are suspected most come first: what one of them has done for certain raises no
-        // suspicion against the others.
+        // Tasks with the most confirmed crashes come first: a crash that one of them has certainly
+        // caused raises no suspicion against the others.
         lost_runs.sort_by_key(|(key, task, _)| {
             let state = self.jobs[*key].task(*task);
             Reverse(state.map_or(0, |state| state.suspicion.confirmed))
@@ -336,7 +348,8 @@
         }
     }
 
-    /// Counts a crash against a task, and tells whether it was to blame.
+    /// Counts a crash against a task, and tells whether the task was the cause. If it was, its job
+    /// fails.
     fn count_crash(
         &mut self,
         key: JobKey,
@@ -381,13 +394,13 @@
             ),
         )));
         if is_to_blame {
-            self.give_up(key, task, now, actions);
+            self.fail_crashing_job(key, task, now, actions);
         }
         is_to_blame
     }
 
-    /// Gives a job up as a task of it crashes its workers.
-    pub(super) fn give_up(
+    /// Fails a job because one of its tasks crashes its workers.
+    pub(super) fn fail_crashing_job(
         &mut self,
         key: JobKey,
         task: TaskId,
@@ -398,29 +411,31 @@
         if job.phase.is_final() {
             return;
         }
-        let suspicion = job.task(self.unit(task)).map(|state| &state.suspicion);
+        let suspicion = job
+            .task(self.suspicion_unit(task))
+            .map(|state| &state.suspicion);
         let (confirmed, crashes) = suspicion.map_or((0, 0), |it| (it.confirmed, it.crashes));
         actions.push(Action::Note(Note::new(
             Code::JobFailed,
             task.job.to_string(),
             format!("task={task} why=crashes confirmed={confirmed} crashes={crashes}"),
         )));
-        self.stats.given_up += 1;
+        self.stats.crashing_jobs_failed += 1;
         self.finish(key, JobPhase::Failed, now, actions);
     }
 
     /// Counts a start of a task that may have crashed workers before.
     pub(super) fn record_start(&mut self, key: JobKey, task: TaskId) {
-        // One member stands for its gang.
-        if self.unit(task) == task
+        // The first member counts for its gang.
+        if self.suspicion_unit(task) == task
             && let Some(state) = self.jobs[key].task_mut(task)
         {
             state.suspicion.record_start(state.unresolved_crashes());
         }
     }
 
-    /// Takes in that a start was refused, so that it was none; of a gang other members may have
-    /// begun.
+    /// Undoes the count of a start that was refused. For a gang, the start still counts, as other
+    /// members may have started.
     pub(super) fn undo_start(&mut self, task: TaskId) {
         let Some(key) = self.job_keys.get(&task.job).copied() else {
             return;
@@ -432,21 +447,23 @@
         }
     }
 
-    /// Tells whether a task must not be started any more.
+    /// Tells whether a task has used up its starts.
     pub(super) fn is_used_up(&self, task: TaskId) -> bool {
-        let state = self.task(self.unit(task));
+        let state = self.task(self.suspicion_unit(task));
         state.is_some_and(|state| state.suspicion.is_used_up())
     }
 
-    /// Gives until when a task waits for what became of its workers, if it does.
+    /// Gives until when a task waits to know whether its workers crashed, if it does.
     pub(super) fn undecided_until_ms(&self, task: TaskId, now_ms: u64) -> Option<u64> {
-        self.task(self.unit(task))?.undecided_until_ms(now_ms)
+        self.task(self.suspicion_unit(task))?
+            .undecided_until_ms(now_ms)
     }
 
-    /// Takes in that a run has been at work for long enough: its task crashes nobody. Members of a
-    /// gang must all have been: one that has crashed its worker just now leaves others at work.
+    /// Clears the suspicion of a task, as one of its runs is stable. For a gang, the runs of all
+    /// members must be stable, as those of the other members still run when one has just crashed
+    /// its worker.
     pub(super) fn clear_suspicion(&mut self, task: TaskId) {
-        let unit = self.unit(task);
+        let suspicion_unit = self.suspicion_unit(task);
         let Some(key) = self.job_keys.get(&task.job).copied() else {
             return;
         };
@@ -454,7 +471,7 @@
             state.failed_starts = 0;
         }
         let job = &self.jobs[key];
-        let (Some(step), Some(state)) = (job.step(task), job.task(unit)) else {
+        let (Some(step), Some(state)) = (job.step(task), job.task(suspicion_unit)) else {
             return;
         };
         let is_long_running = step.is_long_running;
@@ -463,7 +480,7 @@
             return;
         }
         let job = &mut self.jobs[key];
-        if let Some(state) = job.task_mut(unit) {
+        if let Some(state) = job.task_mut(suspicion_unit) {
             state.suspicion.clear(is_long_running);
             state.lost_runs.retain(|lost_run| !lost_run.is_suspect);
             job.is_dirty = true;
@@ -484,10 +501,10 @@
         })
     }
 
-    /// Tells where a task is suspected to have crashed its last worker; `None` if it is not
-    /// suspected.
+    /// Gives the address of the worker that a task is suspected to have crashed last; `None` if it
+    /// is not suspected.
     pub(super) fn suspected_at(&self, task: TaskId) -> Option<Box<str>> {
-        let state = self.task(self.unit(task))?;
+        let state = self.task(self.suspicion_unit(task))?;
         if !state.is_suspect() {
             return None;
         }
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -1,10 +1,11 @@
-//! Workers that start again under their id.
+//! Handles workers that restart under their id.
 //!
-//! The former incarnation is gone with all that it held: what ran there, which ends it had listed
-//! and which were read, its clock, its room, and each promise not to start a run that was stopped.
-//! So the new one is another worker to the owner, under a key of its own. Two things go over: runs
-//! that it lists itself, as it may have got an order that was meant for the former one, and runs
-//! whose order may still reach it, which it has to bar before they count as lost.
+//! The previous incarnation took everything that it held with it: its runs, the exits that it had
+//! listed and which of them were acknowledged, its clock, its reserved resources, and each promise
+//! not to start a stopped run later. So the owner treats the new incarnation as another worker,
+//! under a key of its own. Two kinds of runs move to it: those that it lists itself, as it may have
+//! received an order that was meant for the previous incarnation, and those whose order may still
+//! reach it. The owner stops the latter there before it counts them as lost.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -19,9 +20,9 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// Time after which an order that had no answer is no longer carried out. Workers are seconds late
-/// with such orders.
-const LATE_MS: u64 = 15_000;
+/// Time after which an order without an answer is no longer carried out. Workers carry out such
+/// orders seconds late.
+const LATE_START_MS: u64 = 15_000;
 
 /// An order to start a run that had no answer, and when that was known.
 #[derive(Debug, Clone, Copy)]
@@ -34,19 +35,19 @@
 impl DoubtfulStart {
     /// Tells whether the order may still be carried out.
     fn is_open(&self, now_ms: u64) -> bool {
-        now_ms < self.since_ms + LATE_MS
+        now_ms < self.since_ms + LATE_START_MS
     }
 }
 
-/// Orders to start that may still be carried out, by the id of the worker. The id is all that an
-/// order names, so whoever bears it then carries it out.
+/// Orders to start that may still be carried out, by the id of the worker. An order names its
+/// worker by the id only, so any incarnation that has this id carries it out.
 #[derive(Debug, Default)]
 pub(super) struct DoubtfulStarts {
     by_worker: HashMap<Box<str>, Vec<DoubtfulStart>>,
 }
 
 impl DoubtfulStarts {
-    /// Notes that an order may be carried out late.
+    /// Records that an order may be carried out late.
     pub(super) fn add(&mut self, worker: &str, task: TaskId, run: u32, now_ms: u64) {
         let starts = self.by_worker.entry(worker.into()).or_default();
         starts.retain(|start| start.is_open(now_ms));
@@ -58,13 +59,13 @@
     }
 
     /// Lists the orders that a worker may still carry out.
-    fn list(&mut self, worker: &str, now_ms: u64) -> BTreeSet<(TaskId, u32)> {
+    fn open_starts(&mut self, worker: &str, now_ms: u64) -> BTreeSet<(TaskId, u32)> {
         let starts = self.by_worker.get(worker).into_iter().flatten();
         let open = starts.filter(|start| start.is_open(now_ms));
         open.map(|start| (start.task, start.run)).collect()
     }
 
-    /// Forgets what is too old to be carried out.
+    /// Forgets orders that are too old to be carried out.
     pub(super) fn expire(&mut self, now_ms: u64) {
         self.by_worker.retain(|_, starts| {
             starts.retain(|start| start.is_open(now_ms));
@@ -74,8 +75,8 @@
 }
 
 impl Owner {
-    /// Takes in which incarnation of a worker has answered, and gives the key under which it is
-    /// known from now on.
+    /// Matches an answer to an incarnation of the worker, and gives the key of that incarnation,
+    /// which replaces the previous one if it has restarted.
     pub(super) fn match_incarnation(
         &mut self,
         key: WorkerKey,
@@ -107,14 +108,14 @@
         actions: &mut Vec<Action>,
     ) -> WorkerKey {
         let now_ms = now.steady_ms;
-        let kept = self.split_listed_runs(previous, report);
+        let listed = self.split_listed_runs(previous, report);
         self.record_removal(previous, RemovalReason::Restarted, now_ms, actions);
         let removed = self.describe_removal(previous, RemovalReason::Restarted, now_ms);
-        let doubtful = self.take_doubtful(previous, now_ms);
+        let doubtful = self.take_doubtful_runs(previous, now_ms);
         let key = self.begin_incarnation(previous, report, now_ms);
-        for (task, number, mut run) in kept {
+        for (task, number, mut run) in listed {
             run.phase = match run.phase {
-                // The promise not to start it later is gone with who gave it.
+                // Only the previous incarnation had promised not to start it later.
                 RunPhase::Stopping { .. } | RunPhase::Stopped { .. } => {
                     RunPhase::Stopping { again_ms: 0 }
                 }
@@ -126,12 +127,12 @@
             run.phase = RunPhase::Stopping { again_ms: 0 };
             self.move_run(previous, key, task, number, run);
         }
-        let lost: Vec<(TaskId, u32)> = self.workers[previous].runs.keys().copied().collect();
-        for (task, run) in lost {
+        let lost_runs: Vec<(TaskId, u32)> = self.workers[previous].runs.keys().copied().collect();
+        for (task, run) in lost_runs {
             self.lose_run(previous, task, run, now_ms);
         }
         self.workers.remove(previous);
-        // Connections that were open to the former one may hang.
+        // Connections to the previous incarnation may hang.
         let address = self.workers[key].entry.address.clone();
         actions.push(Action::Disconnect { address });
         self.apply_removal(removed, now, actions);
@@ -139,8 +140,8 @@
         key
     }
 
-    /// Makes the worker that stands for the new incarnation. What is reported may still be of the
-    /// former one; nothing new is given to it until that has changed.
+    /// Makes the worker that represents the new incarnation. The platform's list may still describe
+    /// the previous one; the new one gets no tasks until that has changed.
     fn begin_incarnation(
         &mut self,
         previous: WorkerKey,
@@ -152,11 +153,12 @@
             (previous.entry.clone(), previous.is_listed, previous.clock);
         let mut worker = self.make_worker(entry, now_ms);
         worker.is_listed = is_listed;
-        // It came with the answer that tells of this incarnation.
+        // The clock came with the answer of this incarnation.
         worker.clock = clock;
         worker.incarnation = report.incarnation;
         worker.was_leaving = worker.entry.is_leaving && worker.is_reported();
-        // What it got by the clock of its former life it grants for as long as it ever does.
+        // A lease that was given by the clock of the previous incarnation may be granted for the
+        // maximum time.
         worker.leases_expired_ms = now_ms + self.max_lease_span_ms();
         let id = worker.entry.id.clone();
         let key = self.workers.insert(worker);
@@ -165,7 +167,8 @@
         key
     }
 
-    /// Takes the runs off a worker that its new incarnation lists itself, at work or ended.
+    /// Removes and gives the runs of a worker that its new incarnation lists itself, as running or
+    /// as ended.
     fn split_listed_runs(
         &mut self,
         key: WorkerKey,
@@ -175,30 +178,30 @@
         ids.extend(report.runs.iter().map(|row| (row.task, row.run)));
         ids.extend(report.exits.iter().map(|exit| (exit.task, exit.run)));
         let worker = &mut self.workers[key];
-        let mut taken = Vec::new();
+        let mut removed_runs = Vec::new();
         for (task, number) in ids {
             if let Some(run) = worker.remove(task, number) {
-                taken.push((task, number, run));
+                removed_runs.push((task, number, run));
             }
         }
-        taken
+        removed_runs
     }
 
-    /// Takes the runs off a worker whose orders may still be carried out.
-    fn take_doubtful(&mut self, key: WorkerKey, now_ms: u64) -> Vec<(TaskId, u32, Run)> {
-        self.record_unanswered(key, now_ms);
+    /// Removes and gives the runs of a worker whose orders to start may still be carried out.
+    fn take_doubtful_runs(&mut self, key: WorkerKey, now_ms: u64) -> Vec<(TaskId, u32, Run)> {
+        self.record_unanswered_starts(key, now_ms);
         let worker = &mut self.workers[key];
-        let mut taken = Vec::new();
-        for (task, number) in self.doubtful_starts.list(&worker.entry.id, now_ms) {
+        let mut removed_runs = Vec::new();
+        for (task, number) in self.doubtful_starts.open_starts(&worker.entry.id, now_ms) {
             if let Some(run) = worker.remove(task, number) {
-                taken.push((task, number, run));
+                removed_runs.push((task, number, run));
             }
         }
-        taken
+        removed_runs
     }
 
-    /// Notes the orders to start of which nothing will be heard, as their worker is given up.
-    pub(super) fn record_unanswered(&mut self, key: WorkerKey, now_ms: u64) {
+    /// Records the orders to start that stay unanswered, as their worker is removed.
+    pub(super) fn record_unanswered_starts(&mut self, key: WorkerKey, now_ms: u64) {
         let worker = &self.workers[key];
         for ((task, number), run) in &worker.runs {
             if run.phase == RunPhase::Sent {
@@ -219,23 +222,23 @@
             run: number,
             worker: from,
         };
-        for place in [&mut state.placement, &mut state.copy]
+        for moved in [&mut state.placement, &mut state.copy]
             .into_iter()
             .flatten()
         {
-            if *place == previous {
-                place.worker = to;
+            if *moved == previous {
+                moved.worker = to;
             }
         }
     }
 
-    /// Has a worker that answers for the first time bar the runs whose orders may still reach it.
-    /// Those that it lists have reached it.
-    pub(super) fn bar_late_starts(&mut self, key: WorkerKey, report: &WorkerReport, now_ms: u64) {
+    /// Stops the runs whose orders may still reach a worker that answers for the first time, so
+    /// that it does not start them later. Runs that it lists have already reached it.
+    pub(super) fn block_late_starts(&mut self, key: WorkerKey, report: &WorkerReport, now_ms: u64) {
         let id = self.workers[key].entry.id.clone();
-        for (task, number) in self.doubtful_starts.list(&id, now_ms) {
-            let mut ends = report.exits.iter();
-            let has_ended = ends.any(|exit| exit.task == task && exit.run == number);
+        for (task, number) in self.doubtful_starts.open_starts(&id, now_ms) {
+            let mut run_exits = report.exits.iter();
+            let has_ended = run_exits.any(|exit| exit.task == task && exit.run == number);
             if has_ended || self.workers[key].runs.contains_key(&(task, number)) {
                 continue;
             }
--- a/crates/dispatch/src/owner/orders.rs
+++ b/crates/dispatch/src/owner/orders.rs
@@ -164,7 +164,7 @@
                 )));
                 let avoid_ms = match refusal {
                     Refusal::Room => {
-                        self.stats.refused_room += 1;
+                        self.stats.refused_for_resources += 1;
                         NO_ROOM_AVOID_MS
                     }
                     Refusal::Permit => {
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -1,4 +1,4 @@
-//! Looking at workers: keeps leases alive and learns what runs and what has ended.
+//! Polls workers: renews their leases and fetches what runs and what has ended there.
 
 use crate::event::Action;
 use crate::event::Now;
@@ -22,34 +22,35 @@
 use goldcrestway_core::Note;
 use std::collections::HashSet;
 
-/// Time that a worker waits for an end before it answers a look. It bounds how late a
-/// silent worker is noticed, and how old the tails of served tasks are.
-const WAIT_MS: u64 = 700;
-/// The same where fillers work beside a task that is over its target: how that goes on
-/// decides whether they are halted in time.
-const OVER_TARGET_WAIT_MS: u64 = 250;
-/// Looks that are sent in one turn, and in a millisecond where turns are shorter.
+/// Time for which a worker delays the answer to a poll until a run ends. It bounds how late a
+/// silent worker is noticed, and how old the tail latencies of latency-critical tasks are.
+const LONG_POLL_MS: u64 = 700;
+/// The same where best-effort tasks run beside a latency-critical task that is over its target: the
+/// next answer decides whether they are suspended in time.
+const OVER_TARGET_LONG_POLL_MS: u64 = 250;
+/// Maximum number of polls in one turn, and in one millisecond where turns are shorter.
 const MAX_POLLS: usize = 100;
 const POLLS_PER_MS: u64 = 20;
-/// Time over which looks that are hastened are spread.
-const HASTENED_MS: u64 = 700;
-/// Pause between looks while ends wait to be recorded, which a look would repeat.
-const HELD_GAP_MS: u64 = 1_000;
-/// Pause before the look that follows one without an answer.
+/// Time over which hastened polls are spread.
+const HASTEN_SPREAD_MS: u64 = 700;
+/// Interval between polls while exits wait to be recorded, as a poll would list them again.
+const UNRECORDED_GAP_MS: u64 = 1_000;
+/// Delay before the poll that follows one without an answer.
 const MISSED_GAP_MS: u64 = 20;
-/// Looks in a row without an answer at which that is told.
-const SILENT_AT: u32 = 2;
-/// Pause between looks at a worker that gives no answer.
+/// Consecutive polls without an answer at which the worker is reported as silent.
+const REPORT_SILENT_AFTER: u32 = 2;
+/// Interval between polls of a worker that does not answer.
 const SILENT_GAP_MS: u64 = 300;
-/// Looks in a row without an answer, all of them after its lease was over, at which a worker is
-/// given up though this host's own link is suspected. Its platform lists it, so it is likely
-/// alive, and its list may hold ends of tasks that would run again.
+/// Consecutive polls without an answer, all of them sent after its leases had expired, after which
+/// a worker is removed even though the link of the owner's own host is suspected. The platform
+/// lists such a worker, so it is likely alive and may hold exits of tasks that would run again.
 const MAX_MISSED_WHILE_SUSPECT: u32 = 3;
-/// Runs of which an order to start may be repeated before the run is given up.
+/// Maximum number of orders to start a run. If the last one has timed out and the run is not there,
+/// it is stopped.
 const MAX_START_ATTEMPTS: u32 = 2;
 
 impl Owner {
-    /// Sends the looks that are due, and buries workers that can hold nothing any more.
+    /// Sends the polls that are due, and removes workers on which nothing can run any more.
     pub(crate) fn send_due_polls(
         &mut self,
         now: Now,
@@ -57,18 +58,18 @@
         actions: &mut Vec<Action>,
     ) {
         let now_ms = now.steady_ms;
-        let is_suspect = self.answers.is_link_suspect();
+        let is_own_link_suspect = self.answers.is_link_suspect();
         let renew_ms = self.lease_span_ms() / 2;
         let mut due = Vec::new();
         let mut dead = Vec::new();
         for key in self.workers.due(now_ms) {
             let worker = &self.workers[key];
-            let has_had_its_chances = !is_suspect
+            let has_missed_enough = !is_own_link_suspect
                 || !worker.is_listed
                 || worker.misses_after_expiry >= MAX_MISSED_WHILE_SUSPECT;
             let has_expired =
-                worker.may_be_dead() && now_ms > worker.leases_expired_ms && has_had_its_chances;
-            if worker.is_over() || has_expired && worker.is_removal_awaited() {
+                worker.may_be_dead() && now_ms > worker.leases_expired_ms && has_missed_enough;
+            if worker.is_obsolete() || has_expired && worker.is_removal_awaited() {
                 dead.push(key);
             } else if worker.can_be_polled() && now_ms >= worker.next_poll_ms {
                 let priority = match now_ms + renew_ms > worker.leases_expired_ms {
@@ -86,16 +87,16 @@
         for key in dead {
             self.remove_worker(key, RemovalReason::GivenUp, now, actions);
         }
-        // Those on which something runs come first, in the order in which leases end. Should all be
-        // due at once, as they are for a new owner, the rest has to wait for the next turns: signs
-        // of life go out between them.
+        // Workers with runs come first, in the order in which their leases expire. If all workers
+        // are due at once, as for a new owner, the rest wait for the next turns, so that heartbeats
+        // are sent in between.
         due.sort_unstable();
-        let passed_ms = now_ms.saturating_sub(self.polled_ms);
-        self.polled_ms = now_ms;
+        let passed_ms = now_ms.saturating_sub(self.poll_budget_ms);
+        self.poll_budget_ms = now_ms;
         let refill = (passed_ms * POLLS_PER_MS).min(MAX_POLLS as u64) as usize;
-        self.polls_left = (self.polls_left + refill).min(MAX_POLLS);
-        due.truncate(self.polls_left);
-        self.polls_left -= due.len();
+        self.poll_budget = (self.poll_budget + refill).min(MAX_POLLS);
+        due.truncate(self.poll_budget);
+        self.poll_budget -= due.len();
         for (priority, _, _, key) in due {
             if self.link.admits(priority) {
                 self.poll(key, now_ms, tickets, actions);
@@ -107,14 +108,16 @@
         let is_confirmed = self.is_confirmed(now_ms);
         let span_ms = self.lease_span_ms();
         let lease_ms = self.lease_ms();
-        let is_suspect = self.answers.is_link_suspect();
+        let is_own_link_suspect = self.answers.is_link_suspect();
         let worker = &mut self.workers[key];
-        // The lease of a silent worker must run out some day: its tasks are started
-        // elsewhere only then. A look whose answer is lost would extend it. While answers are
-        // late from all workers, this one is likely alive, and its tasks must not end for that.
-        let is_heard = worker.missed_answers == 0
-            || is_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
-        let extends = is_confirmed && worker.is_known && is_heard && !worker.is_recorded_silent;
+        // The leases of a silent worker must expire at some time, as its tasks are started
+        // elsewhere only then; a poll whose answer is lost would extend them. While the answers of
+        // all workers are late, this one is likely alive, and its tasks must not end because of the
+        // link.
+        let is_likely_alive = worker.missed_answers == 0
+            || is_own_link_suspect && worker.missed_answers < MAX_MISSED_WHILE_SUSPECT;
+        let extends =
+            is_confirmed && worker.is_known && is_likely_alive && !worker.is_recorded_silent;
         let lease_until_ms = match worker.clock_ms(now_ms) {
             Some(clock_ms) if extends => Some(clock_ms + lease_ms),
             _ => None,
@@ -128,13 +131,13 @@
             && !has_unrecorded
             && worker.clock.is_some();
         let wait_ms = match waits {
-            true if worker.is_over_target => OVER_TARGET_WAIT_MS,
-            true => WAIT_MS,
+            true if worker.is_over_target => OVER_TARGET_LONG_POLL_MS,
+            true => LONG_POLL_MS,
             false => 0,
         };
-        // A worker that has started again since would take the figure for its own ends, and forget
-        // what nobody has read. So it is told one only if there is something to forget, and not
-        // after an answer was missing.
+        // A worker that has restarted since would apply the number to its own exits, and forget
+        // some that the owner has not read. So the number is sent only if there is something to
+        // forget, and not after a missed answer.
         let acknowledged_exit =
             match worker.missed_answers == 0 && worker.recorded_exit > worker.forgotten_exit {
                 true => worker.recorded_exit,
@@ -183,7 +186,7 @@
             if worker.is_silent() {
                 worker.next_poll_ms = now_ms + SILENT_GAP_MS;
             }
-            if worker.missed_answers == SILENT_AT {
+            if worker.missed_answers == REPORT_SILENT_AFTER {
                 actions.push(Action::Note(Note::new(
                     Code::WorkerSilent,
                     &*worker.entry.id,
@@ -227,26 +230,26 @@
         self.apply_run_exits(key, &report, now, actions);
         self.apply_run_reports(key, sent_ms, &report, now_ms, actions);
         if !was_known {
-            self.bar_late_starts(key, &report, now_ms);
+            self.block_late_starts(key, &report, now_ms);
         }
         self.adjust_best_effort(key, now_ms, actions);
         let gap_ms = self.poll_gap_ms(key);
         let worker = &mut self.workers[key];
         let gap_ms = match worker.handled_exit > worker.recorded_exit {
-            true => HELD_GAP_MS,
+            true => UNRECORDED_GAP_MS,
             false if was_known => gap_ms,
             false => 0,
         };
         worker.next_poll_ms = now_ms + gap_ms;
     }
 
-    /// Gives the pause before the next look at a worker.
+    /// Gives the interval until the next poll of a worker.
     fn poll_gap_ms(&mut self, key: WorkerKey) -> u64 {
         let ending = self.workers.ending();
         let polls = PollIntervals {
             idle_workers: (self.workers.len() - ending) as u64,
             cpu_permille: self.bounds.cpu_permille,
-            are_confirming: self.are_workers_confirming,
+            are_confirming: self.needs_worker_confirmation,
         };
         let activity = self.workers[key].activity();
         let link_gap_ms = match activity {
@@ -256,33 +259,34 @@
         polls.gap_ms(activity).max(link_gap_ms)
     }
 
-    /// Has a worker that was at rest looked at like one on which something is about to end.
+    /// Schedules the next poll of an idle worker as soon as that of one whose runs may end at any
+    /// time.
     pub(super) fn poll_soon(&mut self, key: WorkerKey, now_ms: u64) {
         let at_ms = now_ms + self.poll_gap_ms(key);
         let worker = &mut self.workers[key];
         worker.next_poll_ms = worker.next_poll_ms.min(at_ms);
     }
 
-    /// Spreads the first looks at workers on which nothing runs, by what the owner's processor bears.
-    /// Those that run something are looked at first.
+    /// Spreads the first polls of workers without runs, at a rate that the owner's processor can
+    /// bear. Workers with runs are polled first.
     pub(crate) fn spread_first_polls(&mut self, now_ms: u64) {
         let gap_us = first_gap_us(self.bounds.cpu_permille);
-        let mut waits_us = 0;
+        let mut delay_us = 0;
         for worker in self.workers.values_mut() {
             let was_polled = worker.is_known || worker.next_poll_ms > 0;
             if worker.runs.is_empty() && !was_polled {
-                worker.next_poll_ms = now_ms + waits_us / 1_000;
-                waits_us += gap_us;
+                worker.next_poll_ms = now_ms + delay_us / 1_000;
+                delay_us += gap_us;
             }
         }
     }
 
-    /// Has workers at rest looked at within a second, as they have to confirm this owner.
+    /// Polls all workers within a second, as they have to confirm this owner.
     pub(super) fn hasten_polls(&mut self, now_ms: u64) {
-        let mut place = 0;
+        let mut position = 0;
         for worker in self.workers.values_mut() {
-            place += 1;
-            let at_ms = now_ms + place % HASTENED_MS;
+            position += 1;
+            let at_ms = now_ms + position % HASTEN_SPREAD_MS;
             worker.next_poll_ms = worker.next_poll_ms.min(at_ms);
         }
     }
@@ -311,7 +315,7 @@
         }
     }
 
-    /// Compares what the worker lists as running with what should be there.
+    /// Compares the runs that a worker reports with those that it should have.
     fn apply_run_reports(
         &mut self,
         key: WorkerKey,
@@ -365,7 +369,7 @@
     ) {
         match phase {
             RunPhase::Recording | RunPhase::Sent | RunPhase::Stopping { .. } => {}
-            // Orders of a former owner are refused from this look on.
+            // The worker refuses orders of a previous owner from this poll on.
             RunPhase::Inherited => {
                 let id = &self.workers[key].entry.id;
                 self.doubtful_starts.add(id, task, number, now_ms);
@@ -385,8 +389,8 @@
         }
     }
 
-    /// Tells of a run that was there and is missing, though its end was not listed. It will run
-    /// again, so if it has ended well after all, it runs twice.
+    /// Reports a confirmed run that is missing although its exit was not listed. Its task will run
+    /// again, so if the run has succeeded after all, the task runs twice.
     fn report_vanished(
         &self,
         key: WorkerKey,
@@ -419,7 +423,7 @@
             return;
         };
         run.phase = match run.start_attempts < MAX_START_ATTEMPTS && !run.is_orphan {
-            // The same number makes a repeat harmless.
+            // A repeated order has the same run number, which makes it idempotent.
             true => RunPhase::Recording,
             false => RunPhase::Stopping { again_ms: now_ms },
         };
@@ -440,14 +444,14 @@
 }
 
 fn apply_run_report(run: &mut Run, row: &RunReport, now_ms: u64) {
-    // What a former owner started is judged from the first look on.
+    // The speed of a run that a previous owner started is measured from the first poll on.
     if run.phase == RunPhase::Inherited {
         run.started_ms = now_ms;
         run.first_ms = now_ms;
         run.first_percent = row.percent;
         run.progressed_ms = now_ms;
     }
-    // A resumed run begins at the share of the work that its checkpoint holds.
+    // A resumed run starts with the progress that its checkpoint contains.
     if run.percent == 0 && !run.checkpoint.is_empty() && run.first_percent == 0 {
         run.first_percent = row.percent;
         run.first_ms = now_ms;
--- a/crates/dispatch/src/owner/waits.rs
+++ b/crates/dispatch/src/owner/waits.rs
@@ -92,10 +92,10 @@
 impl Owner {
     /// Reports the steps that have waited for long, with the reasons.
     pub(super) fn report_waits(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if now.steady_ms < self.next_waits_ms {
+        if now.steady_ms < self.next_waits_report_ms {
             return;
         }
-        self.next_waits_ms = now.steady_ms + SEARCH_INTERVAL_MS;
+        self.next_waits_report_ms = now.steady_ms + SEARCH_INTERVAL_MS;
         self.stats.waits = [0; WaitReason::ALL.len()];
         let mut waiting = self.list_waiting(now.steady_ms);
         waiting.sort_by_key(|step| step.since_ms);
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -64,7 +64,7 @@
     Label,
     /// It has the maximum number of tasks of the step.
     Spread,
-    /// A best-effort task would slow down a service there, or already does.
+    /// A best-effort task would slow down a latency-critical task there, or already does.
     Disturbed,
     /// Best-effort tasks already use its unused processor time.
     Crowded,
@@ -131,7 +131,7 @@
     pub(crate) gauge: u64,
     /// The gauge of the previous poll.
     pub(crate) previous_gauge: u64,
-    /// Recent headroom, if it is a service.
+    /// Recent headroom, if it is latency-critical.
     pub(crate) baseline: Baseline,
     /// Since when its tail latency is over its target.
     pub(crate) over_since_ms: Option<u64>,
@@ -182,8 +182,8 @@
 impl Run {
     /// Requests that a run stops, because nothing waits for its exit any more, or because its task
     /// restarts after it. Tells whether no order to start it was ever sent, so that it can simply
-    /// be dropped. This is not so for a run that waits for its second order: the first one timed
-    /// out and may be carried out seconds later, unless an order to stop bars it.
+    /// be dropped. A run that waits for its second order can't be dropped: the first one timed out
+    /// and may be carried out seconds later, unless an order to stop prevents that.
     pub(crate) fn request_stop(&mut self) -> bool {
         match self.phase {
             RunPhase::Recording if self.start_attempts == 0 => return true,
@@ -217,8 +217,8 @@
     /// Missed answers to polls that were sent after its leases had expired.
     pub(crate) misses_after_expiry: u32,
     /// Index of the relay that carries its orders, and until when that is not the first one.
-    pub(crate) relay_place: usize,
-    pub(crate) relay_until_ms: u64,
+    pub(crate) relay_index: usize,
+    pub(crate) relay_index_until_ms: u64,
     /// It is recorded as silent, so a successor relies on the expiry of its leases.
     pub(crate) is_recorded_silent: bool,
     /// Time of its clock, and when it was received.
@@ -257,7 +257,7 @@
     pub(crate) queued_due_ms: Option<u64>,
     /// Earliest time of the next change of CPU shares.
     pub(crate) next_share_change_ms: u64,
-    /// Best-effort tasks run beside a service that is over its target.
+    /// Best-effort tasks run beside a latency-critical task that is over its target.
     pub(crate) is_over_target: bool,
 }
 
@@ -273,8 +273,8 @@
             first_missed_ms: None,
             probes: 0,
             misses_after_expiry: 0,
-            relay_place: 0,
-            relay_until_ms: 0,
+            relay_index: 0,
+            relay_index_until_ms: 0,
             is_recorded_silent: false,
             clock: None,
             leases_expired_ms,
@@ -363,9 +363,9 @@
         if self.runs.is_empty() {
             return Activity::None;
         }
-        let lasts =
+        let is_confirmed_long_running =
             |run: &Run| run.is_long_running && matches!(run.phase, RunPhase::Present { .. });
-        match self.is_over_target || !self.runs.values().all(lasts) {
+        match self.is_over_target || !self.runs.values().all(is_confirmed_long_running) {
             true => Activity::Ending,
             false => Activity::LongRunning,
         }
@@ -376,8 +376,8 @@
         self.is_silent() || !self.is_known || self.entry.address.is_empty()
     }
 
-    /// Tells whether it is no longer listed and nothing runs there or is awaited from it.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Tells whether it is no longer listed, has no runs, and no answer is pending.
+    pub(crate) fn is_obsolete(&self) -> bool {
         !self.is_listed && self.runs.is_empty() && !self.is_poll_pending
     }
 
@@ -394,7 +394,7 @@
     /// Gives when its next poll is due or it may be removed; `None` if only an answer or a new
     /// entry can change that.
     pub(crate) fn next_due_ms(&self) -> Option<u64> {
-        if self.is_over() {
+        if self.is_obsolete() {
             return Some(0);
         }
         let poll_ms = self.can_be_polled().then_some(self.next_poll_ms);
@@ -428,7 +428,7 @@
         self.untimed_exclusion().or(avoided)
     }
 
-    /// The same without reasons that pass with time alone.
+    /// Gives the same, without reasons that end with time alone.
     pub(crate) fn untimed_exclusion(&self) -> Option<Exclusion> {
         if !self.is_listed {
             return Some(Exclusion::Unlisted);
@@ -458,7 +458,7 @@
         }
         match step.max_per_worker {
             0 => count,
-            most => count.min(most),
+            limit => count.min(limit),
         }
     }
 
--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that take down the workers that start them, and those that merely stand beside them.
+//! Tasks that crash the workers that start them, and tasks that merely run beside them.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -14,10 +14,10 @@
 use goldcrestway_dispatch::TaskId;
 use googletest::prelude::*;
 
-/// Time after its start at which a poisoned task takes its worker down.
+/// Time after its start at which a crashing task takes its worker down.
 const CRASH_MS: u64 = 10;
 
-/// Gives a task of a job that runs once.
+/// Gives the id of a task of a job that runs once.
 fn task(job: u64, step: u16, index: u16) -> TaskId {
     TaskId {
         job: JobId(job),
@@ -27,15 +27,16 @@
     }
 }
 
-/// Callers waited for good for a job whose first task took each worker down 10 ms after it had
-/// begun there. The worker was back 3.4 s later, its owner learned that from another incarnation
-/// at its address, and started the task elsewhere at once: 32 times in two minutes, 250 crashes
-/// on 66 workers in all, and quick jobs beside it were four times as often late. What the owner
-/// wrote, `WorkerGone runs=7` and 26 ms later `RunOrdered run=7`, with neither `RunBroken` nor
-/// `JobFailed` between them, shows that a run which goes with its worker was an end to nobody:
-/// only ends that a worker lists were counted.
+/// Guards against a task that crashes its workers and is started without end, so that its job never
+/// ends for its caller. The task took each worker down 10 ms after its start. The worker was back
+/// 3.4 s later, the owner learned that from another incarnation at its address, and started the
+/// task elsewhere at once: 32 times in two minutes, 250 crashes on 66 workers in all, and short
+/// jobs beside it were late four times as often. The cause: a run that was lost with its worker
+/// counted as no exit, as only exits that a worker lists were counted; the log showed `WorkerGone
+/// runs=7` and 26 ms later `RunOrdered run=7`, with neither `RunBroken` nor `JobFailed` between
+/// them.
 #[gtest]
-fn a_task_that_crashes_its_workers_is_given_up() {
+fn task_that_crashes_its_workers_fails_its_job() {
     let mut fleet = Fleet::new(3, 8);
     fleet.poison(task(JOB, 0, 0), CRASH_MS);
     fleet.submit(0, JOB, &job(vec![step(4, 300, &[])]));
@@ -44,26 +45,27 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Failed)));
 }
 
-/// A job with tasks that crash their workers, and what may become of it.
+/// A job with tasks that crash their workers, and how many crashes it may cause.
 struct Case {
     name: &'static str,
     hosts: usize,
     workers: usize,
     relays: bool,
     steps: fn() -> Vec<Step>,
-    /// Occurrences of the job, 2 s apart; 0 for a plain one.
+    /// Occurrences of the job, 2 s apart; 0 for a job that runs once.
     repetitions: u32,
-    /// Indexes in the first step of the tasks that crash their workers, and after which time.
-    poisoned: &'static [u16],
+    /// Indexes of the tasks in the first step that crash their workers, and the time from their
+    /// start until they do.
+    crashing_tasks: &'static [u16],
     crash_ms: u64,
-    /// Time after which a crashed worker is back.
-    back_ms: u64,
-    /// It is back under its old id.
+    /// Time after which a crashed worker runs again.
+    down_ms: u64,
+    /// It restarts under its old id.
     keeps_ids: bool,
-    /// What happens besides, each second.
-    besides: fn(&mut Fleet, u64),
-    /// Workers that it may take down.
-    crashes_most: u32,
+    /// Further faults, injected each second.
+    disturb: fn(&mut Fleet, u64),
+    /// Maximum number of workers that each of these tasks may crash.
+    max_crashes: u32,
 }
 
 const CASE: Case = Case {
@@ -73,15 +75,15 @@
     relays: false,
     steps: || vec![step(4, 300, &[])],
     repetitions: 0,
-    poisoned: &[0],
+    crashing_tasks: &[0],
     crash_ms: CRASH_MS,
-    back_ms: 3_400,
+    down_ms: 3_400,
     keeps_ids: false,
-    besides: |_, _| {},
-    crashes_most: 2,
+    disturb: |_, _| {},
+    max_crashes: 2,
 };
 
-/// Kills the owner now and then, and starts it again.
+/// Kills the owner every 4 s, and starts it again.
 fn kill_owner(fleet: &mut Fleet, second: u64) {
     let owner = owner(fleet);
     if second.is_multiple_of(4) {
@@ -95,22 +97,22 @@
         name: "one task of four",
         ..CASE
     },
-    // A lease is over long before the worker is back, so the task runs elsewhere by then.
+    // The leases expire long before the worker is back, so the task runs elsewhere by then.
     Case {
-        name: "workers that are back only after their leases are over",
-        back_ms: 8_000,
-        crashes_most: 3,
+        name: "workers that are back only after their leases have expired",
+        down_ms: 8_000,
+        max_crashes: 3,
         ..CASE
     },
     Case {
         name: "a worker that is down before it has answered the order",
         crash_ms: 0,
-        crashes_most: 4,
+        max_crashes: 4,
         ..CASE
     },
     Case {
         name: "workers that are back at once",
-        back_ms: 50,
+        down_ms: 50,
         ..CASE
     },
     Case {
@@ -120,35 +122,35 @@
     },
     Case {
         name: "workers that are back at once under their old ids",
-        back_ms: 5,
+        down_ms: 5,
         keeps_ids: true,
         ..CASE
     },
     Case {
-        name: "workers that are back under their old ids after their leases are over",
-        back_ms: 8_000,
+        name: "workers that are back under their old ids after their leases have expired",
+        down_ms: 8_000,
         keeps_ids: true,
-        crashes_most: 3,
+        max_crashes: 3,
         ..CASE
     },
     Case {
         name: "the same, and owners that die between the crashes",
-        back_ms: 8_000,
+        down_ms: 8_000,
         keeps_ids: true,
-        besides: kill_owner,
-        crashes_most: 5,
+        disturb: kill_owner,
+        max_crashes: 5,
         ..CASE
     },
-    // What was counted must be on record before the next start.
+    // The counted crashes must be recorded before the next start.
     Case {
         name: "owners that die between the crashes",
-        besides: kill_owner,
-        crashes_most: 5,
+        disturb: kill_owner,
+        max_crashes: 5,
         ..CASE
     },
     Case {
         name: "all hosts die between the crashes",
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             for host in 0..3 {
                 if second.is_multiple_of(5) {
                     fleet.kill(host);
@@ -156,12 +158,12 @@
                 }
             }
         },
-        crashes_most: 5,
+        max_crashes: 5,
         ..CASE
     },
     Case {
-        name: "a store that is away at times",
-        besides: |fleet, second| {
+        name: "a store that is unavailable at times",
+        disturb: |fleet, second| {
             fleet.store.mode = match second % 6 {
                 2 | 3 => Mode::Silent,
                 _ => Mode::Up,
@@ -171,7 +173,7 @@
     },
     Case {
         name: "a slow store",
-        besides: |fleet, _| fleet.store.answer_ms = 200,
+        disturb: |fleet, _| fleet.store.answer_ms = 200,
         ..CASE
     },
     Case {
@@ -180,8 +182,8 @@
         ..CASE
     },
     Case {
-        name: "the job is handed in again and again",
-        besides: |fleet, second| {
+        name: "the job is submitted repeatedly",
+        disturb: |fleet, second| {
             let submission = fleet.promises.submitted[&JobId(JOB)].clone();
             fleet.submit(second as usize % 3, JOB, &submission);
         },
@@ -189,8 +191,8 @@
     },
     Case {
         name: "all tasks",
-        poisoned: &[0, 1, 2, 3],
-        crashes_most: 3,
+        crashing_tasks: &[0, 1, 2, 3],
+        max_crashes: 3,
         ..CASE
     },
     Case {
@@ -212,7 +214,7 @@
                 ..step(4, 300, &[])
             }]
         },
-        poisoned: &[0, 1, 2, 3],
+        crashing_tasks: &[0, 1, 2, 3],
         ..CASE
     },
     Case {
@@ -226,7 +228,7 @@
         ..CASE
     },
     Case {
-        name: "tasks that last",
+        name: "long-running tasks",
         steps: || {
             vec![Step {
                 is_long_running: true,
@@ -240,24 +242,25 @@
         repetitions: 3,
         ..CASE
     },
-    // It has shown that it can be borne, so only many crashes in a row speak against it.
+    // The task is stable before it crashes its worker, so only many consecutive crashes speak
+    // against it.
     Case {
         name: "a task that crashes its worker only after a while",
         steps: || vec![step(2, 8_000, &[])],
         crash_ms: 2_500,
-        crashes_most: 5,
+        max_crashes: 5,
         ..CASE
     },
 ];
 
-fn play(case: &Case) -> Fleet {
+fn run_case(case: &Case) -> Fleet {
     let mut fleet = match case.relays {
         true => Fleet::with_relays(case.hosts, case.workers),
         false => Fleet::new(case.hosts, case.workers),
     };
-    fleet.set_back_ms(case.back_ms);
+    fleet.set_back_ms(case.down_ms);
     fleet.keep_ids(case.keeps_ids);
-    for index in case.poisoned {
+    for index in case.crashing_tasks {
         fleet.poison(task(JOB, 0, *index), case.crash_ms);
     }
     let submission = Submission {
@@ -269,18 +272,18 @@
     fleet.submit(0, JOB, &submission);
     for second in 1..=45 {
         fleet.run(1_000);
-        (case.besides)(&mut fleet, second);
+        (case.disturb)(&mut fleet, second);
     }
     fleet.run(5_000);
     fleet
 }
 
-/// Symptom: a task that crashes its workers goes on for good, under one of these conditions, or
-/// takes more of them down than are needed to know it.
+/// Guards against a task that crashes its workers and is started without end under one of these
+/// conditions, or that crashes more workers than are needed to identify it.
 #[gtest]
-fn a_task_that_crashes_its_workers_is_known_soon() {
+fn task_that_crashes_its_workers_fails_its_job_after_few_crashes() {
     for case in CASES {
-        let mut fleet = play(case);
+        let mut fleet = run_case(case);
         expect_that!(
             fleet.state(0, JOB),
             some(eq(JobState::Failed)),
@@ -289,11 +292,11 @@
             fleet.lines
         );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
-        for index in case.poisoned {
+        for index in case.crashing_tasks {
             let crashes = fleet.promises.crashes.get(&task(JOB, 0, *index));
             expect_that!(
                 crashes.copied().unwrap_or(0),
-                le(case.crashes_most),
+                le(case.max_crashes),
                 "{}: {:#?}",
                 case.name,
                 fleet.lines
@@ -302,25 +305,25 @@
     }
 }
 
-/// Workers that go down for other reasons than a task.
-struct Luckless {
+/// Workers that go down for reasons other than a task.
+struct UnrelatedCrashes {
     name: &'static str,
     steps: fn() -> Vec<Step>,
-    /// What happens, each second.
-    besides: fn(&mut Fleet, u64),
-    /// Workers that crash are back under their old ids.
+    /// The faults, injected each second.
+    disturb: fn(&mut Fleet, u64),
+    /// Crashed workers restart under their old ids.
     keeps_ids: bool,
 }
 
-/// Gives the addresses of all workers on which something runs.
-pub(crate) fn busy(fleet: &Fleet) -> Vec<Box<str>> {
+/// Gives the addresses of all workers with runs.
+pub(crate) fn busy_workers(fleet: &Fleet) -> Vec<Box<str>> {
     let workers = fleet.workers.iter();
-    let busy = workers.filter(|(_, worker)| worker.tasks().next().is_some());
-    busy.map(|(address, _)| address.clone()).collect()
+    let busy_workers = workers.filter(|(_, worker)| worker.tasks().next().is_some());
+    busy_workers.map(|(address, _)| address.clone()).collect()
 }
 
-/// Has all workers go dark at once, now and then.
-fn go_dark(fleet: &mut Fleet, second: u64) {
+/// Crashes all workers at once, at seconds 1, 5, 9 and 13.
+fn crash_all_at_times(fleet: &mut Fleet, second: u64) {
     if matches!(second, 1 | 5 | 9 | 13) {
         let addresses: Vec<Box<str>> = fleet.workers.keys().cloned().collect();
         for address in addresses {
@@ -329,57 +332,57 @@
     }
 }
 
-/// Crashes the workers on which something runs, now and then.
-fn crash_busy(fleet: &mut Fleet, second: u64) {
+/// Crashes the workers with runs, every 6 s.
+fn crash_busy_at_times(fleet: &mut Fleet, second: u64) {
     if second.is_multiple_of(6) {
-        for address in busy(fleet) {
+        for address in busy_workers(fleet) {
             fleet.crash(&address);
         }
     }
 }
 
-fn last_long() -> Vec<Step> {
+fn long_running_steps() -> Vec<Step> {
     vec![Step {
         is_long_running: true,
         ..step(4, 1_000, &[])
     }]
 }
 
-const LUCKLESS: &[Luckless] = &[
-    // All that works there runs elsewhere meanwhile, and has not crashed it.
-    Luckless {
+const UNRELATED_CRASHES: &[UnrelatedCrashes] = &[
+    // All their tasks run elsewhere meanwhile, and none of them has crashed a worker.
+    UnrelatedCrashes {
         keeps_ids: false,
         name: "workers that are cut off and come back",
         steps: || vec![step(6, 6_000, &[])],
-        besides: |fleet, second| match second {
-            1 | 12 | 23 => fleet.cut_workers = busy(fleet),
+        disturb: |fleet, second| match second {
+            1 | 12 | 23 => fleet.cut_workers = busy_workers(fleet),
             9 | 20 | 31 => fleet.cut_workers.clear(),
             _ => {}
         },
     },
-    // The failure domain goes dark under runs that have just begun, and again under the next ones.
-    Luckless {
+    // The failure domain fails under runs that have just started, and again under the next ones.
+    UnrelatedCrashes {
         keeps_ids: false,
-        name: "a failure domain that goes dark several times",
+        name: "a failure domain that fails several times",
         steps: || vec![step(2, 20_000, &[])],
-        besides: go_dark,
+        disturb: crash_all_at_times,
     },
-    // They serve for longer than hosts live here.
-    Luckless {
+    // The tasks run for longer than the hosts do between two crashes.
+    UnrelatedCrashes {
         keeps_ids: false,
-        name: "tasks that last, on hosts that crash by themselves",
-        steps: last_long,
-        besides: crash_busy,
+        name: "long-running tasks on hosts that crash by themselves",
+        steps: long_running_steps,
+        disturb: crash_busy_at_times,
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
-        name: "workers that leave as planned, with another one at their address",
+        name: "workers that drain, with another one at their address",
         steps: || vec![step(4, 60_000, &[])],
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             if !second.is_multiple_of(3) || second > 12 {
                 return;
             }
-            for address in busy(fleet) {
+            for address in busy_workers(fleet) {
                 let id = fleet.workers[&address].id.clone();
                 let text = format!("{address} leaving");
                 fleet.store.put(Stream::Workers, &id, text.as_bytes());
@@ -389,37 +392,37 @@
             }
         },
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: false,
-        name: "a host whose own way to all workers is cut",
+        name: "an owner that is cut off from all workers",
         steps: || vec![step(4, 12_000, &[])],
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             let owner = owner(fleet);
             fleet.cut_from_workers(owner, matches!(second, 2..=4 | 9..=11));
         },
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: true,
-        name: "a failure domain that goes dark several times, and keeps its ids",
+        name: "a failure domain that fails several times and whose workers keep their ids",
         steps: || vec![step(2, 20_000, &[])],
-        besides: go_dark,
+        disturb: crash_all_at_times,
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: true,
-        name: "tasks that last, on hosts that crash by themselves and keep their ids",
-        steps: last_long,
-        besides: crash_busy,
+        name: "long-running tasks on hosts that crash by themselves and keep their ids",
+        steps: long_running_steps,
+        disturb: crash_busy_at_times,
     },
-    Luckless {
+    UnrelatedCrashes {
         keeps_ids: true,
-        name: "workers that leave as planned and start again under their ids",
+        name: "workers that drain and restart under their ids",
         steps: || vec![step(4, 60_000, &[])],
-        besides: |fleet, second| {
+        disturb: |fleet, second| {
             if second > 6 {
                 return;
             }
             fleet.set_back_ms(500);
-            for address in busy(fleet) {
+            for address in busy_workers(fleet) {
                 fleet.announce_leave(&address);
                 fleet.run(100);
                 fleet.crash(&address);
@@ -428,26 +431,26 @@
     },
 ];
 
-/// Symptom: a job is shown as failed though no task of it did anything. Cause: whatever goes with
-/// a worker was taken for what brought it down.
+/// Guards against jobs that are shown as failed although none of their tasks did anything wrong:
+/// each run that was lost with a worker was taken for the cause of its crash.
 #[gtest]
-fn tasks_are_not_given_up_for_what_befalls_their_workers() {
-    for case in LUCKLESS {
+fn crashes_with_other_causes_do_not_fail_jobs() {
+    for case in UNRELATED_CRASHES {
         let mut fleet = Fleet::new(3, 6);
         fleet.keep_ids(case.keeps_ids);
         fleet.submit(0, JOB, &job((case.steps)()));
         for second in 1..=40 {
             fleet.run(1_000);
-            (case.besides)(&mut fleet, second);
+            (case.disturb)(&mut fleet, second);
         }
         fleet.run(30_000);
         let is_long_running = fleet.promises.submitted[&JobId(JOB)].steps[0].is_long_running;
-        let wanted = match is_long_running {
+        let expected = match is_long_running {
             true => JobState::Running,
             false => JobState::Completed,
         };
         let state = fleet.state(0, JOB);
-        // The job that lasts for longest needs a minute.
+        // The longest job needs a minute.
         let state = match state {
             Some(JobState::Running) if !is_long_running => {
                 fleet.run(40_000);
@@ -455,16 +458,22 @@
             }
             other => other,
         };
-        expect_that!(state, some(eq(wanted)), "{}: {:#?}", case.name, fleet.lines);
+        expect_that!(
+            state,
+            some(eq(expected)),
+            "{}: {:#?}",
+            case.name,
+            fleet.lines
+        );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
     }
 }
 
-/// Symptom: jobs that do nothing wrong are given up, or wait, because they stand beside one that
-/// crashes its workers. Sequence: jobs come one after the other while four poisoned ones do their
-/// damage. All others end, and none needs more than a few starts.
+/// Guards against jobs that fail, or wait, because they run beside jobs that crash their workers.
+/// Jobs are submitted one after the other, and four of them have a crashing task. All others
+/// complete, and the crashing tasks take down 12 workers at most.
 #[gtest]
-fn bystanders_are_neither_given_up_nor_kept_waiting() {
+fn jobs_beside_crashing_tasks_complete_in_time() {
     let mut fleet = Fleet::new(3, 6);
     for number in 0..60_u64 {
         if number.is_multiple_of(15) {
@@ -475,13 +484,13 @@
     }
     fleet.run(20_000);
     for number in 0..60_u64 {
-        let wanted = match number.is_multiple_of(15) {
+        let expected = match number.is_multiple_of(15) {
             true => JobState::Failed,
             false => JobState::Completed,
         };
         expect_that!(
             fleet.state(0, number + 1),
-            some(eq(wanted)),
+            some(eq(expected)),
             "job {:x}: {:#?}",
             number + 1,
             fleet.lines
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -1,8 +1,8 @@
-//! Workers that start again under the id that they had, and know nothing of before.
+//! Workers that restart under the id that they had, without any state of the previous incarnation.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
-use crate::dispatch_crashes::busy;
+use crate::dispatch_crashes::busy_workers;
 use crate::fleet::Fleet;
 use crate::fleet::Mode;
 use crate::fleet::job;
@@ -13,15 +13,15 @@
 use goldcrestway_dispatch::TaskId;
 use googletest::prelude::*;
 
-/// Time after which a worker that has crashed is back, a tenth of its lease.
-const BACK_MS: u64 = 600;
+/// Time after which a crashed worker runs again, a tenth of its lease.
+const DOWN_MS: u64 = 600;
 
-/// Gives a fleet whose workers have each ended some tasks well, so that their ends are numbered
-/// higher than those of a worker that has just started.
-fn seasoned(workers: usize) -> Fleet {
+/// Gives a fleet whose workers have listed the exits of some tasks that succeeded, so that these
+/// exits have higher numbers than those of a worker that has just started.
+fn fleet_with_exits(workers: usize) -> Fleet {
     let mut fleet = Fleet::new(3, workers);
     fleet.keep_ids(true);
-    fleet.set_back_ms(BACK_MS);
+    fleet.set_back_ms(DOWN_MS);
     for number in 0..3 {
         let count = 8 * workers as u32;
         fleet.submit(0, JOB + 100 + number, &job(vec![step(count, 300, &[])]));
@@ -31,38 +31,40 @@
 }
 
 /// Crashes all workers at once.
-fn crash_all(fleet: &mut Fleet) {
+fn crash_all_workers(fleet: &mut Fleet) {
     let addresses: Vec<Box<str>> = fleet.workers.keys().cloned().collect();
     for address in addresses {
         fleet.crash(&address);
     }
 }
 
-/// Tasks of quick jobs that had ended well were started again a second later on another worker;
-/// 1,562 of them in two minutes. The worker had crashed, and 0.6 s later it had started again under
-/// its old id, so that it was heard again before it was given up: 19 lines like `WorkerBack runs=0`
-/// and no `WorkerGone`. All 95 runs that were followed by another one with no end between them,
-/// `RunOrdered run=2` at 5.721 s and `RunOrdered run=3` at 8.006 s, were on such workers.
+/// Guards against tasks of short jobs that succeeded and were started again a second later on
+/// another worker; 1,562 of them in two minutes. Their worker had crashed and 0.6 s later had
+/// restarted under its old id, so that it answered before it was removed: the log had 19 lines like
+/// `WorkerBack runs=0` and no `WorkerGone`. All 95 runs that were followed by another one without
+/// an exit between them, such as `RunOrdered run=2` at 5.721 s and `RunOrdered run=3` at 8.006 s,
+/// were on such workers.
 #[gtest]
-fn a_task_that_ended_well_on_a_worker_that_started_again_does_not_run_again() {
-    let mut fleet = seasoned(4);
-    crash_all(&mut fleet);
-    fleet.run(BACK_MS + 3_000);
+fn task_that_succeeded_on_a_restarted_worker_does_not_run_again() {
+    let mut fleet = fleet_with_exits(4);
+    crash_all_workers(&mut fleet);
+    fleet.run(DOWN_MS + 3_000);
     fleet.submit(0, JOB, &job(vec![step(8, 1_000, &[])]));
     fleet.run(6_000);
     expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// A job of several steps stood still for 39 s, until the day was over, with most of the workers'
-/// room free: its second step could run and didn't. A task of its first step ran on the same worker
-/// again and again, `RunOrdered run=20`, `run=21` and `run=22` within four seconds, and ended well
-/// there each time. That worker had started again under its old id 36 s before the job came.
+/// Guards against a job of several steps that makes no progress: for 39 s, its second step could
+/// start and did not, with most resources of the workers free. A task of its first step ran on the
+/// same worker again and again, `RunOrdered run=20`, `run=21` and `run=22` within four seconds, and
+/// succeeded each time. That worker had restarted under its old id 36 s before the job was
+/// submitted.
 #[gtest]
-fn a_job_goes_on_with_its_next_step_on_a_worker_that_started_again() {
-    let mut fleet = seasoned(1);
-    crash_all(&mut fleet);
-    fleet.run(BACK_MS + 3_000);
+fn next_step_starts_on_a_restarted_worker() {
+    let mut fleet = fleet_with_exits(1);
+    crash_all_workers(&mut fleet);
+    fleet.run(DOWN_MS + 3_000);
     let steps = vec![step(1, 1_000, &[]), step(1, 1_000, &[0])];
     fleet.submit(0, JOB, &job(steps));
     fleet.run(10_000);
@@ -74,36 +76,36 @@
     );
 }
 
-/// A way in which workers start again.
+/// A way in which workers restart.
 struct Case {
     name: &'static str,
     relays: bool,
-    /// Time after which a worker that has crashed is back.
-    back_ms: u64,
-    /// By how much more its clock is set back each time.
-    set_back_ms: u64,
-    /// Time after which a worker that is back reports itself.
+    /// Time after which a crashed worker runs again.
+    down_ms: u64,
+    /// Amount by which its clock is set back further at each restart.
+    clock_back_ms: u64,
+    /// Time after which a restarted worker reports itself to the platform.
     report_ms: u64,
     step: fn() -> Step,
-    /// What happens, each half second for five seconds.
-    besides: fn(&mut Fleet, u64),
+    /// Faults, injected each half second for five seconds.
+    disturb: fn(&mut Fleet, u64),
 }
 
 const CASE: Case = Case {
     name: "",
     relays: false,
-    back_ms: BACK_MS,
-    set_back_ms: 0,
+    down_ms: DOWN_MS,
+    clock_back_ms: 0,
     report_ms: 0,
     step: || step(6, 400, &[]),
-    besides: |fleet, half| {
-        if half.is_multiple_of(3) {
-            crash(fleet, half);
+    disturb: |fleet, half_second| {
+        if half_second.is_multiple_of(3) {
+            crash(fleet, half_second);
         }
     },
 };
 
-/// Crashes one worker after the other.
+/// Crashes one worker; consecutive numbers select one after the other.
 fn crash(fleet: &mut Fleet, number: u64) {
     let count = fleet.workers.len();
     let address = fleet.workers.keys().nth(number as usize % count).cloned();
@@ -122,37 +124,37 @@
         ..CASE
     },
     Case {
-        name: "between two looks, so that no answer is missed",
-        back_ms: 5,
+        name: "between two polls, so that no answer is missed",
+        down_ms: 5,
         ..CASE
     },
     Case {
-        name: "twice between two looks",
-        back_ms: 5,
-        besides: |fleet, half| {
-            crash(fleet, half);
+        name: "twice between two polls",
+        down_ms: 5,
+        disturb: |fleet, half_second| {
+            crash(fleet, half_second);
             fleet.run(10);
-            crash(fleet, half);
+            crash(fleet, half_second);
         },
         ..CASE
     },
     Case {
         name: "with a clock that was set back",
-        set_back_ms: 60_000,
+        clock_back_ms: 60_000,
         ..CASE
     },
     Case {
         name: "a whole rack at once",
-        besides: |fleet, half| {
-            if half.is_multiple_of(4) {
-                crash_all(fleet);
+        disturb: |fleet, half_second| {
+            if half_second.is_multiple_of(4) {
+                crash_all_workers(fleet);
             }
         },
         ..CASE
     },
     Case {
-        name: "behind a cut that is shorter than a lease",
-        besides: |fleet, half| match half {
+        name: "during a network cut that is shorter than a lease",
+        disturb: |fleet, half_second| match half_second {
             1 => {
                 fleet.cut_workers = fleet.workers.keys().take(2).cloned().collect();
                 crash(fleet, 0);
@@ -164,35 +166,35 @@
         ..CASE
     },
     Case {
-        name: "after their leases are over",
-        back_ms: 7_000,
+        name: "after their leases have expired",
+        down_ms: 7_000,
         ..CASE
     },
     Case {
         name: "just before their owner dies",
-        besides: |fleet, half| {
-            if half.is_multiple_of(4) {
-                crash_all(fleet);
+        disturb: |fleet, half_second| {
+            if half_second.is_multiple_of(4) {
+                crash_all_workers(fleet);
                 restart_owner(fleet);
             }
         },
         ..CASE
     },
     Case {
-        name: "while a new owner begins",
-        back_ms: 1_200,
-        besides: |fleet, half| match half % 5 {
+        name: "while a new owner starts",
+        down_ms: 1_200,
+        disturb: |fleet, half_second| match half_second % 5 {
             0 => restart_owner(fleet),
-            2 => crash_all(fleet),
+            2 => crash_all_workers(fleet),
             _ => {}
         },
         ..CASE
     },
     Case {
-        name: "under an owner that stops as planned",
-        besides: |fleet, half| {
-            if half.is_multiple_of(5) {
-                crash(fleet, half);
+        name: "under an owner that shuts down",
+        disturb: |fleet, half_second| {
+            if half_second.is_multiple_of(5) {
+                crash(fleet, half_second);
                 let owner = owner(fleet);
                 fleet.stop(owner);
             }
@@ -200,38 +202,38 @@
         ..CASE
     },
     Case {
-        name: "as their entry in the store is still the old one",
+        name: "while the store still has their previous entry",
         report_ms: 4_000,
         ..CASE
     },
     Case {
-        name: "while the store is away",
-        besides: |fleet, half| {
-            fleet.store.mode = match half {
+        name: "while the store is unavailable",
+        disturb: |fleet, half_second| {
+            fleet.store.mode = match half_second {
                 2..=7 => Mode::Silent,
                 _ => Mode::Up,
             };
-            crash(fleet, half);
+            crash(fleet, half_second);
         },
         ..CASE
     },
     Case {
         name: "with orders carried out late",
-        besides: |fleet, half| {
-            fleet.late_ms = matches!(half, 2..=4).then_some(2_500);
-            if half == 4 {
-                crash_all(fleet);
+        disturb: |fleet, half_second| {
+            fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
+            if half_second == 4 {
+                crash_all_workers(fleet);
             }
         },
         ..CASE
     },
     Case {
-        name: "with orders carried out late by whoever lives then",
-        besides: |fleet, half| {
+        name: "with orders carried out late by a later incarnation",
+        disturb: |fleet, half_second| {
             fleet.outlive_lives = true;
-            fleet.late_ms = matches!(half, 2..=4).then_some(2_500);
-            if half == 4 {
-                crash_all(fleet);
+            fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
+            if half_second == 4 {
+                crash_all_workers(fleet);
             }
         },
         ..CASE
@@ -242,7 +244,7 @@
         ..CASE
     },
     Case {
-        name: "under gangs",
+        name: "with gangs",
         step: || Step {
             is_gang: true,
             ..step(6, 400, &[])
@@ -250,7 +252,7 @@
         ..CASE
     },
     Case {
-        name: "under tasks with copies",
+        name: "with tasks that allow copies",
         step: || Step {
             is_speculative: true,
             ..step(6, 400, &[])
@@ -258,50 +260,50 @@
         ..CASE
     },
     Case {
-        name: "under long tasks",
+        name: "with long tasks",
         step: || step(6, 3_000, &[]),
         ..CASE
     },
 ];
 
-/// Plays a case and gives the fleet with the numbers of the jobs that came.
-fn play(case: &Case) -> (Fleet, Vec<u64>) {
+/// Runs a case, and gives the fleet and the numbers of the submitted jobs.
+fn run_case(case: &Case) -> (Fleet, Vec<u64>) {
     let mut fleet = match case.relays {
         true => Fleet::with_relays(3, 4),
         false => Fleet::new(3, 4),
     };
     fleet.keep_ids(true);
-    fleet.set_back_ms(case.back_ms);
-    fleet.set_clocks_back(case.set_back_ms);
+    fleet.set_back_ms(case.down_ms);
+    fleet.set_clocks_back(case.clock_back_ms);
     fleet.set_report_ms(case.report_ms);
     for number in 0..3 {
         fleet.submit(0, JOB + 100 + number, &job(vec![step(24, 300, &[])]));
         fleet.run(2_000);
     }
     let mut jobs = Vec::new();
-    for half in 0..10 {
+    for half_second in 0..10 {
         let submission = job(vec![(case.step)(), step(2, 300, &[0])]);
-        fleet.submit(0, JOB + half, &submission);
-        jobs.push(JOB + half);
-        (case.besides)(&mut fleet, half);
+        fleet.submit(0, JOB + half_second, &submission);
+        jobs.push(JOB + half_second);
+        (case.disturb)(&mut fleet, half_second);
         fleet.run(500);
     }
     fleet.store.mode = Mode::Up;
     fleet.late_ms = None;
     fleet.cut_workers.clear();
-    fleet.run(ENDED_MS);
+    fleet.run(COMPLETION_MS);
     (fleet, jobs)
 }
 
-/// Time in which all jobs have ended once nothing disturbs: leases must run out first.
-const ENDED_MS: u64 = 20_000;
+/// Time in which all jobs complete once there are no more faults: leases must expire first.
+const COMPLETION_MS: u64 = 20_000;
 
-/// Guards against tasks that run twice, and jobs that are lost, as workers start again under their
-/// ids in one of these ways.
+/// Guards against tasks that run twice and jobs that are lost, when workers restart under their ids
+/// in one of these ways.
 #[gtest]
-fn jobs_outlive_workers_that_start_again() {
+fn jobs_complete_although_workers_restart() {
     for case in CASES {
-        let (mut fleet, jobs) = play(case);
+        let (mut fleet, jobs) = run_case(case);
         expect_that!(
             fleet.promises.broken,
             is_empty(),
@@ -323,11 +325,11 @@
     }
 }
 
-/// Guards against taking a worker for another incarnation that was merely cut off: what runs there
-/// goes on, and none of it starts again.
+/// Guards against mistaking a worker that was cut off for a new incarnation: its runs continue, and
+/// none of its tasks starts again.
 #[gtest]
-fn a_worker_that_was_cut_off_is_no_other_incarnation() {
-    let mut fleet = seasoned(4);
+fn cut_off_worker_is_not_taken_for_a_new_incarnation() {
+    let mut fleet = fleet_with_exits(4);
     fleet.submit(0, JOB, &job(vec![step(8, 6_000, &[])]));
     fleet.run(1_000);
     for _ in 0..3 {
@@ -338,21 +340,22 @@
     }
     fleet.run(6_000);
     let starts = &fleet.promises.starts;
-    let own = starts.iter().filter(|(_, task, _)| task.job == JobId(JOB));
-    expect_that!(own.count(), eq(8), "{:#?}", fleet.lines);
+    let own_starts = starts.iter().filter(|(_, task, _)| task.job == JobId(JOB));
+    expect_that!(own_starts.count(), eq(8), "{:#?}", fleet.lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Guards against a worker that forgets its first ends as it is told a figure of its former life: it
-/// starts again at each moment between two looks, and quick tasks end there before the next one.
+/// Guards against a worker that forgets its first exits because a poll acknowledges exits of its
+/// previous incarnation: it restarts at each moment between two polls, and short tasks end there
+/// before the next poll.
 #[gtest]
-fn ends_are_not_forgotten_whenever_a_worker_starts_again() {
+fn first_exits_of_a_restarted_worker_are_not_forgotten() {
     for offset_ms in (0..800).step_by(5) {
-        let mut fleet = seasoned(2);
+        let mut fleet = fleet_with_exits(2);
         fleet.set_back_ms(5);
         fleet.run(offset_ms);
-        crash_all(&mut fleet);
+        crash_all_workers(&mut fleet);
         fleet.submit(0, JOB, &job(vec![step(8, 10, &[])]));
         fleet.run(8_000);
         expect_that!(
@@ -379,21 +382,22 @@
     }
 }
 
-/// Guards against tasks that run in two places: a look that was meant for the former life of their
-/// worker extends leases by its clock, so the new one grants the longest that it ever does, and is
+/// Guards against tasks that run in two places: a poll that was meant for the previous incarnation
+/// of a worker extends leases by its clock, so the new incarnation grants the maximum lease, and is
 /// cut off right after.
 #[gtest]
-fn a_lease_by_the_clock_of_a_former_life_is_waited_out() {
+fn lease_by_the_clock_of_the_previous_incarnation_is_waited_out() {
     for offset_ms in (500..700).step_by(5) {
-        let mut fleet = seasoned(2);
+        let mut fleet = fleet_with_exits(2);
         fleet.set_back_ms(5);
-        // Between two looks, so that the next one extends leases as if nothing had happened.
+        // This is between two polls, so that the next one extends leases as if the worker had not
+        // restarted.
         fleet.run(offset_ms);
-        crash_all(&mut fleet);
+        crash_all_workers(&mut fleet);
         fleet.run(30);
         fleet.submit(0, JOB, &job(vec![step(4, 30_000, &[])]));
         fleet.run(120);
-        fleet.cut_workers = busy(&fleet);
+        fleet.cut_workers = busy_workers(&fleet);
         fleet.run(15_000);
         fleet.cut_workers.clear();
         fleet.run(35_000);
@@ -403,10 +407,10 @@
     }
 }
 
-/// Guards against calls that go where a worker was before: it starts again under its id at another
-/// address, and owners that have their orders relayed told the relays of its former one.
+/// Guards against calls to the previous address of a worker: it restarts under its id at another
+/// address, and owners that relay their orders sent the previous address to the relays.
 #[gtest]
-fn a_worker_that_starts_again_at_another_address_is_found_there() {
+fn restarted_worker_is_reached_at_its_new_address() {
     for mut fleet in [Fleet::new(3, 1), Fleet::with_relays(3, 1)] {
         fleet.submit(0, JOB, &job(vec![step(4, 300, &[])]));
         fleet.run(1_500);
--- /dev/null
+++ b/tests/dispatch_regression_seeds.rs
@@ -0,0 +1,93 @@
+//! Seeds of random sequences that have failed once, each with its cause, as regression tests. They
+//! are never removed.
+
+use crate::dispatch_faults::Orders;
+
+/// Seeds that have failed once, with the cause.
+pub(crate) const REGRESSION_SEEDS: &[(u64, &str)] = &[
+    (
+        30,
+        "an exit that was listed after its run was counted as lost was forgotten, and the task ran again",
+    ),
+    (39, "the same, in a later step"),
+    (
+        56,
+        "a new owner published a job that had ended before its claim, but did not apply that itself",
+    ),
+    (
+        126,
+        "a new owner never published a job that had started before its claim",
+    ),
+    (
+        60,
+        "an exit was skipped because its run was to be stopped, and the task ran again",
+    ),
+    (136, "the same"),
+    (182, "the same, on a worker that had restarted"),
+    (307, "the same"),
+];
+
+/// The same, with tasks that crash their workers.
+pub(crate) const REGRESSION_SEEDS_CRASHING: &[(u64, &str)] = &[
+    (
+        56,
+        "the suspicion of a gang was cleared by members that ran longer than the one that crashed",
+    ),
+    (69, "the same"),
+    (
+        99,
+        "a task was blamed for a worker that was down before its order came",
+    ),
+    (
+        105,
+        "a crash that was detected only after the next one was not counted",
+    ),
+    (
+        109,
+        "a task was blamed for a worker that was down before its order came",
+    ),
+    (
+        147,
+        "the number of starts without a confirmed run was not limited",
+    ),
+    (
+        158,
+        "a stable task was blamed for a crash that another task on the worker had caused",
+    ),
+    (
+        193,
+        "a task beside several crashing ones was failed with them",
+    ),
+    (
+        204,
+        "a run was taken for stable as soon as a new owner had polled it once",
+    ),
+    (
+        55,
+        "a run that was ordered to stop before its start was answered was not counted as suspect",
+    ),
+    (232, "the same"),
+    (
+        242,
+        "the number of starts of a gang without a confirmed run was not limited",
+    ),
+    (278, "a run that was ordered to stop, as above"),
+    (
+        372,
+        "a task beside several crashing ones was failed with them",
+    ),
+];
+
+/// The same, with workers that restart under their ids.
+pub(crate) const REGRESSION_SEEDS_RESTARTING: &[(u64, &str)] = &[(
+    251,
+    "a new incarnation could accept tasks, but the waiting tasks were not evaluated",
+)];
+
+/// Seeds that still fail, with workers that restart under their ids.
+pub(crate) const OPEN_SEEDS_RESTARTING: &[(u64, Orders)] = &[
+    (219, Orders::Relayed),
+    (240, Orders::Relayed),
+    (29, Orders::Direct),
+    (9, Orders::Relayed),
+];
