--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -3,9 +3,9 @@
 mod read_back;
 
 use crate::entry::Entry;
-use crate::entry::questions::About;
-use crate::entry::questions::Asker;
-use crate::entry::questions::Question;
+use crate::entry::questions::PendingQuery;
+use crate::entry::questions::QueryKind;
+use crate::entry::questions::Requester;
 use crate::event::Action;
 use crate::event::AppendOutcome;
 use crate::event::Now;
@@ -67,7 +67,7 @@
     /// The owner knows of it.
     is_read_back: bool,
     /// When the owner may be asked whether it does.
-    ask_ms: u64,
+    next_query_ms: u64,
     refusals: u32,
 }
 
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub(crate) struct Callers {
     writes: Vec<Write>,
-    pub(crate) questions: Vec<Question>,
+    pub(crate) queries: Vec<PendingQuery>,
     /// Appends under way, by ticket.
     flights: HashMap<u64, Flight>,
     /// Until when each part of the stream of jobs is left alone, after a failure.
@@ -99,7 +99,7 @@
         let partitions = usize::from(partitions.max(1));
         Self {
             writes: Vec::new(),
-            questions: Vec::new(),
+            queries: Vec::new(),
             flights: HashMap::new(),
             avoided_until_ms: vec![0; partitions],
             next_partition: xxh3_64(host.as_bytes()) as usize % partitions,
@@ -128,7 +128,7 @@
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.writes.is_empty() && self.questions.is_empty()
+        self.writes.is_empty() && self.queries.is_empty()
     }
 
     /// Notes the end of an append.
@@ -224,9 +224,9 @@
             Some(record) if record.submission.is_some() => {
                 self.write_cancel(request, job, answer_timeout_ms, now, actions);
             }
-            _ => self.ask(
-                Asker::Caller(request),
-                About::Cancel(job, answer_timeout_ms),
+            _ => self.add_query(
+                Requester::Caller(request),
+                QueryKind::Cancel(job, answer_timeout_ms),
                 now,
             ),
         }
@@ -295,7 +295,7 @@
             ticket: None,
             is_doubtful: false,
             is_read_back: false,
-            ask_ms: 0,
+            next_query_ms: 0,
             refusals: 0,
         });
     }
@@ -396,11 +396,11 @@
 
     /// Sends what waits, answers what can be answered, gives up what is late.
     pub(crate) fn serve(&mut self, now: Now, actions: &mut Vec<Action>) {
-        self.ask_for_writes(now);
-        self.settle_read_writes(now, actions);
+        self.query_owner_for_writes(now);
+        self.answer_read_back_writes(now, actions);
         self.send_writes(now, actions);
         self.give_up_writes(now, actions);
-        self.answer_questions(now, actions);
+        self.answer_queries(now, actions);
     }
 
     fn send_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
--- a/crates/dispatch/src/entry/callers/read_back.rs
+++ b/crates/dispatch/src/entry/callers/read_back.rs
@@ -2,8 +2,8 @@
 //! asking the owner where this host does not read jobs.
 
 use crate::entry::Entry;
-use crate::entry::questions::About;
-use crate::entry::questions::Asker;
+use crate::entry::questions::QueryKind;
+use crate::entry::questions::Requester;
 use crate::event::Action;
 use crate::event::Now;
 use crate::event::Reply;
@@ -13,11 +13,11 @@
 use goldcrestway_core::Note;
 
 /// Pause between two questions to the owner for a write whose append had no answer.
-const ASK_AGAIN_MS: u64 = 600;
+const QUERY_RETRY_MS: u64 = 600;
 
 impl Entry {
     /// Answers those whose append had no answer and is read back.
-    pub(super) fn settle_read_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn answer_read_back_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let jobs = &self.job_table.jobs;
         let mut settled = Vec::new();
         self.callers.writes.retain(|write| {
@@ -48,20 +48,20 @@
     }
 
     /// Asks the owner for writes whose append had no answer, where this host does not read jobs.
-    pub(super) fn ask_for_writes(&mut self, now: Now) {
+    pub(super) fn query_owner_for_writes(&mut self, now: Now) {
         if !self.reading.is_quiet() {
             return;
         }
         let mut due = Vec::new();
         for write in &mut self.callers.writes {
-            if !write.is_doubtful || write.is_read_back || now.steady_ms < write.ask_ms {
+            if !write.is_doubtful || write.is_read_back || now.steady_ms < write.next_query_ms {
                 continue;
             }
-            write.ask_ms = now.steady_ms + ASK_AGAIN_MS;
+            write.next_query_ms = now.steady_ms + QUERY_RETRY_MS;
             due.push((write.request, write.job));
         }
         for (request, job) in due {
-            self.ask(Asker::Write(request), About::State(job), now);
+            self.add_query(Requester::Write(request), QueryKind::State(job), now);
         }
     }
 
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -303,10 +303,10 @@
             let tickets = &mut self.tickets;
             self.relay
                 .handle_frame(conn, bytes, evacuations, now.steady_ms, tickets, actions);
-            self.take_answers();
+            self.apply_owner_answers();
         } else if let Some(owner) = &mut self.owner {
             owner.handle_relay_frame(conn, bytes, now, actions);
-            self.take_inquiries(now);
+            self.handle_remote_queries(now);
         }
     }
 
--- a/crates/dispatch/src/entry/questions.rs
+++ b/crates/dispatch/src/entry/questions.rs
@@ -13,8 +13,8 @@
 use crate::ids::JobId;
 use crate::job_table::JobState;
 use crate::relay;
-use crate::relay::Inquiry;
-use crate::relay::Subject;
+use crate::relay::QuerySubject;
+use crate::relay::RemoteQuery;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use std::fmt;
@@ -23,7 +23,7 @@
 
 /// Time for which a question waits for a fresh read before it is answered by what is
 /// known, or told to come again.
-const MAX_QUESTION_MS: u64 = 900;
+const MAX_QUERY_MS: u64 = 900;
 
 /// Age of what waiting jobs are counted by, at most. Callers are told that a count may be two
 /// seconds old; the rest is for the answer on its way.
@@ -31,11 +31,11 @@
 
 /// Who awaits the answer to a question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     /// A caller, by the number of its request.
     Caller(u64),
     /// Another host, which asks this one as the owner.
-    Host(relay::Asker),
+    Host(relay::RemoteRequester),
     /// This host itself, for the caller with this request, whose append had no answer.
     Write(u64),
 }
@@ -49,43 +49,43 @@
 
 /// A question that awaits a read, or the owner's answer.
 #[derive(Debug)]
-pub(crate) struct Question {
-    pub(crate) asker: Asker,
-    pub(crate) about: About,
-    pub(crate) asked_ms: u64,
+pub(crate) struct PendingQuery {
+    pub(crate) requester: Requester,
+    pub(crate) kind: QueryKind,
+    pub(crate) received_ms: u64,
     /// The host's latest ticket then: what was read under an earlier one may lack a job that
     /// was stored within the same millisecond.
-    pub(crate) asked_after: u64,
+    pub(crate) after_ticket: u64,
     /// It was passed on to the owner.
     pub(crate) flight: Option<Flight>,
     /// What the owner has answered.
     pub(crate) reply: Option<Reply>,
 }
 
-impl Question {
+impl PendingQuery {
     /// Gives what the owner is to be asked.
-    fn subject(&self) -> Subject {
-        match &self.about {
-            About::State(job) | About::Cancel(job, _) => Subject::State(*job),
-            About::Waiting(queue) => Subject::Waiting(queue.clone()),
+    fn subject(&self) -> QuerySubject {
+        match &self.kind {
+            QueryKind::State(job) | QueryKind::Cancel(job, _) => QuerySubject::State(*job),
+            QueryKind::Waiting(queue) => QuerySubject::Waiting(queue.clone()),
         }
     }
 }
 
 /// What a question is about.
 #[derive(Debug)]
-pub(crate) enum About {
+pub(crate) enum QueryKind {
     State(JobId),
     /// Cancelling a job that is not known yet.
     Cancel(JobId, u64),
     Waiting(Box<str>),
 }
 
-impl Display for About {
+impl Display for QueryKind {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            About::State(job) | About::Cancel(job, _) => job.fmt(formatter),
-            About::Waiting(queue) => queue.fmt(formatter),
+            QueryKind::State(job) | QueryKind::Cancel(job, _) => job.fmt(formatter),
+            QueryKind::Waiting(queue) => queue.fmt(formatter),
         }
     }
 }
@@ -93,30 +93,30 @@
 impl Entry {
     /// Takes a question about a job in.
     pub(crate) fn query(&mut self, request: u64, job: JobId, now: Now, actions: &mut Vec<Action>) {
-        if let Some(state) = self.certain_state(job) {
+        if let Some(state) = self.authoritative_state(job) {
             actions.push(Action::Answer {
                 request,
                 reply: Reply::State(state),
             });
             return;
         }
-        self.ask(Asker::Caller(request), About::State(job), now);
+        self.add_query(Requester::Caller(request), QueryKind::State(job), now);
     }
 
     /// Has a question answered once that can be done.
-    pub(super) fn ask(&mut self, asker: Asker, about: About, now: Now) {
-        self.callers.questions.push(Question {
-            asker,
-            about,
-            asked_ms: now.steady_ms,
-            asked_after: self.tickets,
+    pub(super) fn add_query(&mut self, requester: Requester, kind: QueryKind, now: Now) {
+        self.callers.queries.push(PendingQuery {
+            requester,
+            kind,
+            received_ms: now.steady_ms,
+            after_ticket: self.tickets,
             flight: None,
             reply: None,
         });
     }
 
     /// Gives the state of a job if no read could change it, or if this host writes it.
-    fn certain_state(&self, job: JobId) -> Option<JobState> {
+    fn authoritative_state(&self, job: JobId) -> Option<JobState> {
         let record = self.job_table.jobs.get(&job)?;
         record.submission.as_ref()?;
         let state = record.state();
@@ -125,127 +125,127 @@
 
     /// Takes a question about a queue in.
     pub(crate) fn count(&mut self, request: u64, queue: Box<str>, now: Now) {
-        self.ask(Asker::Caller(request), About::Waiting(queue), now);
+        self.add_query(Requester::Caller(request), QueryKind::Waiting(queue), now);
     }
 
     /// Takes in what other hosts ask this one as the owner.
-    pub(super) fn take_inquiries(&mut self, now: Now) {
+    pub(super) fn handle_remote_queries(&mut self, now: Now) {
         let Some(owner) = &mut self.owner else {
             return;
         };
-        for Inquiry { asker, subject } in owner.take_inquiries() {
-            let about = match subject {
-                Subject::State(job) => About::State(job),
-                Subject::Waiting(queue) => About::Waiting(queue),
+        for RemoteQuery { requester, subject } in owner.take_inquiries() {
+            let kind = match subject {
+                QuerySubject::State(job) => QueryKind::State(job),
+                QuerySubject::Waiting(queue) => QueryKind::Waiting(queue),
             };
-            self.ask(Asker::Host(asker), about, now);
+            self.add_query(Requester::Host(requester), kind, now);
         }
     }
 
     /// Takes in what the owner has answered. A question that it can't answer waits on until it is
     /// late, or until another owner is heard and asked.
-    pub(super) fn take_answers(&mut self) {
-        for answer in self.relay.take_answers() {
-            let is_meant = |question: &&mut Question| {
-                let flight = question.flight;
+    pub(super) fn apply_owner_answers(&mut self) {
+        for answer in self.relay.drain_answers() {
+            let is_answered = |query: &&mut PendingQuery| {
+                let flight = query.flight;
                 flight.is_some_and(|flight| flight.ticket == answer.ticket)
             };
-            if let Some(question) = self.callers.questions.iter_mut().find(is_meant) {
-                question.reply = answer.reply;
+            if let Some(query) = self.callers.queries.iter_mut().find(is_answered) {
+                query.reply = answer.reply;
             }
         }
     }
 
-    pub(crate) fn answer_questions(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let questions = std::mem::take(&mut self.callers.questions);
-        for question in questions {
-            if let Some(kept) = self.answer_question(question, now, actions) {
-                self.callers.questions.push(kept);
+    pub(crate) fn answer_queries(&mut self, now: Now, actions: &mut Vec<Action>) {
+        let queries = std::mem::take(&mut self.callers.queries);
+        for query in queries {
+            if let Some(pending) = self.answer_query(query, now, actions) {
+                self.callers.queries.push(pending);
             }
         }
     }
 
     /// Answers a question, or gives it back if it must wait on.
-    fn answer_question(
+    fn answer_query(
         &mut self,
-        mut question: Question,
+        mut query: PendingQuery,
         now: Now,
         actions: &mut Vec<Action>,
-    ) -> Option<Question> {
+    ) -> Option<PendingQuery> {
         // While the store is away no read will bring what is missing in time.
         let is_late =
-            self.is_store_unavailable || now.steady_ms >= question.asked_ms + MAX_QUESTION_MS;
+            self.is_store_unavailable || now.steady_ms >= query.received_ms + MAX_QUERY_MS;
         let reply = match self.reading.asks_owner() {
-            true => self.answer_by_owner(&mut question, is_late, now),
-            false => self.answer_by_reading(&question, is_late, now, actions),
+            true => self.answer_by_owner(&mut query, is_late, now),
+            false => self.answer_by_reading(&query, is_late, now, actions),
         };
         let Some(reply) = reply else {
-            return Some(question);
+            return Some(query);
         };
-        if let About::Cancel(job, answer_timeout_ms) = question.about
-            && let Asker::Caller(request) = question.asker
+        if let QueryKind::Cancel(job, answer_timeout_ms) = query.kind
+            && let Requester::Caller(request) = query.requester
             && let Reply::State(state) = reply
             && !state.is_over()
         {
             self.write_cancel(request, job, answer_timeout_ms, now, actions);
             return None;
         }
-        let reply = match (&question.about, reply) {
+        let reply = match (&query.kind, reply) {
             // It is cancelled, or there is nothing left to cancel.
-            (About::Cancel(..), Reply::State(_)) => Reply::Stored,
+            (QueryKind::Cancel(..), Reply::State(_)) => Reply::Stored,
             (_, reply) => reply,
         };
-        self.reply(&question, reply, now, actions);
+        self.reply(&query, reply, now, actions);
         None
     }
 
-    fn reply(&mut self, question: &Question, reply: Reply, now: Now, actions: &mut Vec<Action>) {
-        match question.asker {
-            Asker::Caller(request) => {
-                if let (About::Waiting(queue), Reply::Waiting(count)) = (&question.about, &reply) {
+    fn reply(&mut self, query: &PendingQuery, reply: Reply, now: Now, actions: &mut Vec<Action>) {
+        match query.requester {
+            Requester::Caller(request) => {
+                if let (QueryKind::Waiting(queue), Reply::Waiting(count)) = (&query.kind, &reply) {
                     let detail = format!("waiting={count} {}", self.ages(now).describe_rules());
                     let note = Note::new(Code::QueueCounted, queue.clone(), detail);
                     actions.push(Action::Note(note));
                 }
                 if let Reply::NotDone { .. } = &reply {
-                    let waited_ms = now.steady_ms - question.asked_ms;
-                    let was_passed_on = question.flight.is_some();
+                    let waited_ms = now.steady_ms - query.received_ms;
+                    let was_passed_on = query.flight.is_some();
                     let detail = format!("waited_ms={waited_ms} asked_owner={was_passed_on}");
-                    let note = Note::new(Code::QuestionPutOff, question.about.to_string(), detail);
+                    let note = Note::new(Code::QuestionPutOff, query.kind.to_string(), detail);
                     actions.push(Action::Note(note));
                 }
                 actions.push(Action::Answer { request, reply });
             }
-            Asker::Host(asker) => {
+            Requester::Host(requester) => {
                 if let Some(owner) = &mut self.owner {
-                    owner.answer_host(asker, &reply);
+                    owner.answer_host(requester, &reply);
                 }
             }
-            Asker::Write(request) => self.record_read_back(request, &reply),
+            Requester::Write(request) => self.record_read_back(request, &reply),
         }
     }
 
     /// Answers by what this host has read, once that is new enough.
     fn answer_by_reading(
         &mut self,
-        question: &Question,
+        query: &PendingQuery,
         is_late: bool,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Option<Reply> {
-        match &question.about {
-            About::State(job) => {
-                self.answer_state(*job, question.asked_after, is_late, now, actions)
+        match &query.kind {
+            QueryKind::State(job) => {
+                self.answer_state(*job, query.after_ticket, is_late, now, actions)
             }
-            About::Waiting(queue) => {
-                self.answer_waiting(queue, question.asked_ms, is_late, now, actions)
+            QueryKind::Waiting(queue) => {
+                self.answer_waiting(queue, query.received_ms, is_late, now, actions)
             }
-            About::Cancel(job, _) => {
+            QueryKind::Cancel(job, _) => {
                 let record = self.job_table.jobs.get(job);
                 let known = record.filter(|record| record.submission.is_some());
                 match known {
                     Some(record) => Some(Reply::State(record.state())),
-                    None => self.answer_state(*job, question.asked_after, is_late, now, actions),
+                    None => self.answer_state(*job, query.after_ticket, is_late, now, actions),
                 }
             }
         }
@@ -254,18 +254,18 @@
     /// Passes a question on to the owner, and answers by what that says.
     fn answer_by_owner(
         &mut self,
-        question: &mut Question,
+        query: &mut PendingQuery,
         is_late: bool,
         now: Now,
     ) -> Option<Reply> {
         let are_rules_current = self.are_rules_current(now);
-        if let About::Waiting(queue) = &question.about {
+        if let QueryKind::Waiting(queue) = &query.kind {
             let config = self.config.as_ref().filter(|_| are_rules_current);
             if config.is_some_and(|config| config.queue(queue).is_none()) {
                 return Some(Reply::NoSuchQueue);
             }
         }
-        match question.reply.take() {
+        match query.reply.take() {
             // The rules that name the queue must be current here as well.
             Some(Reply::Waiting(count)) if are_rules_current => return Some(Reply::Waiting(count)),
             Some(Reply::Waiting(_) | Reply::NoSuchQueue) | None => {}
@@ -278,11 +278,11 @@
         }
         let conn = self.reading.owner_connection?;
         // What was asked over a connection that is gone is asked again.
-        if question.flight.is_none_or(|flight| flight.conn != conn) {
+        if query.flight.is_none_or(|flight| flight.conn != conn) {
             self.tickets += 1;
             let ticket = self.tickets;
-            question.flight = Some(Flight { conn, ticket });
-            self.relay.ask(conn, ticket, question.subject());
+            query.flight = Some(Flight { conn, ticket });
+            self.relay.send_query(conn, ticket, query.subject());
         }
         None
     }
@@ -290,12 +290,12 @@
     fn answer_state(
         &mut self,
         job: JobId,
-        asked_after: u64,
+        after_ticket: u64,
         is_late: bool,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Option<Reply> {
-        if let Some(state) = self.certain_state(job) {
+        if let Some(state) = self.authoritative_state(job) {
             return Some(Reply::State(state));
         }
         let record = self
@@ -304,8 +304,8 @@
             .get(&job)
             .filter(|record| record.submission.is_some());
         let is_fresh = match record {
-            Some(_) => self.states.is_fresh_after(asked_after),
-            None => self.jobs.is_fresh_after(asked_after),
+            Some(_) => self.states.is_fresh_after(after_ticket),
+            None => self.jobs.is_fresh_after(after_ticket),
         };
         if is_fresh {
             return Some(record.map_or(Reply::NoSuchJob, |record| Reply::State(record.state())));
@@ -321,10 +321,10 @@
         match record {
             Some(_) => self
                 .states
-                .read_now_after(asked_after, now.steady_ms, tickets, actions),
+                .read_now_after(after_ticket, now.steady_ms, tickets, actions),
             None => self
                 .jobs
-                .read_now_after(asked_after, now.steady_ms, tickets, actions),
+                .read_now_after(after_ticket, now.steady_ms, tickets, actions),
         }
         None
     }
@@ -334,12 +334,12 @@
     fn answer_waiting(
         &mut self,
         queue: &str,
-        asked_ms: u64,
+        received_ms: u64,
         is_late: bool,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Option<Reply> {
-        let since_ms = asked_ms.saturating_sub(MAX_COUNT_AGE_MS);
+        let since_ms = received_ms.saturating_sub(MAX_COUNT_AGE_MS);
         let is_own = self.owner.is_some();
         let is_fresh =
             self.jobs.is_fresh_since(since_ms) && (is_own || self.states.is_fresh_since(since_ms));
@@ -358,10 +358,10 @@
         }
         let tickets = &mut self.tickets;
         self.jobs
-            .read_now(asked_ms, now.steady_ms, tickets, actions);
+            .read_now(received_ms, now.steady_ms, tickets, actions);
         if !is_own {
             self.states
-                .read_now(asked_ms, now.steady_ms, tickets, actions);
+                .read_now(received_ms, now.steady_ms, tickets, actions);
         }
         None
     }
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -11,11 +11,11 @@
 use crate::policy::relaying::Means;
 use crate::policy::relaying::needs_relays;
 use crate::record::HostRecord;
-use crate::relay::Asker;
 use crate::relay::CHOICES;
-use crate::relay::Inquiry;
 use crate::relay::RelayedOrder;
 use crate::relay::RelayedOutcome;
+use crate::relay::RemoteQuery;
+use crate::relay::RemoteRequester;
 use std::collections::HashMap;
 
 /// Time for which an owner that needs relays gives no orders while it connects to them. Without
@@ -148,13 +148,13 @@
     }
 
     /// Takes what other hosts have asked.
-    pub(crate) fn take_inquiries(&mut self) -> Vec<Inquiry> {
-        self.relays.take_inquiries()
+    pub(crate) fn take_inquiries(&mut self) -> Vec<RemoteQuery> {
+        self.relays.drain_queries()
     }
 
     /// Answers another host.
-    pub(crate) fn answer_host(&mut self, asker: Asker, reply: &Reply) {
-        self.relays.answer(asker, reply);
+    pub(crate) fn answer_host(&mut self, requester: RemoteRequester, reply: &Reply) {
+        self.relays.answer(requester, reply);
     }
 
     /// Lets go of all relays, as this owner ends.
--- a/crates/dispatch/src/relay/frames.rs
+++ b/crates/dispatch/src/relay/frames.rs
@@ -33,7 +33,7 @@
 
 /// What a host asks the owner: about the job, or how many jobs wait in the queue.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct QuestionRow {
+pub(super) struct QueryRow {
     /// Number by which the host knows it.
     #[prost(uint64, tag = "1")]
     pub(super) ticket: u64,
@@ -160,7 +160,7 @@
     pub(super) is_leaving: bool,
     /// What the host wants to know.
     #[prost(message, repeated, tag = "3")]
-    pub(super) questions: Vec<QuestionRow>,
+    pub(super) queries: Vec<QueryRow>,
 }
 
 /// How an order ended.
--- a/crates/dispatch/src/relay/inquiry.rs
+++ b/crates/dispatch/src/relay/inquiry.rs
@@ -6,11 +6,11 @@
 use crate::job_table::JobState;
 use crate::relay::frames::AnswerKind;
 use crate::relay::frames::AnswerRow;
-use crate::relay::frames::QuestionRow;
+use crate::relay::frames::QueryRow;
 
 /// What a host wants to know.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Subject {
+pub(crate) enum QuerySubject {
     /// The state of a job.
     State(JobId),
     /// How many jobs wait in a queue.
@@ -19,14 +19,14 @@
 
 /// A question of a host, as the owner gets it.
 #[derive(Debug)]
-pub(crate) struct Inquiry {
-    pub(crate) asker: Asker,
-    pub(crate) subject: Subject,
+pub(crate) struct RemoteQuery {
+    pub(crate) requester: RemoteRequester,
+    pub(crate) subject: QuerySubject,
 }
 
 /// The host that asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Asker {
+pub(crate) struct RemoteRequester {
     /// The owner's connection to it.
     pub(crate) conn: ConnectionId,
     /// Number by which it knows the question.
@@ -41,31 +41,31 @@
     pub(crate) reply: Option<Reply>,
 }
 
-pub(super) fn question_row(ticket: u64, subject: Subject) -> QuestionRow {
-    let row = QuestionRow {
+pub(super) fn query_row(ticket: u64, subject: QuerySubject) -> QueryRow {
+    let row = QueryRow {
         ticket,
-        ..QuestionRow::default()
+        ..QueryRow::default()
     };
     match subject {
-        Subject::State(job) => QuestionRow {
+        QuerySubject::State(job) => QueryRow {
             job: Some(job.0),
             ..row
         },
-        Subject::Waiting(queue) => QuestionRow {
+        QuerySubject::Waiting(queue) => QueryRow {
             queue: queue.into(),
             ..row
         },
     }
 }
 
-pub(super) fn inquiry(conn: ConnectionId, row: QuestionRow) -> Inquiry {
+pub(super) fn remote_query(conn: ConnectionId, row: QueryRow) -> RemoteQuery {
     let subject = match row.job {
-        Some(job) => Subject::State(JobId(job)),
-        None => Subject::Waiting(row.queue.into()),
+        Some(job) => QuerySubject::State(JobId(job)),
+        None => QuerySubject::Waiting(row.queue.into()),
     };
     let ticket = row.ticket;
-    Inquiry {
-        asker: Asker { conn, ticket },
+    RemoteQuery {
+        requester: RemoteRequester { conn, ticket },
         subject,
     }
 }
--- a/crates/dispatch/src/relay/mod.rs
+++ b/crates/dispatch/src/relay/mod.rs
@@ -21,9 +21,9 @@
 mod serving;
 mod sessions;
 
-pub(crate) use inquiry::Asker;
-pub(crate) use inquiry::Inquiry;
-pub(crate) use inquiry::Subject;
+pub(crate) use inquiry::QuerySubject;
+pub(crate) use inquiry::RemoteQuery;
+pub(crate) use inquiry::RemoteRequester;
 pub(crate) use selection::CHOICES;
 pub(crate) use selection::Selection;
 pub(crate) use serving::Relay;
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -11,11 +11,11 @@
 use crate::relay::frames::OrderRow;
 use crate::relay::frames::OrdersFrame;
 use crate::relay::frames::OutcomesFrame;
-use crate::relay::frames::QuestionRow;
+use crate::relay::frames::QueryRow;
 use crate::relay::inquiry::Answer;
-use crate::relay::inquiry::Subject;
+use crate::relay::inquiry::QuerySubject;
 use crate::relay::inquiry::answer;
-use crate::relay::inquiry::question_row;
+use crate::relay::inquiry::query_row;
 use crate::relay::rows::order_call;
 use crate::relay::rows::outcome_row;
 use crate::relay::sessions::HEARTBEAT_GAP_MS;
@@ -44,7 +44,7 @@
     /// The owner's token, once it has said something.
     token: u64,
     heard_ms: u64,
-    questions: Vec<QuestionRow>,
+    queries: Vec<QueryRow>,
     /// By the numbers that the owner has given them.
     workers: HashMap<u32, Name>,
     texts: HashMap<JobId, Rc<str>>,
@@ -177,14 +177,14 @@
     }
 
     /// Asks an owner.
-    pub(crate) fn ask(&mut self, conn: ConnectionId, ticket: u64, subject: Subject) {
+    pub(crate) fn send_query(&mut self, conn: ConnectionId, ticket: u64, subject: QuerySubject) {
         if let Some(session) = self.sessions.get_mut(&conn) {
-            session.questions.push(question_row(ticket, subject));
+            session.queries.push(query_row(ticket, subject));
         }
     }
 
     /// Takes what owners have answered.
-    pub(crate) fn take_answers(&mut self) -> Vec<Answer> {
+    pub(crate) fn drain_answers(&mut self) -> Vec<Answer> {
         std::mem::take(&mut self.answers)
     }
 
@@ -202,13 +202,13 @@
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
         for (conn, session) in &mut self.sessions {
             let has_news = self.is_leaving && !session.was_told_leaving;
-            if session.outcomes.is_empty() && session.questions.is_empty() && !has_news {
+            if session.outcomes.is_empty() && session.queries.is_empty() && !has_news {
                 continue;
             }
             session.was_told_leaving = self.is_leaving;
             let frame = OutcomesFrame {
                 outcomes: std::mem::take(&mut session.outcomes),
-                questions: std::mem::take(&mut session.questions),
+                queries: std::mem::take(&mut session.queries),
                 is_leaving: self.is_leaving,
             };
             actions.push(Action::SendFrame {
--- a/crates/dispatch/src/relay/sessions.rs
+++ b/crates/dispatch/src/relay/sessions.rs
@@ -8,10 +8,10 @@
 use crate::record::HostRecord;
 use crate::relay::Selection;
 use crate::relay::frames::OutcomesFrame;
-use crate::relay::inquiry::Asker;
-use crate::relay::inquiry::Inquiry;
+use crate::relay::inquiry::RemoteQuery;
+use crate::relay::inquiry::RemoteRequester;
 use crate::relay::inquiry::answer_row;
-use crate::relay::inquiry::inquiry;
+use crate::relay::inquiry::remote_query;
 use crate::relay::peer::Peer;
 use crate::relay::peer::Phase;
 use crate::relay::rows::order_outcome;
@@ -89,7 +89,7 @@
     /// How often the relays of a worker were selected anew.
     selected: u64,
     /// What other hosts have asked.
-    inquiries: Vec<Inquiry>,
+    remote_queries: Vec<RemoteQuery>,
 }
 
 impl Sessions {
@@ -105,7 +105,7 @@
             selections: HashMap::new(),
             usable: 0,
             selected: 0,
-            inquiries: Vec::new(),
+            remote_queries: Vec::new(),
         }
     }
 
@@ -249,14 +249,14 @@
     }
 
     /// Takes what other hosts have asked.
-    pub(crate) fn take_inquiries(&mut self) -> Vec<Inquiry> {
-        std::mem::take(&mut self.inquiries)
+    pub(crate) fn drain_queries(&mut self) -> Vec<RemoteQuery> {
+        std::mem::take(&mut self.remote_queries)
     }
 
     /// Answers a host, if its connection is still there.
-    pub(crate) fn answer(&mut self, asker: Asker, reply: &Reply) {
-        if let Some(key) = self.conns.get(&asker.conn) {
-            let row = answer_row(asker.ticket, reply);
+    pub(crate) fn answer(&mut self, requester: RemoteRequester, reply: &Reply) {
+        if let Some(key) = self.conns.get(&requester.conn) {
+            let row = answer_row(requester.ticket, reply);
             self.peers[*key].frame.answers.push(row);
         }
     }
@@ -307,8 +307,8 @@
             self.leave_out(key);
             self.peers[key].is_leaving = true;
         }
-        for row in frame.questions {
-            self.inquiries.push(inquiry(conn, row));
+        for row in frame.queries {
+            self.remote_queries.push(remote_query(conn, row));
         }
         let mut outcomes = Vec::with_capacity(frame.outcomes.len());
         for row in frame.outcomes {
