--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -29,22 +29,22 @@
 const APPEND_TIMEOUT_MS: u64 = 700;
 /// A store that takes longer than this for an append is slow. A stream takes its appends
 /// one by one, so a slow one gets one of this host at a time, with all that waits.
-const SLOW_MS: u64 = 60;
+const SLOW_APPEND_MS: u64 = 60;
 /// Time after which an append counts as late, where nothing else tells how the store is.
-const LATE_MS: u64 = 200;
+const LATE_APPEND_MS: u64 = 200;
 /// An append to a slow store is given up after so many times what the latest ones took.
-const SLOW_FACTOR: u64 = 4;
+const TIMEOUT_FACTOR: u64 = 4;
 /// Pause before a refused append is repeated, at another part.
 const RETRY_MS: u64 = 120;
 /// Time for which a part that refused an append, or gave no answer, is left alone: parts
 /// are away for seconds.
-const AVOID_MS: u64 = 1_000;
+const AVOID_PARTITION_MS: u64 = 1_000;
 /// Appends of this host under way at once. Jobs that come meanwhile share the next one.
 const MAX_FLIGHTS: usize = 4;
 /// Records in one append.
 const MAX_BATCH: usize = 64;
 /// Time that the way back to the caller may take.
-const WAY_MS: u64 = 150;
+const REPLY_MARGIN_MS: u64 = 150;
 /// Time that a caller of unknown patience is made to wait at most.
 const MAX_ANSWER_TIMEOUT_MS: u64 = 2_500;
 /// After that long a store in trouble may be better.
@@ -57,8 +57,8 @@
     job: JobId,
     key: Key,
     value: Box<[u8]>,
-    give_up_ms: u64,
-    taken_ms: u64,
+    deadline_ms: u64,
+    received_ms: u64,
     retry_ms: u64,
     /// The append under way.
     ticket: Option<u64>,
@@ -138,18 +138,18 @@
         };
         self.append_ms = (self.append_ms + now_ms - flight.sent_ms) / 2;
         if matches!(outcome, AppendOutcome::Refused | AppendOutcome::Unknown) {
-            self.avoided_until_ms[flight.partition] = now_ms + AVOID_MS;
+            self.avoided_until_ms[flight.partition] = now_ms + AVOID_PARTITION_MS;
         }
     }
 
     /// Tells whether an append takes longer than one does on a store that is well.
     pub(crate) fn has_late_append(&self, now_ms: u64) -> bool {
         let mut flights = self.flights.values();
-        flights.any(|flight| now_ms >= flight.sent_ms + LATE_MS)
+        flights.any(|flight| now_ms >= flight.sent_ms + LATE_APPEND_MS)
     }
 
     fn max_flights(&self) -> usize {
-        if self.append_ms > SLOW_MS {
+        if self.append_ms > SLOW_APPEND_MS {
             1
         } else {
             MAX_FLIGHTS
@@ -157,7 +157,7 @@
     }
 
     fn timeout_ms(&self) -> u64 {
-        (self.append_ms * SLOW_FACTOR).clamp(APPEND_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
+        (self.append_ms * TIMEOUT_FACTOR).clamp(APPEND_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
     }
 }
 
@@ -283,14 +283,14 @@
         }
         let answer_timeout_ms = answer_timeout_ms
             .min(MAX_ANSWER_TIMEOUT_MS)
-            .saturating_sub(WAY_MS);
+            .saturating_sub(REPLY_MARGIN_MS);
         self.callers.writes.push(Write {
             request,
             job,
             key,
             value,
-            give_up_ms: now.steady_ms + answer_timeout_ms,
-            taken_ms: now.steady_ms,
+            deadline_ms: now.steady_ms + answer_timeout_ms,
+            received_ms: now.steady_ms,
             retry_ms: 0,
             ticket: None,
             is_doubtful: false,
@@ -301,7 +301,7 @@
     }
 
     /// Takes in the end of an append.
-    pub(crate) fn appended(
+    pub(crate) fn on_append(
         &mut self,
         ticket: u64,
         outcome: AppendOutcome,
@@ -310,11 +310,12 @@
     ) {
         match outcome {
             AppendOutcome::Fenced | AppendOutcome::Stored { .. } => {
-                self.contact.record_answer(self.quiet_ms(), now.steady_ms);
+                self.contact
+                    .record_answer(self.expected_silence_ms(), now.steady_ms);
             }
             AppendOutcome::Refused | AppendOutcome::Unknown => self.contact.suspect(now.steady_ms),
         }
-        if self.take_announced(ticket, outcome, now)
+        if self.handle_announcement(ticket, outcome, now)
             || self.handle_claim(ticket, outcome, now, actions)
         {
             return;
@@ -328,10 +329,10 @@
             }
             return;
         }
-        self.end_write(ticket, outcome, now, actions);
+        self.apply_append_outcome(ticket, outcome, now, actions);
     }
 
-    fn end_write(
+    fn apply_append_outcome(
         &mut self,
         ticket: u64,
         outcome: AppendOutcome,
@@ -351,7 +352,7 @@
             match outcome {
                 AppendOutcome::Stored { offset } => {
                     let write = self.callers.writes.remove(at);
-                    self.finish_write(write, offset + stored, now, actions);
+                    self.complete_write(write, offset + stored, now, actions);
                     stored += 1;
                 }
                 AppendOutcome::Unknown => {
@@ -367,7 +368,7 @@
         }
     }
 
-    fn finish_write(&mut self, write: Write, offset: u64, now: Now, actions: &mut Vec<Action>) {
+    fn complete_write(&mut self, write: Write, offset: u64, now: Now, actions: &mut Vec<Action>) {
         let record = StoredRecord {
             offset,
             key: write.key.text(),
@@ -385,7 +386,7 @@
                 } else {
                     "submit"
                 },
-                now.steady_ms - write.taken_ms
+                now.steady_ms - write.received_ms
             ),
         )));
         actions.push(Action::Answer {
@@ -395,11 +396,11 @@
     }
 
     /// Sends what waits, answers what can be answered, gives up what is late.
-    pub(crate) fn serve(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(crate) fn answer_callers(&mut self, now: Now, actions: &mut Vec<Action>) {
         self.query_owner_for_writes(now);
         self.answer_read_back_writes(now, actions);
         self.send_writes(now, actions);
-        self.give_up_writes(now, actions);
+        self.abandon_writes(now, actions);
         self.answer_queries(now, actions);
     }
 
@@ -439,14 +440,14 @@
         }
     }
 
-    fn give_up_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
+    fn abandon_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_store_unavailable = self.is_store_unavailable;
         self.callers.writes.retain(|write| {
             // A write under way may be stored at any moment.
             let is_certain = !write.is_doubtful && write.ticket.is_none();
-            let is_hopeless = is_store_unavailable || write.refusals > 2;
-            let is_late = now.steady_ms >= write.give_up_ms;
-            if !(is_late || is_certain && is_hopeless) {
+            let is_unstorable = is_store_unavailable || write.refusals > 2;
+            let is_late = now.steady_ms >= write.deadline_ms;
+            if !(is_late || is_certain && is_unstorable) {
                 return true;
             }
             let (reply, code) = match is_certain {
@@ -463,7 +464,7 @@
                 write.job.to_string(),
                 format!(
                     "waited_ms={} refusals={} doubtful={}",
-                    now.steady_ms - write.taken_ms,
+                    now.steady_ms - write.received_ms,
                     write.refusals,
                     write.is_doubtful
                 ),
--- a/crates/dispatch/src/entry/callers/read_back.rs
+++ b/crates/dispatch/src/entry/callers/read_back.rs
@@ -19,7 +19,7 @@
     /// Answers those whose append had no answer and is read back.
     pub(super) fn answer_read_back_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let jobs = &self.job_table.jobs;
-        let mut settled = Vec::new();
+        let mut stored_writes = Vec::new();
         self.callers.writes.retain(|write| {
             let record = jobs.get(&write.job);
             let is_stored = write.is_doubtful
@@ -29,12 +29,12 @@
                     _ => record.is_some_and(|record| record.submission.is_some()),
                 };
             if is_stored {
-                settled.push((write.request, write.job, write.taken_ms));
+                stored_writes.push((write.request, write.job, write.received_ms));
             }
             !is_stored
         });
-        for (request, job, taken_ms) in settled {
-            let took_ms = now.steady_ms - taken_ms;
+        for (request, job, received_ms) in stored_writes {
+            let took_ms = now.steady_ms - received_ms;
             actions.push(Action::Note(Note::new(
                 Code::JobStored,
                 job.to_string(),
@@ -49,7 +49,7 @@
 
     /// Asks the owner for writes whose append had no answer, where this host does not read jobs.
     pub(super) fn query_owner_for_writes(&mut self, now: Now) {
-        if !self.reading.is_quiet() {
+        if !self.reading.reads_only_rules() {
             return;
         }
         let mut due = Vec::new();
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -12,7 +12,7 @@
 /// Part of the time in which rules must be in force for which the store holds a read that
 /// waits for a record. What is known is as old as that, and older by another read if one of
 /// them is lost, which has to fit in, too.
-const LISTEN_PERCENT: u64 = 50;
+const LONG_POLL_PERCENT: u64 = 50;
 /// Pause between two reads of submitted jobs by a host that does not own them. Whoever asks
 /// for a job that is not known here has them read at once; the store keeps history for 20 s, of
 /// which two reads may be lost.
@@ -34,7 +34,7 @@
 
 impl Entry {
     /// Reads on in the streams.
-    pub(super) fn follow(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn follow_streams(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         let long_poll_ms = self.long_poll_ms();
         let tickets = &mut self.tickets;
@@ -49,8 +49,8 @@
             true => self.rules.probe(now_ms, tickets, actions),
             false => self.rules.confirm(long_poll_ms, now_ms, tickets, actions),
         }
-        let acts = self.owner.is_some() || self.claim.is_some();
-        if acts {
+        let is_owner_or_claiming = self.owner.is_some() || self.claim.is_some();
+        if is_owner_or_claiming {
             // A list on record is enough to begin with; the platform's own is as long again.
             let has_list = !self.progress.is_loaded() || !self.recovered.workers.is_empty();
             if self.owner.is_some() || !has_list {
@@ -69,8 +69,8 @@
         if self.is_store_unavailable {
             return;
         }
-        if self.reading.is_quiet() {
-            return self.probe_in_doubt(now_ms, actions);
+        if self.reading.reads_only_rules() {
+            return self.check_store_in_doubt(now_ms, actions);
         }
         if self.reading.scope == Scope::All {
             self.follow_jobs(now_ms, actions);
@@ -112,13 +112,13 @@
 
     /// Gives for how long the store holds a read that waits for a record.
     fn long_poll_ms(&self) -> u64 {
-        self.bounds.rules_in_force_ms * LISTEN_PERCENT / 100
+        self.bounds.rules_in_force_ms * LONG_POLL_PERCENT / 100
     }
 
     /// Gives for how long a store that is well may not answer this host, as it is asked for nothing
     /// else: only the read that waits for rules is under way.
-    pub(super) fn quiet_ms(&self) -> u64 {
-        match self.reading.is_quiet() {
+    pub(super) fn expected_silence_ms(&self) -> u64 {
+        match self.reading.reads_only_rules() {
             true => self.long_poll_ms(),
             false => 0,
         }
@@ -126,7 +126,7 @@
 
     /// Asks the store whether it is there, where a call to it is late or has failed and no other one
     /// is about to tell.
-    fn probe_in_doubt(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
+    fn check_store_in_doubt(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         if self.callers.has_late_append(now_ms) {
             self.contact.suspect(now_ms);
         }
@@ -136,21 +136,21 @@
     }
 
     /// Notices that the store does not answer this host, and that it does again.
-    pub(super) fn watch_store(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(super) fn check_store(&mut self, now: Now, actions: &mut Vec<Action>) {
         let owner_ms = self.long_poll_ms() * u64::from(self.owner.is_some());
-        let limit_ms = STORE_UNAVAILABLE_MS + owner_ms + self.quiet_ms();
+        let limit_ms = STORE_UNAVAILABLE_MS + owner_ms + self.expected_silence_ms();
         let is_silent = now.steady_ms > self.contact.answered_ms + limit_ms;
-        let is_doubted = self
+        let is_long_in_doubt = self
             .contact
             .has_been_in_doubt_for(MAX_DOUBT_MS, now.steady_ms);
-        let has_cause = self.reading.is_quiet() && is_doubted;
+        let has_cause = self.reading.reads_only_rules() && is_long_in_doubt;
         // Rules may have changed meanwhile: a host that took callers by those from before
         // would accept for queues that are gone, and deny those that have come.
-        let is_behind = self.is_store_unavailable && !self.have_rules_been_asked_for(now);
-        let is_away = is_silent || has_cause || is_behind;
-        if is_away != self.is_store_unavailable {
-            self.is_store_unavailable = is_away;
-            let code = if is_away {
+        let lacks_rules = self.is_store_unavailable && !self.has_tried_to_read_rules(now);
+        let is_unavailable = is_silent || has_cause || lacks_rules;
+        if is_unavailable != self.is_store_unavailable {
+            self.is_store_unavailable = is_unavailable;
+            let code = if is_unavailable {
                 Code::StoreAway
             } else {
                 Code::StoreBack
@@ -161,7 +161,7 @@
                 &*self.host,
                 format!("last_answer_age_ms={age_ms}"),
             )));
-            if !is_away {
+            if !is_unavailable {
                 self.election.restart(now.steady_ms);
             }
         }
@@ -170,32 +170,32 @@
     /// Lets go of jobs that need not be told about any more. The owner drops their keys from
     /// the store too, which keeps them for good otherwise.
     pub(super) fn purge(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if now.steady_ms < self.purge_ms {
+        if now.steady_ms < self.next_purge_ms {
             return;
         }
-        self.purge_ms = now.steady_ms + PURGE_MS;
+        self.next_purge_ms = now.steady_ms + PURGE_MS;
         let kept_ms = self.bounds.status_ms + STATUS_SLACK_MS;
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (id, job) in &self.job_table.jobs {
             if job
                 .final_wall_ms()
                 .is_some_and(|final_wall_ms| now.wall_ms >= final_wall_ms + kept_ms)
             {
-                over.push(*id);
+                expired.push(*id);
             }
         }
-        for id in &over {
+        for id in &expired {
             self.job_table.jobs.remove(id);
         }
         // What a host has not read to its end is of no use to it for long.
         if self.reading.asks_owner() {
             self.job_table.jobs.clear();
         }
-        let Some(owner) = self.owner.as_mut().filter(|_| !over.is_empty()) else {
+        let Some(owner) = self.owner.as_mut().filter(|_| !expired.is_empty()) else {
             return;
         };
-        let mut records = Vec::with_capacity(2 * over.len());
-        for id in over {
+        let mut records = Vec::with_capacity(2 * expired.len());
+        for id in expired {
             owner.retire(id);
             records.push((Key::Submitted(id).text(), Box::default()));
             records.push((Key::Cancelled(id).text(), Box::default()));
--- a/crates/dispatch/src/entry/loading.rs
+++ b/crates/dispatch/src/entry/loading.rs
@@ -13,7 +13,7 @@
 use goldcrestway_core::Note;
 
 /// Pause between two lines about what is missing.
-const REPORT_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// What was said about loading.
 #[derive(Debug, Default)]
@@ -27,10 +27,10 @@
     /// Tells whether jobs or states still come in. A stream that the store refuses or does
     /// not answer for is not waited for: it may be away for long, and the others serve.
     pub(super) fn is_loading(&self) -> bool {
-        self.followed().any(Tail::is_arriving)
+        self.followed_tails().any(Tail::is_arriving)
     }
 
-    fn followed(&self) -> impl Iterator<Item = &Tail> {
+    fn followed_tails(&self) -> impl Iterator<Item = &Tail> {
         let reads_jobs = !self.reading.asks_owner();
         let jobs = self.jobs.iter().filter(move |_| reads_jobs);
         jobs.chain([&self.states])
@@ -43,12 +43,12 @@
             return;
         }
         let since_ms = *self.loading.since_ms.get_or_insert(now_ms);
-        let is_done = self.followed().all(Tail::is_loaded);
-        let is_due = now_ms >= since_ms + REPORT_MS * (self.loading.reports + 1);
+        let is_done = self.followed_tails().all(Tail::is_loaded);
+        let is_due = now_ms >= since_ms + REPORT_INTERVAL_MS * (self.loading.reports + 1);
         if !is_done && !is_due {
             return;
         }
-        let records: usize = self.followed().map(Tail::arrived).sum();
+        let records: usize = self.followed_tails().map(Tail::arrived).sum();
         let detail = format!("records={records} age_ms={}", now_ms - since_ms);
         let note = match is_done {
             true => Note::new(Code::StreamsLoaded, &*self.host, detail),
@@ -64,7 +64,7 @@
 
     fn list_missing(&self) -> Vec<String> {
         let mut missing = Vec::new();
-        for tail in self.followed() {
+        for tail in self.followed_tails() {
             if !tail.is_loaded() {
                 missing.push(tail.to_string());
             }
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -22,7 +22,7 @@
 use crate::election::Election;
 pub use crate::entry::ages::Ages;
 use crate::entry::callers::Callers;
-use crate::entry::contact::Contact;
+use crate::entry::contact::StoreContact;
 use crate::entry::job_tails::JobTails;
 use crate::entry::loading::LoadingReport;
 pub use crate::entry::rules::Found;
@@ -66,7 +66,7 @@
     ticket: Option<u64>,
     retry_ms: u64,
     /// When it was known to be stored.
-    stored: Option<u64>,
+    known_stored_ms: Option<u64>,
     /// Signs of life since.
     heartbeats: Appender,
     heartbeat: u64,
@@ -111,7 +111,7 @@
     workers_read_ms: u64,
     /// Pause before the next read of the list of workers.
     workers_pause_ms: u64,
-    purge_ms: u64,
+    next_purge_ms: u64,
     job_table: JobTable,
     config: Option<Rc<Config>>,
     evacuations: Rc<Evacuations>,
@@ -120,8 +120,8 @@
     election: Election,
     claim: Option<Claim>,
     /// The announcement under way, and when the next may be.
-    announcing: Option<u64>,
-    announce_ms: u64,
+    announcement: Option<u64>,
+    next_announce_ms: u64,
     owner: Option<Owner>,
     /// Orders of owners that this host carries to workers.
     relay: Relay,
@@ -130,8 +130,8 @@
     claimed_ms: u64,
     is_stopping: bool,
     is_store_unavailable: bool,
-    contact: Contact,
-    are_rules_behind: bool,
+    contact: StoreContact,
+    are_rules_outdated: bool,
     /// How far the time of day is ahead of the steady clock.
     clock_lead_ms: Option<u64>,
 }
@@ -161,22 +161,22 @@
             states_read_ms: 0,
             workers_read_ms: 0,
             workers_pause_ms: MAX_LIST_PAUSE_MS,
-            purge_ms: 0,
+            next_purge_ms: 0,
             job_table: JobTable::default(),
             config: None,
             evacuations: Rc::default(),
             worker_entries: BTreeMap::new(),
             claim: None,
-            announcing: None,
-            announce_ms: 0,
+            announcement: None,
+            next_announce_ms: 0,
             owner: None,
             relay: Relay::default(),
             past_stats: OwnerStats::default(),
             claimed_ms: 0,
             is_stopping: false,
             is_store_unavailable: false,
-            contact: Contact::default(),
-            are_rules_behind: false,
+            contact: StoreContact::default(),
+            are_rules_outdated: false,
             clock_lead_ms: None,
         }
     }
@@ -194,7 +194,7 @@
     /// Tells whether callers should be sent here.
     pub fn is_ready(&self) -> bool {
         let is_caught_up = self.is_caught_up() && !self.is_loading();
-        let has_rules = self.config.is_some() && !self.are_rules_behind;
+        let has_rules = self.config.is_some() && !self.are_rules_outdated;
         has_rules && is_caught_up && !self.is_stopping && !self.is_store_unavailable
     }
 
@@ -231,9 +231,9 @@
     /// them is decided once.
     pub fn handle_all(&mut self, now: Now, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.record_time(now, &mut actions);
+        self.detect_suspension(now, &mut actions);
         for event in events {
-            self.take(now, event, &mut actions);
+            self.handle_event(now, event, &mut actions);
         }
         self.advance(now, &mut actions);
         if let Some(owner) = &mut self.owner {
@@ -242,7 +242,7 @@
         actions
     }
 
-    fn take(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
             Event::Stop => self.stop(),
@@ -271,9 +271,9 @@
                 answer_timeout_ms,
             } => self.cancel(request, job, answer_timeout_ms, now, actions),
             Event::Count { request, queue } => self.count(request, queue, now),
-            Event::Appended { ticket, outcome } => self.appended(ticket, outcome, now, actions),
-            Event::Read { ticket, outcome } => self.read(ticket, outcome, now, actions),
-            Event::Loaded { ticket, outcome } => self.loaded(ticket, outcome, now, actions),
+            Event::Appended { ticket, outcome } => self.on_append(ticket, outcome, now, actions),
+            Event::Read { ticket, outcome } => self.on_read(ticket, outcome, now, actions),
+            Event::Loaded { ticket, outcome } => self.on_load(ticket, outcome, now, actions),
             Event::PermitsAnswered { ticket, outcome } => {
                 if let Some(owner) = &mut self.owner {
                     owner.handle_permit_outcome(ticket, outcome, now);
@@ -319,7 +319,13 @@
         }
     }
 
-    fn read(&mut self, ticket: u64, mut outcome: ReadOutcome, now: Now, actions: &mut Vec<Action>) {
+    fn on_read(
+        &mut self,
+        ticket: u64,
+        mut outcome: ReadOutcome,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
         if matches!(outcome, ReadOutcome::Failed(_)) {
             self.contact.suspect(now.steady_ms);
         }
@@ -338,7 +344,7 @@
         }
     }
 
-    fn loaded(
+    fn on_load(
         &mut self,
         ticket: u64,
         mut outcome: crate::event::LoadOutcome,
@@ -453,14 +459,14 @@
     fn advance(&mut self, now: Now, actions: &mut Vec<Action>) {
         self.record_contact();
         self.decide_scope(now, actions);
-        self.follow(now, actions);
+        self.follow_streams(now, actions);
         self.report_loading(now, actions);
-        self.watch_store(now, actions);
-        self.watch_rules(now, actions);
+        self.check_store(now, actions);
+        self.check_rules_age(now, actions);
         self.announce(now, actions);
-        self.contend(now, actions);
-        self.own(now, actions);
-        self.serve(now, actions);
+        self.maybe_claim(now, actions);
+        self.run_owner(now, actions);
+        self.answer_callers(now, actions);
         self.relay.flush(actions);
         self.purge(now, actions);
     }
--- a/crates/dispatch/src/entry/owning.rs
+++ b/crates/dispatch/src/entry/owning.rs
@@ -27,15 +27,18 @@
 const CLAIM_TIMEOUT_MS: u64 = 700;
 /// Pause before an announcement that was refused is repeated, and before one that was
 /// stored must have been read back.
-const ANNOUNCE_AGAIN_MS: u64 = 1_000;
-const ANNOUNCED_MS: u64 = 5_000;
+const ANNOUNCE_RETRY_MS: u64 = 1_000;
+const READ_BACK_MS: u64 = 5_000;
 /// Pause before a refused claim is repeated.
 const RETRY_MS: u64 = 100;
 
 impl Entry {
     /// Announces this host once, and whenever its share of a core has changed.
     pub(crate) fn announce(&mut self, now: Now, actions: &mut Vec<Action>) {
-        if !self.is_caught_up() || self.announcing.is_some() || now.steady_ms < self.announce_ms {
+        if !self.is_caught_up()
+            || self.announcement.is_some()
+            || now.steady_ms < self.next_announce_ms
+        {
             return;
         }
         let own = HostRecord {
@@ -44,7 +47,7 @@
         };
         // Whoever has not read which hosts are known is known if the owner connects.
         let is_known = match self.reading.asks_owner() {
-            true => !self.may_be_unknown(now.steady_ms),
+            true => !self.may_be_unknown_to_owner(now.steady_ms),
             false => self.job_table.hosts.get(&self.host) == Some(&own),
         };
         if is_known {
@@ -52,7 +55,7 @@
         }
         let partition = self.callers.choose_partition(now.steady_ms);
         self.tickets += 1;
-        self.announcing = Some(self.tickets);
+        self.announcement = Some(self.tickets);
         actions.push(Action::Append {
             ticket: self.tickets,
             stream: Stream::Jobs(partition),
@@ -66,28 +69,33 @@
     }
 
     /// Takes in the end of an announcement, if the append was one.
-    pub(crate) fn take_announced(&mut self, ticket: u64, outcome: AppendOutcome, now: Now) -> bool {
-        if self.announcing.take_if(|own| *own == ticket).is_none() {
+    pub(crate) fn handle_announcement(
+        &mut self,
+        ticket: u64,
+        outcome: AppendOutcome,
+        now: Now,
+    ) -> bool {
+        if self.announcement.take_if(|own| *own == ticket).is_none() {
             return false;
         }
         // Whether it is stored shows when it is read back.
         let is_stored = matches!(outcome, AppendOutcome::Stored { .. });
         let pause_ms = if is_stored {
-            ANNOUNCED_MS
+            READ_BACK_MS
         } else {
-            ANNOUNCE_AGAIN_MS
+            ANNOUNCE_RETRY_MS
         };
-        self.announce_ms = now.steady_ms + pause_ms;
+        self.next_announce_ms = now.steady_ms + pause_ms;
         true
     }
 
     /// Claims if no owner is to be seen, and begins to own once all is read.
-    pub(crate) fn contend(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(crate) fn maybe_claim(&mut self, now: Now, actions: &mut Vec<Action>) {
         if self.owner.is_some() || self.is_stopping || self.config.is_none() || !self.is_caught_up()
         {
             return;
         }
-        if self.reading.is_quiet() {
+        if self.reading.reads_only_rules() {
             return;
         }
         let owner = &self.job_table.owner;
@@ -98,7 +106,7 @@
             self.states
                 .read_now(now.steady_ms, now.steady_ms, &mut self.tickets, actions);
         }
-        if self.claim.is_none() && is_due && self.knows_rivals(now, actions) {
+        if self.claim.is_none() && is_due && self.knows_candidates(now, actions) {
             let owner = &self.job_table.owner;
             actions.push(Action::Note(Note::new(
                 Code::OwnerSuspected,
@@ -114,7 +122,7 @@
                 fence,
                 ticket: None,
                 retry_ms: 0,
-                stored: None,
+                known_stored_ms: None,
                 // The claim itself is number 0.
                 heartbeats: Appender::new(Stream::States, 1, now.steady_ms),
                 heartbeat: 0,
@@ -128,7 +136,7 @@
     /// Tells whether this host knows which hosts there are, as the strongest is to be the first
     /// owner. It reads that no sooner than its turn comes: all hosts that read one another's
     /// announcements again and again would be a load of hosts times hosts.
-    fn knows_rivals(&mut self, now: Now, actions: &mut Vec<Action>) -> bool {
+    fn knows_candidates(&mut self, now: Now, actions: &mut Vec<Action>) -> bool {
         let owner = &self.job_table.owner;
         let Some(turn_ms) = self.election.turn_ms(owner).filter(|_| owner.token == 0) else {
             return true;
@@ -147,7 +155,11 @@
     /// gives nothing keeps silent, so that another one may try.
     fn send_heartbeat(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_reading = self.progress.is_arriving();
-        let Some(claim) = self.claim.as_mut().filter(|claim| claim.stored.is_some()) else {
+        let Some(claim) = self
+            .claim
+            .as_mut()
+            .filter(|claim| claim.known_stored_ms.is_some())
+        else {
             return;
         };
         if is_reading && claim.heartbeats.may_begin(now.steady_ms, HEARTBEAT_MS) {
@@ -165,7 +177,10 @@
         let Some(claim) = &mut self.claim else {
             return;
         };
-        if claim.ticket.is_some() || claim.stored.is_some() || now.steady_ms < claim.retry_ms {
+        if claim.ticket.is_some()
+            || claim.known_stored_ms.is_some()
+            || now.steady_ms < claim.retry_ms
+        {
             return;
         }
         self.tickets += 1;
@@ -183,7 +198,7 @@
     /// Begins to own once everything before the claim, and every job stored so far, is
     /// read, and the list of workers is there.
     fn finish_claim(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let Some(stored_ms) = self.claim.as_ref().and_then(|claim| claim.stored) else {
+        let Some(stored_ms) = self.claim.as_ref().and_then(|claim| claim.known_stored_ms) else {
             return;
         };
         let token = self.claim.as_ref().map_or(0, |claim| claim.fence.epoch);
@@ -200,8 +215,8 @@
         }
         let has_list = self.workers.is_loaded() || !self.recovered.workers.is_empty();
         let is_read = self.jobs.is_fresh_since(stored_ms) && has_list;
-        let has_read_least = self.progress.is_loaded() && self.states.is_loaded();
-        if !has_read_least || !is_read && now_ms < stored_ms + MAX_READ_WAIT_MS {
+        let has_required = self.progress.is_loaded() && self.states.is_loaded();
+        if !has_required || !is_read && now_ms < stored_ms + MAX_READ_WAIT_MS {
             return;
         }
         let Some(claim) = self.claim.take() else {
@@ -260,7 +275,7 @@
             .is_some()
         {
             if outcome == AppendOutcome::Fenced {
-                self.give_up_claim(now);
+                self.abandon_claim(now);
             }
             return true;
         }
@@ -270,7 +285,7 @@
         claim.ticket = None;
         match outcome {
             AppendOutcome::Stored { offset } => {
-                claim.stored = Some(now.steady_ms);
+                claim.known_stored_ms = Some(now.steady_ms);
                 self.progress = Tail::new(Stream::Progress, self.salt);
                 self.recovered = RecoveredState::default();
                 let epoch = claim.fence.epoch;
@@ -282,7 +297,7 @@
                     format!("token={epoch} offset={offset}"),
                 )));
             }
-            AppendOutcome::Fenced => self.give_up_claim(now),
+            AppendOutcome::Fenced => self.abandon_claim(now),
             AppendOutcome::Refused | AppendOutcome::Unknown => {
                 claim.retry_ms = now.steady_ms + RETRY_MS
             }
@@ -291,7 +306,7 @@
     }
 
     /// Gives way to another host that was faster; it gets the usual time to show itself.
-    fn give_up_claim(&mut self, now: Now) {
+    fn abandon_claim(&mut self, now: Now) {
         self.claim = None;
         self.election.raise_floor();
         self.election.restart(now.steady_ms);
@@ -314,7 +329,7 @@
     }
 
     /// Lets the owner do what is due, or ends it.
-    pub(crate) fn own(&mut self, now: Now, actions: &mut Vec<Action>) {
+    pub(crate) fn run_owner(&mut self, now: Now, actions: &mut Vec<Action>) {
         let may_miss_evacuations = self.may_miss_evacuations(now);
         let Some(owner) = &mut self.owner else {
             return;
--- a/crates/dispatch/src/entry/rules.rs
+++ b/crates/dispatch/src/entry/rules.rs
@@ -22,7 +22,7 @@
 
 /// Part of the time in which rules must be in force after which a host no longer takes its
 /// own for current. The rest is for a read that is lost and sent again.
-const AGE_PERCENT: u64 = 75;
+const MAX_AGE_PERCENT: u64 = 75;
 /// How much more may be allowed for a store that answers slowly, in times of what its answers
 /// take: the newest rules that can be known are as old as the way to the host.
 const LATENCY_FACTOR: u64 = 2;
@@ -54,7 +54,7 @@
 
     /// Tells whether the rules in force are as new as they must be.
     pub(super) fn are_rules_current(&self, now: Now) -> bool {
-        let promised_ms = self.bounds.rules_in_force_ms * AGE_PERCENT / 100;
+        let promised_ms = self.bounds.rules_in_force_ms * MAX_AGE_PERCENT / 100;
         let max_ms = promised_ms + LATENCY_FACTOR * self.rules.typical_latency_ms();
         let age_ms = self.rules.age_ms(now.steady_ms);
         self.config.is_some() && age_ms.is_some_and(|age_ms| age_ms <= max_ms)
@@ -62,26 +62,26 @@
 
     /// Tells whether the rules are current, or could not be read since the store answers. A
     /// store that is back in part serves those who need no more of it.
-    pub(super) fn have_rules_been_asked_for(&self, now: Now) -> bool {
-        self.are_rules_current(now) || self.rules.has_failed_since(self.contact.since_ms)
+    pub(super) fn has_tried_to_read_rules(&self, now: Now) -> bool {
+        self.are_rules_current(now) || self.rules.has_failed_since(self.contact.reachable_since_ms)
     }
 
     /// Tells whether the rules are too old for the owner to start anything by: a failure domain may
     /// have been evacuated for so long that nothing may start there any more.
     pub(super) fn may_miss_evacuations(&self, now: Now) -> bool {
-        let promised_ms = self.bounds.evacuation_ms * AGE_PERCENT / 100;
+        let promised_ms = self.bounds.evacuation_ms * MAX_AGE_PERCENT / 100;
         let age_ms = self.rules.age_ms(now.steady_ms);
         age_ms.is_none_or(|age_ms| age_ms > promised_ms)
     }
 
     /// Notices that the rules have become too old, and that they are current again.
-    pub(super) fn watch_rules(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let are_behind = self.config.is_some() && !self.are_rules_current(now);
-        if are_behind == self.are_rules_behind {
+    pub(super) fn check_rules_age(&mut self, now: Now, actions: &mut Vec<Action>) {
+        let are_outdated = self.config.is_some() && !self.are_rules_current(now);
+        if are_outdated == self.are_rules_outdated {
             return;
         }
-        self.are_rules_behind = are_behind;
-        let code = match are_behind {
+        self.are_rules_outdated = are_outdated;
+        let code = match are_outdated {
             true => Code::RulesBehind,
             false => Code::RulesCurrent,
         };
@@ -95,8 +95,8 @@
             self.drop_evacuations(&progress.records, actions);
         }
         for record in &progress.records {
-            if let Some(read) = (self.decoders.evacuation)(&record.key, &record.value) {
-                self.apply_evacuation(record, read, actions);
+            if let Some(decoded) = (self.decoders.evacuation)(&record.key, &record.value) {
+                self.apply_evacuation(record, decoded, actions);
                 continue;
             }
             if &*record.key != "config" || record.value.is_empty() {
@@ -133,11 +133,11 @@
     fn apply_evacuation(
         &mut self,
         record: &StoredRecord,
-        read: Decoded<Box<str>>,
+        decoded: Decoded<Box<str>>,
         actions: &mut Vec<Action>,
     ) {
         let version = record.offset;
-        let domain = match read {
+        let domain = match decoded {
             Ok(domain) => domain,
             Err(fault) => {
                 let detail = format!("offset={version} {fault}");
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -21,15 +21,15 @@
 
 /// Time for which a host waits for the connection of an owner that lives before it announces
 /// itself again: the owner may not know it, or not where it is now.
-const UNKNOWN_MS: u64 = 1_000;
+const REANNOUNCE_MS: u64 = 1_000;
 /// Time for which it waits before it reads everything by itself. Hosts that an owner has no room
 /// for begin at times of their own.
-const ALONE_MS: u64 = 3_000;
-const ALONE_SPREAD_MS: u64 = 2_000;
+const UNCONNECTED_MS: u64 = 3_000;
+const UNCONNECTED_SPREAD_MS: u64 = 2_000;
 /// Time without a sign of life of an owner after which none is waited for.
-const OWNER_GONE_MS: u64 = 2_500;
+const OWNER_TIMEOUT_MS: u64 = 2_500;
 /// Time after which a host that reads everything leaves that to an owner that has connected.
-const SETTLED_MS: u64 = 1_000;
+const STABLE_CONNECTION_MS: u64 = 1_000;
 
 /// What a host reads of the store beside the rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,9 +49,9 @@
     /// The connection over which the owner is heard.
     pub(super) owner_connection: Option<ConnectionId>,
     /// Since when that is so, or not.
-    changed_ms: u64,
+    connection_changed_ms: u64,
     /// Since when an owner lives and does not connect.
-    alone_since_ms: Option<u64>,
+    unconnected_since_ms: Option<u64>,
 }
 
 impl Reading {
@@ -59,8 +59,8 @@
         Self {
             scope: Scope::Undecided,
             owner_connection: None,
-            changed_ms: 0,
-            alone_since_ms: None,
+            connection_changed_ms: 0,
+            unconnected_since_ms: None,
         }
     }
 
@@ -70,12 +70,12 @@
     }
 
     /// Tells whether nothing is read but the rules, as the owner is heard.
-    pub(super) fn is_quiet(&self) -> bool {
+    pub(super) fn reads_only_rules(&self) -> bool {
         self.asks_owner() && self.owner_connection.is_some()
     }
 
-    fn has_been_alone_for(&self, ms: u64, now_ms: u64) -> bool {
-        self.alone_since_ms
+    fn has_been_unconnected_for(&self, ms: u64, now_ms: u64) -> bool {
+        self.unconnected_since_ms
             .is_some_and(|since_ms| now_ms >= since_ms + ms)
     }
 }
@@ -93,23 +93,23 @@
         match self.reading.scope {
             Scope::Undecided if self.states.is_loaded() => self.choose_scope(),
             Scope::Owner => {
-                self.record_alone(now_ms);
-                let spread_ms = self.salt % ALONE_SPREAD_MS;
+                self.record_unconnected_owner(now_ms);
+                let spread_ms = self.salt % UNCONNECTED_SPREAD_MS;
                 if self
                     .reading
-                    .has_been_alone_for(ALONE_MS + spread_ms, now_ms)
+                    .has_been_unconnected_for(UNCONNECTED_MS + spread_ms, now_ms)
                 {
                     self.read_all();
                 }
             }
-            Scope::All => self.leave_to_owner(now_ms),
+            Scope::All => self.stop_reading_jobs(now_ms),
             Scope::Undecided => {}
         }
     }
 
     /// Chooses by what the newest owner has said of itself.
     fn choose_scope(&mut self) {
-        if !self.take_survey() {
+        if !self.apply_owner_survey() {
             return self.read_all();
         }
         match self.election.is_watcher() {
@@ -119,7 +119,7 @@
     }
 
     /// Takes in what the newest owner says of all hosts; tells whether it informs them.
-    fn take_survey(&mut self) -> bool {
+    fn apply_owner_survey(&mut self) -> bool {
         let owner = &self.job_table.owner;
         if !owner.informs_hosts {
             return false;
@@ -140,7 +140,7 @@
         if previous.is_some() == conn.is_some() {
             return;
         }
-        let since_ms = std::mem::replace(&mut self.reading.changed_ms, now_ms);
+        let since_ms = std::mem::replace(&mut self.reading.connection_changed_ms, now_ms);
         let code = match conn {
             Some(_) => Code::OwnerHeard,
             None => Code::OwnerUnheard,
@@ -155,20 +155,20 @@
     }
 
     /// Notices that an owner lives that does not connect to this host.
-    fn record_alone(&mut self, now_ms: u64) {
+    fn record_unconnected_owner(&mut self, now_ms: u64) {
         let is_alive = self
             .election
-            .has_heartbeat_since(now_ms.saturating_sub(OWNER_GONE_MS));
+            .has_heartbeat_since(now_ms.saturating_sub(OWNER_TIMEOUT_MS));
         if self.reading.owner_connection.is_some() || !is_alive {
-            self.reading.alone_since_ms = None;
+            self.reading.unconnected_since_ms = None;
         } else {
-            self.reading.alone_since_ms.get_or_insert(now_ms);
+            self.reading.unconnected_since_ms.get_or_insert(now_ms);
         }
     }
 
     /// Tells whether an owner that lives may not know of this host.
-    pub(super) fn may_be_unknown(&self, now_ms: u64) -> bool {
-        self.reading.has_been_alone_for(UNKNOWN_MS, now_ms)
+    pub(super) fn may_be_unknown_to_owner(&self, now_ms: u64) -> bool {
+        self.reading.has_been_unconnected_for(REANNOUNCE_MS, now_ms)
     }
 
     /// Reads all jobs and their states from now on.
@@ -177,21 +177,24 @@
             return;
         }
         self.reading.scope = Scope::All;
-        self.reading.alone_since_ms = None;
+        self.reading.unconnected_since_ms = None;
         self.states = Tail::new(Stream::States, self.salt);
         self.jobs = JobTails::new(self.bounds.job_partitions, self.salt);
     }
 
     /// Stops reading jobs once an owner answers for them.
-    fn leave_to_owner(&mut self, now_ms: u64) {
+    fn stop_reading_jobs(&mut self, now_ms: u64) {
         let is_heard = self.reading.owner_connection.is_some();
-        let is_settled = now_ms >= self.reading.changed_ms + SETTLED_MS;
-        let acts = self.owner.is_some() || self.claim.is_some();
-        if !is_heard || !is_settled || acts {
+        let is_connection_stable =
+            now_ms >= self.reading.connection_changed_ms + STABLE_CONNECTION_MS;
+        let is_owner_or_claiming = self.owner.is_some() || self.claim.is_some();
+        if !is_heard || !is_connection_stable || is_owner_or_claiming {
             return;
         }
         // Whoever has not read which hosts there are goes by what the owner says of them.
-        if self.job_table.hosts.len() <= 1 && !self.take_survey() || self.election.is_watcher() {
+        if self.job_table.hosts.len() <= 1 && !self.apply_owner_survey()
+            || self.election.is_watcher()
+        {
             return;
         }
         self.reading.scope = Scope::Owner;
