--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -252,7 +252,7 @@
                 }
             }
             Event::Frame { conn, bytes } => self.handle_frame(conn, &bytes, now, actions),
-            Event::ConnectionLost { conn } if conn.is_incoming() => self.relay.lose(conn),
+            Event::ConnectionLost { conn } if conn.is_incoming() => self.relay.handle_lost(conn),
             Event::ConnectionLost { conn } => {
                 if let Some(owner) = &mut self.owner {
                     owner.lose_relay(conn, now, actions);
@@ -312,7 +312,7 @@
 
     fn stop(&mut self) {
         self.is_stopping = true;
-        self.relay.leave();
+        self.relay.begin_shutdown();
         self.claim = None;
         if let Some(owner) = &mut self.owner {
             owner.leave();
--- a/crates/dispatch/src/owner/link.rs
+++ b/crates/dispatch/src/owner/link.rs
@@ -81,7 +81,7 @@
     }
 
     fn has_relays(&self) -> bool {
-        self.uses_relays && self.relays.usable() > 0
+        self.uses_relays && self.relays.usable_count() > 0
     }
 
     /// Notes what calls to the store and answers to callers take.
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -11,7 +11,7 @@
 use crate::policy::relaying::Means;
 use crate::policy::relaying::needs_relays;
 use crate::record::HostRecord;
-use crate::relay::CHOICES;
+use crate::relay::RELAYS_PER_WORKER;
 use crate::relay::RelayedOrder;
 use crate::relay::RelayedOutcome;
 use crate::relay::RemoteQuery;
@@ -56,8 +56,8 @@
         self.relays.connect(now.steady_ms, tickets, actions);
         let outcomes = self.relays.expire(now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
-        self.stats.relays = self.relays.usable() as u64;
-        self.stats.selected = self.relays.selected();
+        self.stats.relays = self.relays.usable_count() as u64;
+        self.stats.selected = self.relays.selection_count();
     }
 
     /// Tells whether orders are to wait until there are relays.
@@ -88,9 +88,9 @@
             failure_domain: &worker.entry.failure_domain,
             call,
             timeout_ms,
-            place: worker.relay_place,
+            relay_index: worker.relay_place,
         };
-        let Some(bytes) = self.relays.relay(&order, now_ms) else {
+        let Some(bytes) = self.relays.enqueue(&order, now_ms) else {
             return false;
         };
         self.stats.relayed += 1;
@@ -109,7 +109,7 @@
             return;
         };
         // The place after the last relay stands for a direct call.
-        worker.relay_place = (worker.relay_place + 1) % (CHOICES + 1);
+        worker.relay_place = (worker.relay_place + 1) % (RELAYS_PER_WORKER + 1);
         worker.relay_until_ms = now_ms + PASSED_OVER_MS;
     }
 
@@ -118,7 +118,7 @@
     }
 
     pub(crate) fn lose_relay(&mut self, conn: ConnectionId, now: Now, actions: &mut Vec<Action>) {
-        let outcomes = self.relays.lose(conn, now.steady_ms, actions);
+        let outcomes = self.relays.handle_lost(conn, now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
     }
 
--- a/crates/dispatch/src/relay/frames.rs
+++ b/crates/dispatch/src/relay/frames.rs
@@ -10,15 +10,15 @@
     pub(super) token: u64,
     /// Workers that are named for the first time.
     #[prost(message, repeated, tag = "2")]
-    pub(super) workers: Vec<WorkerName>,
+    pub(super) workers: Vec<WorkerRow>,
     /// Texts of jobs that are sent for the first time.
     #[prost(message, repeated, tag = "3")]
-    pub(super) texts: Vec<JobText>,
+    pub(super) texts: Vec<JobTextRow>,
     #[prost(message, repeated, tag = "4")]
     pub(super) orders: Vec<OrderRow>,
     /// All texts from before this frame are to be forgotten.
     #[prost(bool, tag = "5")]
-    pub(super) forgets_texts: bool,
+    pub(super) clears_texts: bool,
     /// Answers to what the host has asked.
     #[prost(message, repeated, tag = "6")]
     pub(super) answers: Vec<AnswerRow>,
@@ -73,7 +73,7 @@
 
 /// The number that stands for one incarnation of a worker.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct WorkerName {
+pub(super) struct WorkerRow {
     #[prost(uint32, tag = "1")]
     pub(super) number: u32,
     #[prost(string, tag = "2")]
@@ -86,7 +86,7 @@
 
 /// The text that workers get with each task of a job.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub(super) struct JobText {
+pub(super) struct JobTextRow {
     #[prost(fixed64, tag = "1")]
     pub(super) job: u64,
     #[prost(string, tag = "2")]
--- a/crates/dispatch/src/relay/mod.rs
+++ b/crates/dispatch/src/relay/mod.rs
@@ -24,7 +24,7 @@
 pub(crate) use inquiry::QuerySubject;
 pub(crate) use inquiry::RemoteQuery;
 pub(crate) use inquiry::RemoteRequester;
-pub(crate) use selection::CHOICES;
+pub(crate) use selection::RELAYS_PER_WORKER;
 pub(crate) use selection::Selection;
 pub(crate) use serving::Relay;
 pub(crate) use sessions::RelayedOrder;
--- a/crates/dispatch/src/relay/peer.rs
+++ b/crates/dispatch/src/relay/peer.rs
@@ -3,9 +3,9 @@
 use crate::event::ConnectionId;
 use crate::event::WorkerCall;
 use crate::ids::JobId;
-use crate::relay::frames::JobText;
+use crate::relay::frames::JobTextRow;
 use crate::relay::frames::OrdersFrame;
-use crate::relay::frames::WorkerName;
+use crate::relay::frames::WorkerRow;
 use crate::relay::rows::order_row;
 use crate::relay::sessions::RelayedOrder;
 use prost::Message;
@@ -26,7 +26,7 @@
 
 /// What a number in frames stands for.
 #[derive(Debug, PartialEq, Eq, Hash)]
-struct Place {
+struct WorkerIdentity {
     worker: Box<str>,
     address: Box<str>,
     failure_domain: Box<str>,
@@ -43,11 +43,11 @@
     /// Connections in a row that were not made.
     pub(super) failures: u32,
     /// When it last said something.
-    pub(super) heard_ms: u64,
+    pub(super) last_received_ms: u64,
     /// When it was last told something.
-    pub(super) told_ms: u64,
+    pub(super) last_sent_ms: u64,
     /// Numbers of workers, by id and address: a worker may start again elsewhere under its id.
-    numbers: HashMap<Place, u32>,
+    numbers: HashMap<WorkerIdentity, u32>,
     pub(super) texts: HashSet<JobId>,
     /// Orders that go out at the end of this turn.
     pub(super) frame: OrdersFrame,
@@ -62,8 +62,8 @@
             is_connected: false,
             is_leaving: false,
             failures: 0,
-            heard_ms: 0,
-            told_ms: 0,
+            last_received_ms: 0,
+            last_sent_ms: 0,
             numbers: HashMap::new(),
             texts: HashSet::new(),
             frame: OrdersFrame::default(),
@@ -79,7 +79,7 @@
         let phase = std::mem::replace(&mut self.phase, Phase::Closed { retry_ms });
         self.is_connected = false;
         self.is_leaving = false;
-        self.told_ms = 0;
+        self.last_sent_ms = 0;
         self.numbers.clear();
         self.texts.clear();
         self.frame = OrdersFrame::default();
@@ -90,24 +90,24 @@
     }
 
     /// Adds an order to the next frame, and gives the bytes that it takes.
-    pub(super) fn add(&mut self, order: &RelayedOrder<'_>) -> usize {
+    pub(super) fn add_order(&mut self, order: &RelayedOrder<'_>) -> usize {
         let mut bytes = 0;
         let next = self.numbers.len() as u32;
-        let place = Place {
+        let identity = WorkerIdentity {
             worker: order.worker.into(),
             address: order.address.into(),
             failure_domain: order.failure_domain.into(),
         };
-        let number = *self.numbers.entry(place).or_insert(next);
+        let number = *self.numbers.entry(identity).or_insert(next);
         if number == next {
-            let name = WorkerName {
+            let worker_row = WorkerRow {
                 number,
                 address: order.address.into(),
                 id: order.worker.into(),
                 failure_domain: order.failure_domain.into(),
             };
-            bytes += name.encoded_len();
-            self.frame.workers.push(name);
+            bytes += worker_row.encoded_len();
+            self.frame.workers.push(worker_row);
         }
         if let WorkerCall::Start {
             task,
@@ -130,10 +130,10 @@
         // Texts are forgotten together, and only before a frame that needs none of them.
         if self.texts.len() >= MAX_TEXTS && self.frame.orders.is_empty() {
             self.texts.clear();
-            self.frame.forgets_texts = true;
+            self.frame.clears_texts = true;
         }
         self.texts.insert(job);
-        let text = JobText {
+        let text = JobTextRow {
             job: job.0,
             text: text.into(),
         };
--- a/crates/dispatch/src/relay/selection.rs
+++ b/crates/dispatch/src/relay/selection.rs
@@ -6,14 +6,14 @@
 /// job go through a few relays, each of which gets the job's text once: of 17 relays a step of
 /// 20 tasks then takes about 6, with one each 13. More would need more connections to each
 /// worker.
-pub(crate) const CHOICES: usize = 3;
+pub(crate) const RELAYS_PER_WORKER: usize = 3;
 
 /// The relays of one worker, the first one before the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Selection<K: Copy> {
     seed: u64,
     /// With the hashes by which they were selected.
-    best: [Option<(u64, K)>; CHOICES],
+    ranked: [Option<(u64, K)>; RELAYS_PER_WORKER],
 }
 
 impl<K: Copy + PartialEq> Selection<K> {
@@ -25,7 +25,7 @@
     ) -> Selection<K> {
         let mut selection = Selection {
             seed: xxh3_64_with_seed(worker.as_bytes(), 0),
-            best: [None; CHOICES],
+            ranked: [None; RELAYS_PER_WORKER],
         };
         for (key, name) in relays {
             selection.add(key, name);
@@ -37,14 +37,14 @@
     pub(crate) fn add(&mut self, key: K, name: &str) {
         let hash = xxh3_64_with_seed(name.as_bytes(), self.seed);
         let mut candidate = Some((hash, key));
-        for place in &mut self.best {
-            let is_greater = match (&candidate, &place) {
+        for slot in &mut self.ranked {
+            let is_greater = match (&candidate, &slot) {
                 (Some((hash, _)), Some((other, _))) => hash > other,
                 (Some(_), None) => true,
                 _ => false,
             };
             if is_greater {
-                std::mem::swap(place, &mut candidate);
+                std::mem::swap(slot, &mut candidate);
             }
         }
     }
@@ -55,13 +55,13 @@
     }
 
     /// Gives the relay in this place.
-    pub(crate) fn get(&self, place: usize) -> Option<K> {
-        let (_, key) = self.best.get(place).copied().flatten()?;
+    pub(crate) fn get(&self, index: usize) -> Option<K> {
+        let (_, key) = self.ranked.get(index).copied().flatten()?;
         Some(key)
     }
 
     /// Lists the relays.
     pub(crate) fn iter(&self) -> impl Iterator<Item = K> + '_ {
-        self.best.iter().flatten().map(|(_, key)| *key)
+        self.ranked.iter().flatten().map(|(_, key)| *key)
     }
 }
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -18,7 +18,7 @@
 use crate::relay::inquiry::query_row;
 use crate::relay::rows::order_call;
 use crate::relay::rows::outcome_row;
-use crate::relay::sessions::HEARTBEAT_GAP_MS;
+use crate::relay::sessions::HEARTBEAT_INTERVAL_MS;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use prost::Message;
@@ -28,7 +28,7 @@
 
 /// Where a worker is, and which incarnation is meant.
 #[derive(Debug)]
-struct Name {
+struct WorkerIdentity {
     address: Box<str>,
     id: Box<str>,
     failure_domain: Box<str>,
@@ -36,20 +36,20 @@
 
 /// Time without a word of an owner after which it counts as silent: two signs of life, and a turn
 /// of a busy host.
-const SILENCE_MS: u64 = 2 * HEARTBEAT_GAP_MS + 500;
+const OWNER_SILENCE_MS: u64 = 2 * HEARTBEAT_INTERVAL_MS + 500;
 
 /// What one owner has told, and what it is to be told.
 #[derive(Debug, Default)]
 struct Session {
     /// The owner's token, once it has said something.
     token: u64,
-    heard_ms: u64,
+    last_received_ms: u64,
     queries: Vec<QueryRow>,
     /// By the numbers that the owner has given them.
-    workers: HashMap<u32, Name>,
+    workers: HashMap<u32, WorkerIdentity>,
     texts: HashMap<JobId, Rc<str>>,
     outcomes: Vec<OrderOutcomeRow>,
-    was_told_leaving: bool,
+    is_shutdown_sent: bool,
 }
 
 /// Orders of owners under way at this host.
@@ -83,34 +83,34 @@
                     format!("step=decode why={error}"),
                 )));
                 actions.push(Action::CloseConnection { conn });
-                self.lose(conn);
+                self.handle_lost(conn);
                 return;
             }
         };
         let session = self.sessions.entry(conn).or_default();
         session.token = frame.token;
-        session.heard_ms = now_ms;
+        session.last_received_ms = now_ms;
         self.answers.extend(frame.answers.iter().map(answer));
-        if frame.forgets_texts {
+        if frame.clears_texts {
             session.texts.clear();
         }
         for worker in frame.workers {
-            let name = Name {
+            let identity = WorkerIdentity {
                 address: worker.address.into(),
                 id: worker.id.into(),
                 failure_domain: worker.failure_domain.into(),
             };
-            session.workers.insert(worker.number, name);
+            session.workers.insert(worker.number, identity);
         }
         for text in frame.texts {
             session.texts.insert(JobId(text.job), text.text.into());
         }
         for row in &frame.orders {
-            self.handle_order_outcome(conn, frame.token, row, evacuations, tickets, actions);
+            self.handle_order(conn, frame.token, row, evacuations, tickets, actions);
         }
     }
 
-    fn handle_order_outcome(
+    fn handle_order(
         &mut self,
         conn: ConnectionId,
         token: u64,
@@ -123,8 +123,8 @@
             return;
         };
         let call = order_call(row, |job| session.texts.get(&job).cloned());
-        let name = session.workers.get(&row.worker);
-        let (Some(call), Some(name)) = (call, name) else {
+        let identity = session.workers.get(&row.worker);
+        let (Some(call), Some(identity)) = (call, identity) else {
             // The owner will order it by itself.
             session
                 .outcomes
@@ -133,7 +133,7 @@
         };
         // The order may have waited on the way here, and the owner have sent it by older rules.
         let is_start = matches!(call, WorkerCall::Start { .. });
-        if is_start && evacuations.covers(&name.failure_domain) {
+        if is_start && evacuations.covers(&identity.failure_domain) {
             session
                 .outcomes
                 .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
@@ -143,8 +143,8 @@
         self.orders.insert(*tickets, (conn, row.ticket));
         actions.push(Action::Order {
             ticket: *tickets,
-            address: name.address.clone(),
-            worker: name.id.clone(),
+            address: identity.address.clone(),
+            worker: identity.id.clone(),
             token,
             call,
             timeout_ms: u64::from(row.timeout_ms),
@@ -153,11 +153,11 @@
 
     /// Takes in the end of an order, and tells whether it was one of an owner.
     pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: &OrderOutcome) -> bool {
-        let Some((conn, ordered)) = self.orders.remove(&ticket) else {
+        let Some((conn, owner_ticket)) = self.orders.remove(&ticket) else {
             return false;
         };
         if let Some(session) = self.sessions.get_mut(&conn) {
-            session.outcomes.push(outcome_row(ordered, outcome));
+            session.outcomes.push(outcome_row(owner_ticket, outcome));
         }
         true
     }
@@ -167,7 +167,7 @@
     pub(crate) fn owner_connection(&self, token: u64, now_ms: u64) -> Option<ConnectionId> {
         let mut found: Option<(u64, ConnectionId)> = None;
         for (conn, session) in &self.sessions {
-            let is_heard = now_ms <= session.heard_ms + SILENCE_MS;
+            let is_heard = now_ms <= session.last_received_ms + OWNER_SILENCE_MS;
             let is_newer = found.is_none_or(|(newest, _)| session.token > newest);
             if is_heard && session.token >= token && is_newer {
                 found = Some((session.token, *conn));
@@ -189,23 +189,23 @@
     }
 
     /// Wants no further orders, as this host is about to stop.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn begin_shutdown(&mut self) {
         self.is_leaving = true;
     }
 
     /// Forgets an owner whose link is gone. What it ordered goes on.
-    pub(crate) fn lose(&mut self, conn: ConnectionId) {
+    pub(crate) fn handle_lost(&mut self, conn: ConnectionId) {
         self.sessions.remove(&conn);
     }
 
     /// Tells owners what came of their orders, and asks them.
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
         for (conn, session) in &mut self.sessions {
-            let has_news = self.is_leaving && !session.was_told_leaving;
-            if session.outcomes.is_empty() && session.queries.is_empty() && !has_news {
+            let must_send_shutdown = self.is_leaving && !session.is_shutdown_sent;
+            if session.outcomes.is_empty() && session.queries.is_empty() && !must_send_shutdown {
                 continue;
             }
-            session.was_told_leaving = self.is_leaving;
+            session.is_shutdown_sent = self.is_leaving;
             let frame = OutcomesFrame {
                 outcomes: std::mem::take(&mut session.outcomes),
                 queries: std::mem::take(&mut session.queries),
--- a/crates/dispatch/src/relay/sessions.rs
+++ b/crates/dispatch/src/relay/sessions.rs
@@ -31,17 +31,17 @@
 
 /// Time that an order may take over a relay beyond what the worker's answer may: two hops, and
 /// the turn of a busy host.
-const HOPS_MS: u64 = 150;
+const RELAY_OVERHEAD_MS: u64 = 150;
 /// Pause before a relay that could not be reached, or gave no answer, is tried again. Hosts that
 /// start together are there within a moment. It doubles so many times while it stays away, up to
 /// 8 s: hosts that are gone for good stay on record.
 const RETRY_MS: u64 = 250;
 const MAX_DOUBLINGS: u32 = 5;
 /// Pause after which a host to which nothing was to be said gets a sign of life.
-pub(super) const HEARTBEAT_GAP_MS: u64 = 1_000;
+pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 /// Part of an owner's descriptors, one in so many, that its connections to other hosts may take.
 /// The rest is for workers that it calls by itself, callers and the store.
-const DESCRIPTORS_SHARE: u64 = 2;
+const DESCRIPTORS_DIVISOR: u64 = 2;
 
 /// An order to be carried by a relay.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     pub(crate) call: &'a WorkerCall,
     pub(crate) timeout_ms: u64,
     /// Which of the worker's relays is to carry it.
-    pub(crate) place: usize,
+    pub(crate) relay_index: usize,
 }
 
 /// How an order has ended.
@@ -81,13 +81,13 @@
     conns: HashMap<ConnectionId, RelayKey>,
     flights: BTreeMap<u64, Flight>,
     /// When which of them is overdue.
-    due: BTreeSet<(u64, u64)>,
+    deadlines: BTreeSet<(u64, u64)>,
     /// Relays of each worker that an order was for, as of the relays that are there.
     selections: HashMap<Box<str>, Selection<RelayKey>>,
     /// Relays that take orders.
-    usable: usize,
+    usable_count: usize,
     /// How often the relays of a worker were selected anew.
-    selected: u64,
+    selection_count: u64,
     /// What other hosts have asked.
     remote_queries: Vec<RemoteQuery>,
 }
@@ -96,15 +96,15 @@
     /// Makes the sessions of an owner with so many descriptors.
     pub(crate) fn new(descriptors: u64) -> Self {
         Self {
-            max_peers: (descriptors / DESCRIPTORS_SHARE) as usize,
+            max_peers: (descriptors / DESCRIPTORS_DIVISOR) as usize,
             peers: SlotMap::with_key(),
             keys: HashMap::new(),
             conns: HashMap::new(),
             flights: BTreeMap::new(),
-            due: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             selections: HashMap::new(),
-            usable: 0,
-            selected: 0,
+            usable_count: 0,
+            selection_count: 0,
             remote_queries: Vec::new(),
         }
     }
@@ -148,7 +148,7 @@
             *tickets += 1;
             let conn = ConnectionId(*tickets);
             peer.phase = Phase::Open { conn };
-            peer.heard_ms = now_ms;
+            peer.last_received_ms = now_ms;
             self.conns.insert(conn, key);
             actions.push(Action::OpenConnection {
                 conn,
@@ -168,23 +168,23 @@
         }
         peer.is_connected = true;
         peer.failures = 0;
-        peer.heard_ms = now_ms;
-        self.take_in(key);
+        peer.last_received_ms = now_ms;
+        self.add_usable(key);
     }
 
     /// Tells whether connections to relays are being made and none takes orders yet.
     pub(crate) fn are_all_opening(&self) -> bool {
-        !self.conns.is_empty() && self.usable == 0
+        !self.conns.is_empty() && self.usable_count == 0
     }
 
     /// Tells how many relays take orders.
-    pub(crate) fn usable(&self) -> usize {
-        self.usable
+    pub(crate) fn usable_count(&self) -> usize {
+        self.usable_count
     }
 
     /// Tells how often the relays of a worker were selected anew.
-    pub(crate) fn selected(&self) -> u64 {
-        self.selected
+    pub(crate) fn selection_count(&self) -> u64 {
+        self.selection_count
     }
 
     /// Forgets a worker that is gone.
@@ -193,8 +193,8 @@
     }
 
     /// Has a relay that has connected take orders.
-    fn take_in(&mut self, key: RelayKey) {
-        self.usable += 1;
+    fn add_usable(&mut self, key: RelayKey) {
+        self.usable_count += 1;
         let name = &self.peers[key].name;
         for selection in self.selections.values_mut() {
             selection.add(key, name);
@@ -202,42 +202,42 @@
     }
 
     /// Has a relay that took orders take none any more. Its workers select anew.
-    fn leave_out(&mut self, key: RelayKey) {
+    fn remove_usable(&mut self, key: RelayKey) {
         if !self.peers[key].is_usable() {
             return;
         }
-        self.usable -= 1;
+        self.usable_count -= 1;
         self.selections
             .retain(|_, selection| !selection.contains(key));
     }
 
     /// Gives an order to a relay of its worker, and gives the bytes that it takes; `None` if
     /// there is no relay, so that the order must go out directly.
-    pub(crate) fn relay(&mut self, order: &RelayedOrder<'_>, now_ms: u64) -> Option<u64> {
-        let key = self.choose(order)?;
+    pub(crate) fn enqueue(&mut self, order: &RelayedOrder<'_>, now_ms: u64) -> Option<u64> {
+        let key = self.choose_relay(order)?;
         let flight = Flight {
             relay: key,
             sent_ms: now_ms,
-            due_ms: now_ms + order.timeout_ms + HOPS_MS,
+            due_ms: now_ms + order.timeout_ms + RELAY_OVERHEAD_MS,
         };
         self.flights.insert(order.ticket, flight);
-        self.due.insert((flight.due_ms, order.ticket));
-        Some(self.peers[key].add(order) as u64)
+        self.deadlines.insert((flight.due_ms, order.ticket));
+        Some(self.peers[key].add_order(order) as u64)
     }
 
     /// Chooses the relay of an order: the one in its place, but for a start one that has the
     /// text already, unless the first one has just missed its worker.
-    fn choose(&mut self, order: &RelayedOrder<'_>) -> Option<RelayKey> {
+    fn choose_relay(&mut self, order: &RelayedOrder<'_>) -> Option<RelayKey> {
         if !self.selections.contains_key(order.worker) {
             let usable = self.peers.iter().filter(|(_, peer)| peer.is_usable());
             let names = usable.map(|(key, peer)| (key, &*peer.name));
             let selection = Selection::new(order.worker, names);
-            self.selected += 1;
+            self.selection_count += 1;
             self.selections.insert(order.worker.into(), selection);
         }
         let selection = &self.selections[order.worker];
         if let WorkerCall::Start { task, .. } = order.call
-            && order.place == 0
+            && order.relay_index == 0
         {
             for key in selection.iter() {
                 if self.peers[key].texts.contains(&task.job) {
@@ -245,7 +245,7 @@
                 }
             }
         }
-        selection.get(order.place)
+        selection.get(order.relay_index)
     }
 
     /// Takes what other hosts have asked.
@@ -267,11 +267,11 @@
             let Phase::Open { conn } = peer.phase else {
                 continue;
             };
-            let is_quiet = !peer.is_connected || now_ms < peer.told_ms + HEARTBEAT_GAP_MS;
+            let is_quiet = !peer.is_connected || now_ms < peer.last_sent_ms + HEARTBEAT_INTERVAL_MS;
             if peer.frame.is_empty() && is_quiet {
                 continue;
             }
-            peer.told_ms = now_ms;
+            peer.last_sent_ms = now_ms;
             peer.frame.token = token;
             let frame = std::mem::take(&mut peer.frame);
             actions.push(Action::SendFrame {
@@ -298,13 +298,13 @@
                 let detail = format!("step=decode why={error}");
                 let name = &*self.peers[key].name;
                 actions.push(Action::Note(Note::new(Code::LinkRefused, name, detail)));
-                return self.drop_peer(key, now_ms, actions);
+                return self.disconnect_peer(key, now_ms, actions);
             }
         };
         let peer = &mut self.peers[key];
-        peer.heard_ms = now_ms;
+        peer.last_received_ms = now_ms;
         if frame.is_leaving && !peer.is_leaving {
-            self.leave_out(key);
+            self.remove_usable(key);
             self.peers[key].is_leaving = true;
         }
         for row in frame.queries {
@@ -313,7 +313,7 @@
         let mut outcomes = Vec::with_capacity(frame.outcomes.len());
         for row in frame.outcomes {
             // An order that was given up already has had its end.
-            if self.end_flight(row.ticket).is_some() {
+            if self.remove_flight(row.ticket).is_some() {
                 outcomes.push(RelayedOutcome {
                     ticket: row.ticket,
                     outcome: order_outcome(row),
@@ -324,14 +324,14 @@
     }
 
     /// Gives the ends of orders that went with a connection.
-    pub(crate) fn lose(
+    pub(crate) fn handle_lost(
         &mut self,
         conn: ConnectionId,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) -> Vec<RelayedOutcome> {
         match self.conns.get(&conn).copied() {
-            Some(key) => self.drop_peer(key, now_ms, actions),
+            Some(key) => self.disconnect_peer(key, now_ms, actions),
             None => Vec::new(),
         }
     }
@@ -342,42 +342,42 @@
     pub(crate) fn expire(&mut self, now_ms: u64, actions: &mut Vec<Action>) -> Vec<RelayedOutcome> {
         let mut outcomes = Vec::new();
         let mut silent = BTreeSet::new();
-        while let Some((due_ms, ticket)) = self.due.first().copied()
+        while let Some((due_ms, ticket)) = self.deadlines.first().copied()
             && due_ms <= now_ms
         {
-            let Some(flight) = self.end_flight(ticket) else {
+            let Some(flight) = self.remove_flight(ticket) else {
                 break;
             };
             outcomes.push(RelayedOutcome {
                 ticket,
                 outcome: OrderOutcome::Unknown,
             });
-            if self.peers[flight.relay].heard_ms <= flight.sent_ms {
+            if self.peers[flight.relay].last_received_ms <= flight.sent_ms {
                 silent.insert(flight.relay);
             }
         }
         for key in silent {
-            outcomes.extend(self.drop_peer(key, now_ms, actions));
+            outcomes.extend(self.disconnect_peer(key, now_ms, actions));
         }
         outcomes
     }
 
-    fn end_flight(&mut self, ticket: u64) -> Option<Flight> {
+    fn remove_flight(&mut self, ticket: u64) -> Option<Flight> {
         let flight = self.flights.remove(&ticket)?;
-        self.due.remove(&(flight.due_ms, ticket));
+        self.deadlines.remove(&(flight.due_ms, ticket));
         Some(flight)
     }
 
-    fn drop_peer(
+    fn disconnect_peer(
         &mut self,
         key: RelayKey,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) -> Vec<RelayedOutcome> {
-        self.leave_out(key);
+        self.remove_usable(key);
         let peer = &mut self.peers[key];
         let was_connected = peer.is_connected;
-        let silent_ms = now_ms.saturating_sub(peer.heard_ms);
+        let silent_ms = now_ms.saturating_sub(peer.last_received_ms);
         let unsent: HashSet<u64> = peer.frame.orders.iter().map(|row| row.ticket).collect();
         let retry_ms = RETRY_MS << peer.failures.min(MAX_DOUBLINGS);
         peer.failures += u32::from(!was_connected);
@@ -400,7 +400,7 @@
             });
         }
         for outcome in &outcomes {
-            self.end_flight(outcome.ticket);
+            self.remove_flight(outcome.ticket);
         }
         if was_connected {
             actions.push(Action::Note(Note::new(
@@ -421,8 +421,8 @@
         }
         self.conns.clear();
         self.flights.clear();
-        self.due.clear();
+        self.deadlines.clear();
         self.selections.clear();
-        self.usable = 0;
+        self.usable_count = 0;
     }
 }
