--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -3,9 +3,9 @@
 mod read_back;
 
 use crate::entry::Entry;
-use crate::entry::questions::PendingQuery;
-use crate::entry::questions::QueryKind;
-use crate::entry::questions::Requester;
+use crate::entry::queries::PendingQuery;
+use crate::entry::queries::QueryKind;
+use crate::entry::queries::Requester;
 use crate::event::Action;
 use crate::event::AppendOutcome;
 use crate::event::Now;
--- a/crates/dispatch/src/entry/callers/read_back.rs
+++ b/crates/dispatch/src/entry/callers/read_back.rs
@@ -2,8 +2,8 @@
 //! asking the owner where this host does not read jobs.
 
 use crate::entry::Entry;
-use crate::entry::questions::QueryKind;
-use crate::entry::questions::Requester;
+use crate::entry::queries::QueryKind;
+use crate::entry::queries::Requester;
 use crate::event::Action;
 use crate::event::Now;
 use crate::event::Reply;
--- a/crates/dispatch/src/relay/mod.rs
+++ b/crates/dispatch/src/relay/mod.rs
@@ -14,16 +14,16 @@
 //! Over the same connections hosts ask the owner for the states of jobs, and hear that it lives.
 
 mod frames;
-mod inquiry;
 mod peer;
+mod queries;
 mod rows;
 mod selection;
 mod serving;
 mod sessions;
 
-pub(crate) use inquiry::QuerySubject;
-pub(crate) use inquiry::RemoteQuery;
-pub(crate) use inquiry::RemoteRequester;
+pub(crate) use queries::QuerySubject;
+pub(crate) use queries::RemoteQuery;
+pub(crate) use queries::RemoteRequester;
 pub(crate) use selection::RELAYS_PER_WORKER;
 pub(crate) use selection::Selection;
 pub(crate) use serving::Relay;
