--- a/crates/dispatch/src/entry/ages.rs
+++ b/crates/dispatch/src/entry/ages.rs
@@ -1,4 +1,4 @@
-//! How old what a host believes is, for logs and metrics.
+//! The age of a host's data, for logs and metrics.
 
 use crate::entry::Entry;
 use crate::event::Action;
@@ -8,24 +8,25 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// How long ago a host knew, at the latest, that the store held nothing newer. `None` where
-/// it has read nothing yet, or does not follow the stream.
+/// Ages of a host's data. The age of a stream is the time since the host last knew that the store
+/// held nothing newer, in milliseconds. It is `None` if the host has not read the stream yet, or
+/// does not follow it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Ages {
     /// Version of the rules in force; 0 for none.
     pub rules_version: u64,
     /// Age of the rules in force.
     pub rules_ms: Option<u64>,
-    /// Age of the states of jobs, and of who owns them.
+    /// Age of the states of jobs and of the owner's record.
     pub states_ms: Option<u64>,
-    /// Age of the jobs in the part of their stream that was read longest ago.
+    /// Age of the jobs in the partition that was read longest ago.
     pub jobs_ms: Option<u64>,
     /// Age of the list of workers, which only the owner follows.
     pub workers_ms: Option<u64>,
 }
 
 impl Ages {
-    /// Describes the rules in force for a log line.
+    /// Describes the version and age of the rules in force for a log line.
     pub fn describe_rules(&self) -> String {
         format!(
             "version={} rules_age_ms={}",
@@ -36,7 +37,7 @@
 }
 
 impl Entry {
-    /// Gives how old what this host believes is.
+    /// Returns the ages of this host's data.
     pub fn ages(&self, now: Now) -> Ages {
         let now_ms = now.steady_ms;
         let jobs = self.jobs.iter().map(|tail| tail.age_ms(now_ms));
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Says that a read brought nothing.
+    /// Logs a read that failed.
     pub(super) fn report_failure(
         &self,
         stream: Stream,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Writes an age for a log line.
+/// Formats an age for a log line.
 pub(super) fn format_age(age_ms: Option<u64>) -> String {
     age_ms.map_or("unknown".into(), |age_ms| age_ms.to_string())
 }
--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -1,4 +1,7 @@
-//! Callers who await that something is stored: submissions and cancellations.
+//! Writes that callers await: submissions and cancellations.
+//!
+//! A caller is answered once its write is stored. A write whose append failed is retried in another
+//! partition. An append without an answer may still be carried out, so its write is read back.
 
 mod read_back;
 
@@ -22,32 +25,35 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What a record holds beside its value: the key and its length.
+/// Bytes of a record beside its value: the key and its length.
 const KEY_BYTES: u64 = 64;
-/// Time after which an append without an answer is repeated; a job stored twice remains
-/// one. The store answers in 4 ms, and in 240 ms when it is sixty times slower.
+/// Time after which an append without an answer is retried; a job that is stored twice remains one
+/// job. The store answers in 4 ms, and in 240 ms when it is sixty times slower.
 const APPEND_TIMEOUT_MS: u64 = 700;
-/// A store that takes longer than this for an append is slow. A stream takes its appends
-/// one by one, so a slow one gets one of this host at a time, with all that waits.
+/// Average latency of appends above which the store counts as slow. A stream executes its appends
+/// one by one, so a slow store gets one append of this host at a time, with all writes that are
+/// pending.
 const SLOW_APPEND_MS: u64 = 60;
-/// Time after which an append counts as late, where nothing else tells how the store is.
+/// Time after which an append counts as late on a host that has no other sign of the store's
+/// condition.
 const LATE_APPEND_MS: u64 = 200;
-/// An append to a slow store is given up after so many times what the latest ones took.
+/// Timeout of an append to a slow store, as a multiple of the latency of the latest appends.
 const TIMEOUT_FACTOR: u64 = 4;
-/// Pause before a refused append is repeated, at another part.
+/// Delay before a refused append is retried, in another partition.
 const RETRY_MS: u64 = 120;
-/// Time for which a part that refused an append, or gave no answer, is left alone: parts
-/// are away for seconds.
+/// Time for which a partition that refused an append, or did not answer, gets no appends:
+/// partitions are unavailable for seconds.
 const AVOID_PARTITION_MS: u64 = 1_000;
-/// Appends of this host under way at once. Jobs that come meanwhile share the next one.
+/// Maximum number of concurrent appends of this host. Writes that arrive meanwhile share the next
+/// one.
 const MAX_FLIGHTS: usize = 4;
-/// Records in one append.
+/// Maximum number of records in one append.
 const MAX_BATCH: usize = 64;
-/// Time that the way back to the caller may take.
+/// Time reserved for the answer to reach the caller, out of the caller's own timeout.
 const REPLY_MARGIN_MS: u64 = 150;
-/// Time that a caller of unknown patience is made to wait at most.
+/// Maximum time for which a caller waits, also one whose timeout is unknown.
 const MAX_ANSWER_TIMEOUT_MS: u64 = 2_500;
-/// After that long a store in trouble may be better.
+/// Delay after which a caller is told to retry, as the store may have recovered by then.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 
 /// A write that a caller awaits.
@@ -60,33 +66,33 @@
     deadline_ms: u64,
     received_ms: u64,
     retry_ms: u64,
-    /// The append under way.
+    /// Ticket of the pending append.
     ticket: Option<u64>,
-    /// An earlier append may yet be carried out.
+    /// An earlier append had no answer and may still be carried out.
     is_doubtful: bool,
-    /// The owner knows of it.
+    /// The owner has confirmed that it is stored.
     is_read_back: bool,
-    /// When the owner may be asked whether it does.
+    /// When the owner may next be queried for it.
     next_query_ms: u64,
     refusals: u32,
 }
 
-/// All callers who await an answer.
+/// All writes and queries that callers await.
 #[derive(Debug)]
 pub(crate) struct Callers {
     writes: Vec<Write>,
     pub(crate) queries: Vec<PendingQuery>,
-    /// Appends under way, by ticket.
+    /// Pending appends, by ticket.
     flights: HashMap<u64, Flight>,
-    /// Until when each part of the stream of jobs is left alone, after a failure.
+    /// Time until which each partition of the stream of jobs is avoided, after a failure.
     avoided_until_ms: Vec<u64>,
-    /// The part that the next append goes to.
+    /// Partition of the next append.
     next_partition: usize,
-    /// What appends take of late.
+    /// Moving average of the latency of appends.
     append_ms: u64,
 }
 
-/// An append under way.
+/// A pending append.
 #[derive(Debug)]
 struct Flight {
     sent_ms: u64,
@@ -94,7 +100,8 @@
 }
 
 impl Callers {
-    /// Hosts begin with different parts, so that these share the load.
+    /// Creates the state of a host without callers. Hosts start with different partitions to spread
+    /// the load.
     pub(crate) fn new(host: &str, partitions: u8) -> Self {
         let partitions = usize::from(partitions.max(1));
         Self {
@@ -107,12 +114,13 @@
         }
     }
 
-    /// Tells whether an append that callers await had no answer.
+    /// Returns whether a write awaits an append that had no answer.
     pub(crate) fn has_doubtful(&self) -> bool {
         self.writes.iter().any(|write| write.is_doubtful)
     }
 
-    /// Chooses the part for an append: in turn, past those that have just failed.
+    /// Returns the partition for an append: round robin, without those that have just failed unless
+    /// all have.
     pub(crate) fn choose_partition(&mut self, now_ms: u64) -> u8 {
         let partitions = self.avoided_until_ms.len();
         let mut partition = self.next_partition;
@@ -131,7 +139,7 @@
         self.writes.is_empty() && self.queries.is_empty()
     }
 
-    /// Notes the end of an append.
+    /// Records the outcome of an append: its latency, and a failure of its partition.
     fn record_append(&mut self, ticket: u64, outcome: AppendOutcome, now_ms: u64) {
         let Some(flight) = self.flights.remove(&ticket) else {
             return;
@@ -142,7 +150,7 @@
         }
     }
 
-    /// Tells whether an append takes longer than one does on a store that is well.
+    /// Returns whether a pending append takes longer than it does at a healthy store.
     pub(crate) fn has_late_append(&self, now_ms: u64) -> bool {
         let mut flights = self.flights.values();
         flights.any(|flight| now_ms >= flight.sent_ms + LATE_APPEND_MS)
@@ -162,7 +170,7 @@
 }
 
 impl Entry {
-    /// Takes a job in: it is stored before the caller is told so.
+    /// Accepts a job. The caller is answered once the job is stored.
     pub(crate) fn submit(
         &mut self,
         request: u64,
@@ -205,7 +213,7 @@
         );
     }
 
-    /// Takes the cancelling of a job in.
+    /// Accepts the cancellation of a job.
     pub(crate) fn cancel(
         &mut self,
         request: u64,
@@ -266,7 +274,7 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        // What can't be stored soon is refused at once; nothing of it was sent.
+        // A write that can't be stored soon is refused at once; nothing of it was sent.
         if self.is_store_unavailable || self.config.is_none() {
             actions.push(Action::Note(Note::new(
                 Code::JobRefused,
@@ -300,7 +308,7 @@
         });
     }
 
-    /// Takes in the end of an append.
+    /// Handles the outcome of an append.
     pub(crate) fn on_append(
         &mut self,
         ticket: u64,
@@ -395,7 +403,7 @@
         });
     }
 
-    /// Sends what waits, answers what can be answered, gives up what is late.
+    /// Sends pending writes, answers what can be answered, and abandons writes that are overdue.
     pub(crate) fn answer_callers(&mut self, now: Now, actions: &mut Vec<Action>) {
         self.query_owner_for_writes(now);
         self.answer_read_back_writes(now, actions);
@@ -443,7 +451,7 @@
     fn abandon_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_store_unavailable = self.is_store_unavailable;
         self.callers.writes.retain(|write| {
-            // A write under way may be stored at any moment.
+            // A pending append may be carried out at any moment.
             let is_certain = !write.is_doubtful && write.ticket.is_none();
             let is_unstorable = is_store_unavailable || write.refusals > 2;
             let is_late = now.steady_ms >= write.deadline_ms;
--- a/crates/dispatch/src/entry/callers/read_back.rs
+++ b/crates/dispatch/src/entry/callers/read_back.rs
@@ -1,5 +1,5 @@
-//! Writes whose append had no answer: whether they are stored shows by reading them back, or by
-//! asking the owner where this host does not read jobs.
+//! Writes whose append had no answer. A host that reads jobs learns from its reads whether they are
+//! stored; any other host queries the owner.
 
 use crate::entry::Entry;
 use crate::entry::queries::QueryKind;
@@ -12,11 +12,11 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Pause between two questions to the owner for a write whose append had no answer.
+/// Interval between queries to the owner for a write whose append had no answer.
 const QUERY_RETRY_MS: u64 = 600;
 
 impl Entry {
-    /// Answers those whose append had no answer and is read back.
+    /// Answers the callers whose append had no answer and whose write was read back.
     pub(super) fn answer_read_back_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let jobs = &self.job_table.jobs;
         let mut stored_writes = Vec::new();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Asks the owner for writes whose append had no answer, where this host does not read jobs.
+    /// Queries the owner for writes whose append had no answer, on a host that does not read jobs.
     pub(super) fn query_owner_for_writes(&mut self, now: Now) {
         if !self.reading.reads_only_rules() {
             return;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes in what the owner says of the job of a write.
+    /// Applies the owner's answer about the job of a write.
     pub(in crate::entry) fn record_read_back(&mut self, request: u64, reply: &Reply) {
         let Reply::State(state) = reply else {
             return;
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -1,4 +1,5 @@
-//! Following the streams of the store, and letting go of what is over.
+//! Follows the streams of the store, tracks whether the store is available, and removes finished
+//! jobs.
 
 use crate::entry::Entry;
 use crate::entry::scope::Scope;
@@ -9,31 +10,32 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Part of the time in which rules must be in force for which the store holds a read that
-/// waits for a record. What is known is as old as that, and older by another read if one of
-/// them is lost, which has to fit in, too.
+/// Duration of a long poll, in percent of the time within which new rules must be in force. The
+/// host's data is as old as that, and older by another read if one is lost, which must fit in as
+/// well.
 const LONG_POLL_PERCENT: u64 = 50;
-/// Pause between two reads of submitted jobs by a host that does not own them. Whoever asks
-/// for a job that is not known here has them read at once; the store keeps history for 20 s, of
-/// which two reads may be lost.
+/// Interval between reads of submitted jobs by a host that does not own them. A query for a job
+/// that is not known here triggers a read at once. The store retains history for 20 s, so two reads
+/// may be lost.
 const JOBS_POLL_MS: u64 = 6_000;
-/// Time for which a host that sees the first owner waits for its connection before it reads which
-/// other hosts there are.
+/// Time for which a host that sees the first owner waits for the owner's connection before it reads
+/// which other hosts exist.
 const HOSTS_READ_MS: u64 = 1_000;
-/// The same while appends of this host had no answer: what is read back is told as stored.
+/// Interval between reads of submitted jobs while appends of this host had no answer: their callers
+/// are answered once the writes are read back.
 const DOUBTFUL_POLL_MS: u64 = 600;
-/// Time without an answer of the store after which a host turns unready, and refuses at
-/// once what it could not store.
+/// Time without an answer of the store after which a host is no longer ready, and refuses at once
+/// what it could not store.
 const STORE_UNAVAILABLE_MS: u64 = 1_800;
-/// The same after a call was late or failed, on a host that otherwise asks the store for nothing.
+/// The same time, from a late or failed call, on a host that otherwise sends no calls to the store.
 const MAX_DOUBT_MS: u64 = 600;
-/// Time for which a job is told about after it was final, over what is asked for.
+/// Time for which the state of a final job is available to callers beyond what the bounds require.
 const STATUS_SLACK_MS: u64 = 60_000;
-/// Pause between two looks for jobs that need not be told about any more.
+/// Interval between searches for jobs whose state need not be available any more.
 const PURGE_MS: u64 = 10_000;
 
 impl Entry {
-    /// Reads on in the streams.
+    /// Continues to read the streams.
     pub(super) fn follow_streams(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         let long_poll_ms = self.long_poll_ms();
@@ -51,7 +53,8 @@
         }
         let is_owner_or_claiming = self.owner.is_some() || self.claim.is_some();
         if is_owner_or_claiming {
-            // A list on record is enough to begin with; the platform's own is as long again.
+            // A recorded list of workers is enough to start with. Reading the platform's own list
+            // would take as long again.
             let has_list = !self.progress.is_loaded() || !self.recovered.workers.is_empty();
             if self.owner.is_some() || !has_list {
                 self.workers.load(now_ms, tickets, actions);
@@ -60,12 +63,12 @@
             self.jobs.confirm(long_poll_ms, now_ms, tickets, actions);
             if now_ms >= self.workers_read_ms + self.workers_pause_ms {
                 self.workers_read_ms = now_ms;
-                // One beside another would bring the same reports once more.
+                // Concurrent reads would return the same reports twice.
                 self.workers.read_now(0, now_ms, tickets, actions);
             }
             return;
         }
-        // A follower that takes no callers needs no more than to hear that the store is back.
+        // A host that is not the owner and refuses callers needs only to notice the store's return.
         if self.is_store_unavailable {
             return;
         }
@@ -83,8 +86,9 @@
         }
     }
 
-    /// Has jobs read once the first owner has shown itself: which hosts there are, and with that
-    /// whether this one is among the next, stands among them. An owner that connects tells enough.
+    /// Schedules a read of the jobs once there is a first owner. The stream of jobs also holds the
+    /// announcements of hosts, and with them whether this host is among the next candidates. An
+    /// owner that connects sends enough information by itself.
     fn read_hosts(&mut self, now_ms: u64) {
         if self.job_table.owner.token == 0 {
             return;
@@ -110,13 +114,13 @@
         }
     }
 
-    /// Gives for how long the store holds a read that waits for a record.
+    /// Returns the duration of a long poll.
     fn long_poll_ms(&self) -> u64 {
         self.bounds.rules_in_force_ms * LONG_POLL_PERCENT / 100
     }
 
-    /// Gives for how long a store that is well may not answer this host, as it is asked for nothing
-    /// else: only the read that waits for rules is under way.
+    /// Returns the time for which a healthy store may not answer this host: on a host that reads
+    /// only the rules, the long poll for them is the only call.
     pub(super) fn expected_silence_ms(&self) -> u64 {
         match self.reading.reads_only_rules() {
             true => self.long_poll_ms(),
@@ -124,8 +128,8 @@
         }
     }
 
-    /// Asks the store whether it is there, where a call to it is late or has failed and no other one
-    /// is about to tell.
+    /// Checks whether the store answers, if a call to it is late or has failed and no other call is
+    /// about to show it.
     fn check_store_in_doubt(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         if self.callers.has_late_append(now_ms) {
             self.contact.suspect(now_ms);
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Notices that the store does not answer this host, and that it does again.
+    /// Detects that the store no longer answers this host, and that it answers again.
     pub(super) fn check_store(&mut self, now: Now, actions: &mut Vec<Action>) {
         let owner_ms = self.long_poll_ms() * u64::from(self.owner.is_some());
         let limit_ms = STORE_UNAVAILABLE_MS + owner_ms + self.expected_silence_ms();
@@ -144,8 +148,8 @@
             .contact
             .has_been_in_doubt_for(MAX_DOUBT_MS, now.steady_ms);
         let has_cause = self.reading.reads_only_rules() && is_long_in_doubt;
-        // Rules may have changed meanwhile: a host that took callers by those from before
-        // would accept for queues that are gone, and deny those that have come.
+        // The rules may have changed in the meantime. With outdated rules a host would accept jobs
+        // for queues that were removed, and reject jobs for new ones.
         let lacks_rules = self.is_store_unavailable && !self.has_tried_to_read_rules(now);
         let is_unavailable = is_silent || has_cause || lacks_rules;
         if is_unavailable != self.is_store_unavailable {
@@ -167,8 +171,8 @@
         }
     }
 
-    /// Lets go of jobs that need not be told about any more. The owner drops their keys from
-    /// the store too, which keeps them for good otherwise.
+    /// Removes jobs whose state need not be available any more. The owner also deletes their keys
+    /// from the store, which otherwise retains them forever.
     pub(super) fn purge(&mut self, now: Now, actions: &mut Vec<Action>) {
         if now.steady_ms < self.next_purge_ms {
             return;
@@ -187,7 +191,7 @@
         for id in &expired {
             self.job_table.jobs.remove(id);
         }
-        // What a host has not read to its end is of no use to it for long.
+        // Jobs are of no use for long on a host that does not read them to the end of their stream.
         if self.reading.asks_owner() {
             self.job_table.jobs.clear();
         }
@@ -200,7 +204,7 @@
             records.push((Key::Submitted(id).text(), Box::default()));
             records.push((Key::Cancelled(id).text(), Box::default()));
         }
-        // Should an append be lost, the next owner finds the keys and drops them.
+        // If an append is lost, the next owner finds the keys and deletes them.
         for partition in 0..self.jobs.partitions() {
             self.tickets += 1;
             actions.push(Action::Append {
--- a/crates/dispatch/src/entry/job_tails.rs
+++ b/crates/dispatch/src/entry/job_tails.rs
@@ -1,14 +1,14 @@
-//! The parts of the stream of jobs, followed together.
+//! Tails of all partitions of the stream of jobs.
 //!
-//! A part takes its appends one by one and may be away while others are well. A job may
-//! stand in any part, so a host that finds one slow or away uses another; whoever reads
-//! reads all of them.
+//! A partition executes its appends one by one, and may be unavailable while others work. A job may
+//! be stored in any partition, so a host that finds one slow or unavailable uses another, and every
+//! reader reads all of them.
 
 use crate::event::Action;
 use crate::event::Stream;
 use crate::tail::Tail;
 
-/// Tails of all parts.
+/// Tails of all partitions.
 #[derive(Debug)]
 pub(crate) struct JobTails {
     tails: Vec<Tail>,
@@ -27,7 +27,7 @@
         self.tails.iter()
     }
 
-    /// Gives the number of parts.
+    /// Returns the number of partitions.
     pub(crate) fn partitions(&self) -> u8 {
         self.tails.len() as u8
     }
@@ -40,22 +40,22 @@
         self.tails.get_mut(usize::from(partition))
     }
 
-    /// Tells whether some part was loaded, so that jobs can be taken in.
+    /// Returns whether any partition is loaded, so that jobs can be accepted.
     pub(crate) fn is_usable(&self) -> bool {
         self.tails.iter().any(Tail::is_loaded)
     }
 
-    /// Tells whether reads sent at `since_ms` or later have reached the end of all parts.
+    /// Returns whether reads sent at `since_ms` or later have reached the end of all partitions.
     pub(crate) fn is_fresh_since(&self, since_ms: u64) -> bool {
         self.tails.iter().all(|tail| tail.is_fresh_since(since_ms))
     }
 
-    /// Tells whether reads sent after the given ticket have reached the end of all parts.
+    /// Returns whether reads sent after the given ticket have reached the end of all partitions.
     pub(crate) fn is_fresh_after(&self, ticket: u64) -> bool {
         self.tails.iter().all(|tail| tail.is_fresh_after(ticket))
     }
 
-    /// Reads all parts that were not read to their end since the given ticket.
+    /// Reads all partitions that no read sent after the given ticket has read to the end.
     pub(crate) fn read_now_after(
         &mut self,
         ticket: u64,
@@ -70,33 +70,33 @@
         }
     }
 
-    /// Gives when the newest answer came.
+    /// Returns the time of the newest answer.
     pub(crate) fn answered_ms(&self) -> Option<u64> {
         self.tails.iter().filter_map(|tail| tail.answered_ms).max()
     }
 
-    /// Notes since when the store answers this host.
+    /// Records since when the store is reachable from this host.
     pub(crate) fn record_contact(&mut self, contact_ms: u64) {
         for tail in &mut self.tails {
             tail.record_contact(contact_ms);
         }
     }
 
-    /// Makes what is known older by a time that the steady clock does not show.
+    /// Adds to the age of the data a time that the steady clock did not count.
     pub(crate) fn age_by(&mut self, ms: u64) {
         for tail in &mut self.tails {
             tail.age_by(ms);
         }
     }
 
-    /// Goes on loading what is not loaded yet.
+    /// Continues to load the partitions that are not loaded yet.
     pub(crate) fn load(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
         for tail in &mut self.tails {
             tail.load(now_ms, tickets, actions);
         }
     }
 
-    /// Reads all parts that were not read to their end since `since_ms`.
+    /// Reads all partitions that no read sent at `since_ms` or later has read to the end.
     pub(crate) fn read_now(
         &mut self,
         since_ms: u64,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Keeps one read of each part under way that waits for a record.
+    /// Keeps one long poll per partition pending.
     pub(crate) fn long_poll(
         &mut self,
         wait_ms: u64,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Reads each part beside the read that waits for its records, where that is overdue.
+    /// Reads each partition whose long poll is overdue with a read beside it.
     pub(crate) fn confirm(
         &mut self,
         wait_ms: u64,
--- a/crates/dispatch/src/entry/loading.rs
+++ b/crates/dispatch/src/entry/loading.rs
@@ -1,9 +1,9 @@
-//! What a host that has just started still has to read, and telling so.
+//! Progress of the initial load, and its report in the log.
 //!
-//! Right after all hosts have started, each of them reads all jobs and their states. On a
-//! thin link that takes seconds. A host that took callers meanwhile would answer questions
-//! about jobs that it has not read with "come again", and its callers would be late; one
-//! line a second says what it still waits for and how far it is.
+//! Right after all hosts have started, each of them reads all jobs and their states, which takes
+//! seconds over a slow link. A host that accepted callers in the meantime would answer queries
+//! about jobs that it has not read with a request to retry, and its callers would time out. One log
+//! line a second states which streams are missing and how many records have arrived.
 
 use crate::entry::Entry;
 use crate::event::Action;
@@ -12,10 +12,10 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Pause between two lines about what is missing.
+/// Interval between log lines about missing streams.
 const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// What was said about loading.
+/// What was logged about loading.
 #[derive(Debug, Default)]
 pub(super) struct LoadingReport {
     since_ms: Option<u64>,
@@ -24,8 +24,9 @@
 }
 
 impl Entry {
-    /// Tells whether jobs or states still come in. A stream that the store refuses or does
-    /// not answer for is not waited for: it may be away for long, and the others serve.
+    /// Returns whether jobs or states still arrive. A stream that the store refuses, or for which
+    /// it does not answer, is not awaited: it may be unavailable for long, and the others suffice
+    /// to serve callers.
     pub(super) fn is_loading(&self) -> bool {
         self.followed_tails().any(Tail::is_arriving)
     }
@@ -36,7 +37,7 @@
         jobs.chain([&self.states])
     }
 
-    /// Says once a second what is missing, and once that nothing is.
+    /// Logs once a second which streams are missing, and once that all are loaded.
     pub(super) fn report_loading(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         if self.loading.is_done {
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! One entry host: takes jobs in, answers for them, and owns their progress if no
-//! other host does.
+//! The decisions of one entry host: it accepts jobs, answers queries of callers, and owns the
+//! progress of all jobs while no other host does.
 
 mod ages;
 mod callers;
@@ -50,7 +50,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The streams of one part.
+/// The streams that have a single partition.
 const SINGLE_STREAMS: [Stream; 4] = [
     Stream::States,
     Stream::Progress,
@@ -58,23 +58,23 @@
     Stream::Workers,
 ];
 
-/// A claim under way.
+/// A pending claim to own the progress of all jobs.
 #[derive(Debug)]
 struct Claim {
     fence: Fence,
-    /// The append under way.
+    /// Ticket of the pending append of the claim.
     ticket: Option<u64>,
     retry_ms: u64,
-    /// When it was known to be stored.
+    /// When the store confirmed the claim.
     known_stored_ms: Option<u64>,
-    /// Signs of life since.
+    /// Appends heartbeats from then on, until this host owns.
     heartbeats: Appender,
     heartbeat: u64,
 }
 
 impl Claim {
-    /// Gives the record that tells the other hosts of this claim. What the former owner said of all
-    /// hosts holds on.
+    /// Returns the record that announces this claim to the other hosts. What the previous owner
+    /// recorded about all hosts remains valid and is copied.
     fn record(&self, host: &str, previous: &OwnerRecord) -> OwnerRecord {
         OwnerRecord {
             token: self.fence.epoch,
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub struct Entry {
     host: Box<str>,
-    /// Differs between hosts and between lives of a host.
+    /// Differs between hosts and between incarnations of a host.
     salt: u64,
     bounds: Bounds,
     decoders: Decoders,
@@ -98,18 +98,18 @@
     reading: Reading,
     jobs: JobTails,
     states: Tail,
-    /// Read only while this host is about to become owner.
+    /// Read only while this host is about to become the owner.
     progress: Tail,
     recovered: RecoveredState,
     rules: Tail,
     workers: Tail,
     loading: LoadingReport,
     jobs_read_ms: Option<u64>,
-    /// When to read which hosts there are; set once an owner has shown itself.
+    /// When to read which hosts exist; set once an owner is on record.
     hosts_read_ms: Option<u64>,
     states_read_ms: u64,
     workers_read_ms: u64,
-    /// Pause before the next read of the list of workers.
+    /// Interval between reads of the list of workers.
     workers_pause_ms: u64,
     next_purge_ms: u64,
     job_table: JobTable,
@@ -119,26 +119,27 @@
     callers: Callers,
     election: Election,
     claim: Option<Claim>,
-    /// The announcement under way, and when the next may be.
+    /// Ticket of the pending append that announces this host, and the earliest time of the next
+    /// one.
     announcement: Option<u64>,
     next_announce_ms: u64,
     owner: Option<Owner>,
-    /// Orders of owners that this host carries to workers.
+    /// Orders that this host relays from owners to workers.
     relay: Relay,
     past_stats: OwnerStats,
-    /// When the claim under which this host owns was stored.
+    /// When the store confirmed the claim by which this host owns.
     claimed_ms: u64,
     is_stopping: bool,
     is_store_unavailable: bool,
     contact: StoreContact,
     are_rules_outdated: bool,
-    /// How far the time of day is ahead of the steady clock.
+    /// Offset of the wall clock from the steady clock.
     clock_lead_ms: Option<u64>,
 }
 
 impl Entry {
-    /// Makes the decisions of the host with this name. The salt must differ between
-    /// hosts and between lives of a host.
+    /// Creates the decisions of the host with this name. The salt must differ between hosts and
+    /// between incarnations of a host.
     pub fn new(host: &str, bounds: Bounds, decoders: Decoders, salt: u64) -> Self {
         Self {
             host: host.into(),
@@ -181,34 +182,34 @@
         }
     }
 
-    /// Gives the rules in force, if any are known.
+    /// Returns the rules in force, or `None` if none were read yet.
     pub fn config(&self) -> Option<&Rc<Config>> {
         self.config.as_ref()
     }
 
-    /// Gives the failure domains that get nothing new, by the rules in force.
+    /// Returns the failure domains in which the rules in force allow no new tasks.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether callers may be routed to this host.
     pub fn is_ready(&self) -> bool {
         let is_caught_up = self.is_caught_up() && !self.is_loading();
         let has_rules = self.config.is_some() && !self.are_rules_outdated;
         has_rules && is_caught_up && !self.is_stopping && !self.is_store_unavailable
     }
 
-    /// Tells whether this host is the owner.
+    /// Returns whether this host is the owner.
     pub fn is_owner(&self) -> bool {
         self.owner.is_some()
     }
 
-    /// Tells whether no caller awaits an answer.
+    /// Returns whether no caller awaits an answer.
     pub fn is_idle(&self) -> bool {
         self.callers.is_empty()
     }
 
-    /// Gives the counts of all times at which this host was the owner.
+    /// Returns the counts of all periods in which this host was the owner.
     pub fn stats(&self) -> OwnerStats {
         match &self.owner {
             Some(owner) => owner.stats,
@@ -216,19 +217,19 @@
         }
     }
 
-    /// Tells whether this host has read what it needs to take jobs.
+    /// Returns whether this host has read what it needs to accept jobs.
     fn is_caught_up(&self) -> bool {
         let has_jobs = self.reading.asks_owner() || self.jobs.is_usable();
         has_jobs && self.states.is_loaded()
     }
 
-    /// Takes in an event and gives what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         self.handle_all(now, vec![event])
     }
 
-    /// Takes in events that came together and gives what to do. What follows from all of
-    /// them is decided once.
+    /// Handles events that arrived together and returns the actions to carry out. The decisions
+    /// that follow from them are made once, after the last event.
     pub fn handle_all(&mut self, now: Now, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.detect_suspension(now, &mut actions);
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Takes in orders of an owner, or what came of orders of this one.
+    /// Handles a frame: orders of an owner, or outcomes of this owner's orders.
     fn handle_frame(
         &mut self,
         conn: ConnectionId,
@@ -362,7 +363,7 @@
         }
     }
 
-    /// Lists all streams that this host may read.
+    /// Returns all streams that this host may read.
     fn streams(&self) -> impl Iterator<Item = Stream> + use<> {
         let partitions = (0..self.jobs.partitions()).map(Stream::Jobs);
         SINGLE_STREAMS.into_iter().chain(partitions)
@@ -418,7 +419,7 @@
             has_hosts |= change == Change::Host;
             self.apply_change(change, now, actions);
         }
-        // With thousands of hosts this is a pass over all of them.
+        // This is a pass over all hosts, of which there may be thousands.
         if !has_hosts {
             return;
         }
@@ -428,7 +429,7 @@
         }
     }
 
-    /// Passes a change on to the owner, if this host is that.
+    /// Passes a change on to the owner if this host is the owner.
     pub(crate) fn apply_change(&mut self, change: Change, now: Now, actions: &mut Vec<Action>) {
         let Some(owner) = &mut self.owner else {
             return;
--- a/crates/dispatch/src/entry/ownership.rs
+++ b/crates/dispatch/src/entry/ownership.rs
@@ -1,4 +1,8 @@
-//! Claiming to own the progress of jobs, and ceasing to.
+//! How a host becomes the owner of the progress of all jobs, and how it stops.
+//!
+//! A host claims when the owner leaves or sends no heartbeats. Its claim is a fenced append, so
+//! only one host succeeds. That host reads the progress of all jobs, and starts to own once the
+//! read is complete.
 
 use crate::appender::Appender;
 use crate::appender::HEARTBEAT_MS;
@@ -19,17 +23,17 @@
 use goldcrestway_core::Note;
 use prost::Message;
 
-/// Time for which a new owner waits for the newest jobs and the list of workers before it
-/// begins with what it has. They take 20 ms, and a second from a store that is slow; but part
-/// of the store may be away for longer than leases last.
+/// Maximum time for which a new owner waits for the newest jobs and the list of workers before it
+/// starts with what it has read. They take 20 ms, and a second from a slow store; but part of the
+/// store may be unavailable for longer than leases last.
 const MAX_READ_WAIT_MS: u64 = 600;
-/// Time after which a claim without an answer is repeated.
+/// Time after which a claim without an answer is retried.
 const CLAIM_TIMEOUT_MS: u64 = 700;
-/// Pause before an announcement that was refused is repeated, and before one that was
-/// stored must have been read back.
+/// Delay before a refused announcement is retried, and before one that was stored but not read back
+/// is repeated.
 const ANNOUNCE_RETRY_MS: u64 = 1_000;
 const READ_BACK_MS: u64 = 5_000;
-/// Pause before a refused claim is repeated.
+/// Delay before a refused claim is retried.
 const RETRY_MS: u64 = 100;
 
 impl Entry {
@@ -45,7 +49,8 @@
             cpu_permille: self.bounds.cpu_permille,
             relay_address: self.bounds.relay_address.to_string(),
         };
-        // Whoever has not read which hosts are known is known if the owner connects.
+        // A host that does not read the announcements counts as known while the owner connects to
+        // it.
         let is_known = match self.reading.asks_owner() {
             true => !self.may_be_unknown_to_owner(now.steady_ms),
             false => self.job_table.hosts.get(&self.host) == Some(&own),
@@ -68,7 +73,7 @@
         });
     }
 
-    /// Takes in the end of an announcement, if the append was one.
+    /// Handles the outcome of an append if it was an announcement, and returns whether it was.
     pub(crate) fn handle_announcement(
         &mut self,
         ticket: u64,
@@ -78,7 +83,7 @@
         if self.announcement.take_if(|own| *own == ticket).is_none() {
             return false;
         }
-        // Whether it is stored shows when it is read back.
+        // The announcement is confirmed once it is read back.
         let is_stored = matches!(outcome, AppendOutcome::Stored { .. });
         let pause_ms = if is_stored {
             READ_BACK_MS
@@ -89,7 +94,7 @@
         true
     }
 
-    /// Claims if no owner is to be seen, and begins to own once all is read.
+    /// Claims ownership if no owner shows heartbeats, and starts to own once everything is read.
     pub(crate) fn maybe_claim(&mut self, now: Now, actions: &mut Vec<Action>) {
         if self.owner.is_some() || self.is_stopping || self.config.is_none() || !self.is_caught_up()
         {
@@ -101,7 +106,7 @@
         let owner = &self.job_table.owner;
         let is_due = self.election.should_claim(self.states.known_ms(), owner);
         let is_turn = !is_due && self.election.is_due(now.steady_ms, owner);
-        // While the store is away nothing will be read that lets this host claim.
+        // While the store is unavailable, no read can succeed that would allow a claim.
         if self.claim.is_none() && is_turn && !self.is_store_unavailable {
             self.states
                 .read_now(now.steady_ms, now.steady_ms, &mut self.tickets, actions);
@@ -115,7 +120,8 @@
             )));
             let fence = self.election.fence(owner);
             self.read_all();
-            // A list from an earlier claim would be old, and its history is gone.
+            // A list from an earlier claim would be outdated, and the store may no longer retain
+            // the records since.
             self.workers = Tail::new(Stream::Workers, self.salt);
             self.worker_entries.clear();
             self.claim = Some(Claim {
@@ -123,7 +129,7 @@
                 ticket: None,
                 retry_ms: 0,
                 known_stored_ms: None,
-                // The claim itself is number 0.
+                // The claim itself has sequence number 0.
                 heartbeats: Appender::new(Stream::States, 1, now.steady_ms),
                 heartbeat: 0,
             });
@@ -133,9 +139,10 @@
         self.finish_claim(now, actions);
     }
 
-    /// Tells whether this host knows which hosts there are, as the strongest is to be the first
-    /// owner. It reads that no sooner than its turn comes: all hosts that read one another's
-    /// announcements again and again would be a load of hosts times hosts.
+    /// Returns whether this host knows the other hosts, of which the strongest should become the
+    /// first owner. It reads them only when its turn to claim comes: if all hosts read one
+    /// another's announcements again and again, the load on the store would grow with the square of
+    /// their number.
     fn knows_candidates(&mut self, now: Now, actions: &mut Vec<Action>) -> bool {
         let owner = &self.job_table.owner;
         let Some(turn_ms) = self.election.turn_ms(owner).filter(|_| owner.token == 0) else {
@@ -149,10 +156,10 @@
         false
     }
 
-    /// Gives signs of life while the progress of jobs is read. That takes a second and more
-    /// over a thin link; others would take this host for dead meanwhile, claim, and read the
-    /// same, so that nobody would ever own: 22 owners in a minute. A host to which the store
-    /// gives nothing keeps silent, so that another one may try.
+    /// Sends heartbeats while the progress of jobs is read, which takes a second or more over a
+    /// slow link. Without them the other hosts would take this one for dead, claim, and read the
+    /// same, so that none would ever own: 22 owners in a minute. A host that receives nothing from
+    /// the store sends no heartbeats, so that another one may try.
     fn send_heartbeat(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_reading = self.progress.is_arriving();
         let Some(claim) = self
@@ -195,8 +202,8 @@
         });
     }
 
-    /// Begins to own once everything before the claim, and every job stored so far, is
-    /// read, and the list of workers is there.
+    /// Starts to own once everything before the claim and every job stored so far is read, and the
+    /// list of workers is available.
     fn finish_claim(&mut self, now: Now, actions: &mut Vec<Action>) {
         let Some(stored_ms) = self.claim.as_ref().and_then(|claim| claim.known_stored_ms) else {
             return;
@@ -208,7 +215,7 @@
         }
         let now_ms = now.steady_ms;
         let tickets = &mut self.tickets;
-        // All that former owners could write stands before the claim.
+        // Everything that previous owners could write precedes the claim in the stream.
         self.progress.load(now_ms, tickets, actions);
         if !self.jobs.is_fresh_since(stored_ms) {
             self.jobs.read_now(stored_ms, now_ms, tickets, actions);
@@ -239,7 +246,7 @@
         );
         owner.stats = self.past_stats;
         owner.set_evacuations(self.evacuations.clone());
-        // This host answers from its own ledger while it is the owner.
+        // While this host is the owner, it answers queries from its own job table.
         for (job, state) in owner.unpublished() {
             self.job_table.set_state(*job, *state);
         }
@@ -258,7 +265,7 @@
         self.owner = Some(owner);
     }
 
-    /// Takes in the end of a claim, if the append was one.
+    /// Handles the outcome of an append if it belongs to the claim, and returns whether it does.
     pub(crate) fn handle_claim(
         &mut self,
         ticket: u64,
@@ -305,15 +312,16 @@
         true
     }
 
-    /// Gives way to another host that was faster; it gets the usual time to show itself.
+    /// Abandons the claim in favor of another host that was faster. That host gets the usual time
+    /// to send its first heartbeat.
     fn abandon_claim(&mut self, now: Now) {
         self.claim = None;
         self.election.raise_floor();
         self.election.restart(now.steady_ms);
     }
 
-    /// Tells the other hosts of a claim at once, so that they make none. Should the append
-    /// be lost, the owner's own signs of life follow soon.
+    /// Announces a claim to the other hosts at once, so that they do not claim. If the append is
+    /// lost, the owner's heartbeats follow soon.
     fn announce_claim(&mut self, record: &OwnerRecord, actions: &mut Vec<Action>) {
         self.tickets += 1;
         actions.push(Action::Append {
@@ -328,7 +336,7 @@
         });
     }
 
-    /// Lets the owner do what is due, or ends it.
+    /// Runs the owner's due work, or ends its ownership after it was fenced.
     pub(crate) fn run_owner(&mut self, now: Now, actions: &mut Vec<Action>) {
         let may_miss_evacuations = self.may_miss_evacuations(now);
         let Some(owner) = &mut self.owner else {
--- a/crates/dispatch/src/entry/queries.rs
+++ b/crates/dispatch/src/entry/queries.rs
@@ -1,8 +1,9 @@
-//! Callers who ask for the state of a job, or how many wait.
+//! Queries of callers for the state of a job or the number of waiting jobs.
 //!
-//! A question about what may have changed is answered once a read that was sent after it
-//! has reached the end of its stream. Final states and what the owner knows need none. A host
-//! that does not read jobs passes questions on to the owner, which answers them like its own.
+//! A query about data that may have changed is answered once a read that was sent after it has
+//! reached the end of its stream. Final states, and what the owner itself writes, need no read. A
+//! host that does not read jobs forwards queries to the owner, which answers them like those of its
+//! own callers.
 
 use crate::entry::Entry;
 use crate::entry::callers::RETRY_AFTER_MS;
@@ -21,49 +22,49 @@
 use std::fmt::Display;
 use std::fmt::Formatter;
 
-/// Time for which a question waits for a fresh read before it is answered by what is
-/// known, or told to come again.
+/// Time for which a query waits for a fresh read. After it the caller gets the known state, or is
+/// told to retry.
 const MAX_QUERY_MS: u64 = 900;
 
-/// Age of what waiting jobs are counted by, at most. Callers are told that a count may be two
-/// seconds old; the rest is for the answer on its way.
+/// Maximum age of the data from which waiting jobs are counted. Callers are promised that a count
+/// is at most two seconds old; the difference is for the transfer of the answer.
 const MAX_COUNT_AGE_MS: u64 = 1_750;
 
-/// Who awaits the answer to a question.
+/// The origin of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Requester {
     /// A caller, by the number of its request.
     Caller(u64),
-    /// Another host, which asks this one as the owner.
+    /// Another host, which queries this one as the owner.
     Host(relay::RemoteRequester),
-    /// This host itself, for the caller with this request, whose append had no answer.
+    /// This host itself, on behalf of the caller with this request, whose append had no answer.
     Write(u64),
 }
 
-/// A question to the owner on its way.
+/// A query that was forwarded to the owner and has no answer yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Flight {
     conn: ConnectionId,
     ticket: u64,
 }
 
-/// A question that awaits a read, or the owner's answer.
+/// A query that awaits a read or the owner's answer.
 #[derive(Debug)]
 pub(crate) struct PendingQuery {
     pub(crate) requester: Requester,
     pub(crate) kind: QueryKind,
     pub(crate) received_ms: u64,
-    /// The host's latest ticket then: what was read under an earlier one may lack a job that
-    /// was stored within the same millisecond.
+    /// The host's latest ticket when the query arrived. Data read under an earlier ticket may lack
+    /// a job that was stored within the same millisecond.
     pub(crate) after_ticket: u64,
-    /// It was passed on to the owner.
+    /// Set once it was forwarded to the owner.
     pub(crate) flight: Option<Flight>,
-    /// What the owner has answered.
+    /// The owner's answer.
     pub(crate) reply: Option<Reply>,
 }
 
 impl PendingQuery {
-    /// Gives what the owner is to be asked.
+    /// Returns the subject of the query to the owner.
     fn subject(&self) -> QuerySubject {
         match &self.kind {
             QueryKind::State(job) | QueryKind::Cancel(job, _) => QuerySubject::State(*job),
@@ -72,11 +73,12 @@
     }
 }
 
-/// What a question is about.
+/// What a query asks for.
 #[derive(Debug)]
 pub(crate) enum QueryKind {
     State(JobId),
-    /// Cancelling a job that is not known yet.
+    /// The cancellation of a job that this host does not know yet, with the caller's timeout in
+    /// milliseconds. The job must be known before the cancellation is written.
     Cancel(JobId, u64),
     Waiting(Box<str>),
 }
@@ -91,7 +93,7 @@
 }
 
 impl Entry {
-    /// Takes a question about a job in.
+    /// Answers a caller's query for the state of a job, now or later.
     pub(crate) fn query(&mut self, request: u64, job: JobId, now: Now, actions: &mut Vec<Action>) {
         if let Some(state) = self.authoritative_state(job) {
             actions.push(Action::Answer {
@@ -103,7 +105,7 @@
         self.add_query(Requester::Caller(request), QueryKind::State(job), now);
     }
 
-    /// Has a question answered once that can be done.
+    /// Adds a query, which is answered as soon as possible.
     pub(super) fn add_query(&mut self, requester: Requester, kind: QueryKind, now: Now) {
         self.callers.queries.push(PendingQuery {
             requester,
@@ -115,7 +117,8 @@
         });
     }
 
-    /// Gives the state of a job if no read could change it, or if this host writes it.
+    /// Returns the state of a job if it is final, or if this host is the owner, which writes
+    /// states.
     fn authoritative_state(&self, job: JobId) -> Option<JobState> {
         let record = self.job_table.jobs.get(&job)?;
         record.submission.as_ref()?;
@@ -123,12 +126,12 @@
         (state.is_over() || self.owner.is_some()).then_some(state)
     }
 
-    /// Takes a question about a queue in.
+    /// Adds a caller's query for the number of waiting jobs of a queue.
     pub(crate) fn count(&mut self, request: u64, queue: Box<str>, now: Now) {
         self.add_query(Requester::Caller(request), QueryKind::Waiting(queue), now);
     }
 
-    /// Takes in what other hosts ask this one as the owner.
+    /// Adds the queries that other hosts have sent to this one as the owner.
     pub(super) fn handle_remote_queries(&mut self, now: Now) {
         let Some(owner) = &mut self.owner else {
             return;
@@ -142,8 +145,8 @@
         }
     }
 
-    /// Takes in what the owner has answered. A question that it can't answer waits on until it is
-    /// late, or until another owner is heard and asked.
+    /// Applies the owner's answers. A query that the owner can't answer remains pending until it
+    /// times out, or until another owner connects and gets it.
     pub(super) fn apply_owner_answers(&mut self) {
         for answer in self.relay.drain_answers() {
             let is_answered = |query: &&mut PendingQuery| {
@@ -165,14 +168,14 @@
         }
     }
 
-    /// Answers a question, or gives it back if it must wait on.
+    /// Answers a query, or returns it if it must wait.
     fn answer_query(
         &mut self,
         mut query: PendingQuery,
         now: Now,
         actions: &mut Vec<Action>,
     ) -> Option<PendingQuery> {
-        // While the store is away no read will bring what is missing in time.
+        // While the store is unavailable, no read will bring the missing data in time.
         let is_late =
             self.is_store_unavailable || now.steady_ms >= query.received_ms + MAX_QUERY_MS;
         let reply = match self.reading.asks_owner() {
@@ -191,7 +194,7 @@
             return None;
         }
         let reply = match (&query.kind, reply) {
-            // It is cancelled, or there is nothing left to cancel.
+            // The job is cancelled already, or final, so that nothing remains to be cancelled.
             (QueryKind::Cancel(..), Reply::State(_)) => Reply::Stored,
             (_, reply) => reply,
         };
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Answers by what this host has read, once that is new enough.
+    /// Answers from the data that this host has read, if it is recent enough.
     fn answer_by_reading(
         &mut self,
         query: &PendingQuery,
@@ -251,7 +254,7 @@
         }
     }
 
-    /// Passes a question on to the owner, and answers by what that says.
+    /// Forwards a query to the owner, and returns the owner's answer once it is there.
     fn answer_by_owner(
         &mut self,
         query: &mut PendingQuery,
@@ -266,7 +269,7 @@
             }
         }
         match query.reply.take() {
-            // The rules that name the queue must be current here as well.
+            // The rules that define the queue must be current on this host as well.
             Some(Reply::Waiting(count)) if are_rules_current => return Some(Reply::Waiting(count)),
             Some(Reply::Waiting(_) | Reply::NoSuchQueue) | None => {}
             Some(reply) => return Some(reply),
@@ -277,7 +280,7 @@
             });
         }
         let conn = self.reading.owner_connection?;
-        // What was asked over a connection that is gone is asked again.
+        // A query that was sent over a connection that has closed is sent again.
         if query.flight.is_none_or(|flight| flight.conn != conn) {
             self.tickets += 1;
             let ticket = self.tickets;
@@ -311,7 +314,7 @@
             return Some(record.map_or(Reply::NoSuchJob, |record| Reply::State(record.state())));
         }
         if is_late {
-            // A host that is not sure of being current must not say that a job is unknown.
+            // A host whose data may be outdated must not answer that a job does not exist.
             let unsure = Reply::NotDone {
                 retry_after_ms: RETRY_AFTER_MS,
             };
@@ -329,8 +332,8 @@
         None
     }
 
-    /// Counts waiting jobs once what is known is no older than callers bear, and the rules that
-    /// name the queue are current.
+    /// Counts waiting jobs once the data is no older than promised and the rules that define the
+    /// queue are current.
     fn answer_waiting(
         &mut self,
         queue: &str,
--- a/crates/dispatch/src/entry/rules.rs
+++ b/crates/dispatch/src/entry/rules.rs
@@ -1,11 +1,11 @@
-//! The rules in force: how old they may be, and what is told when that can't be said.
+//! The rules in force, their maximum age, and the answers of a host whose rules may be outdated.
 //!
-//! A host learns of new rules by a read that the store holds until there are some. When that
-//! read is lost, the host hears nothing, as if nothing had changed, and goes on by rules that
-//! others no longer follow. So it goes by their age: the time since it knew that nothing newer
-//! was there. Past the age that the wait of a read explains, another read goes out beside it.
-//! Past three quarters of what operators were promised, nobody is told for good that there is
-//! no such queue, or how many jobs wait in one, and callers are sent elsewhere.
+//! A host learns of new rules by a long poll. When that call is lost, the host receives nothing, as
+//! if nothing had changed, and continues with rules that other hosts no longer apply. The host
+//! therefore tracks the age of its rules: the time since it knew that the store held nothing newer.
+//! Beyond the age that a long poll explains, it sends another read beside it. Beyond three quarters
+//! of the time that operators were promised, the host no longer answers that a queue does not exist
+//! or how many jobs wait in it, and is not ready, so that callers are routed to other hosts.
 
 use crate::config::Config;
 use crate::config::Decoded;
@@ -20,21 +20,21 @@
 use goldcrestway_core::Note;
 use std::rc::Rc;
 
-/// Part of the time in which rules must be in force after which a host no longer takes its
-/// own for current. The rest is for a read that is lost and sent again.
+/// Age above which a host's rules no longer count as current, in percent of the time within which
+/// new rules must be in force. The rest is for a read that is lost and sent again.
 const MAX_AGE_PERCENT: u64 = 75;
-/// How much more may be allowed for a store that answers slowly, in times of what its answers
-/// take: the newest rules that can be known are as old as the way to the host.
+/// Additional age that is allowed for a store that answers slowly, as a multiple of its typical
+/// latency: the newest rules that a host can know are as old as their transfer.
 const LATENCY_FACTOR: u64 = 2;
 
-/// What the rules in force say of a place that a caller asks for.
+/// Result of a search for the queue of a host name and path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Found<'a> {
-    /// This queue takes it.
+    /// The queue that accepts jobs there.
     Queue(&'a Queue),
-    /// No queue does.
+    /// No queue accepts jobs there.
     Nothing,
-    /// No queue is known that does, and the rules may be older than they should be.
+    /// No queue is known to accept jobs there, and the rules may be outdated.
     Unsure,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Tells whether the rules in force are as new as they must be.
+    /// Returns whether the rules in force are as recent as required.
     pub(super) fn are_rules_current(&self, now: Now) -> bool {
         let promised_ms = self.bounds.rules_in_force_ms * MAX_AGE_PERCENT / 100;
         let max_ms = promised_ms + LATENCY_FACTOR * self.rules.typical_latency_ms();
@@ -60,13 +60,14 @@
         self.config.is_some() && age_ms.is_some_and(|age_ms| age_ms <= max_ms)
     }
 
-    /// Tells whether the rules are current, or could not be read since the store answers. A
-    /// store that is back in part serves those who need no more of it.
+    /// Returns whether the rules are current, or a read of them has failed since the store is
+    /// reachable. In the second case part of the store is back, and callers that need no rules can
+    /// be served.
     pub(super) fn has_tried_to_read_rules(&self, now: Now) -> bool {
         self.are_rules_current(now) || self.rules.has_failed_since(self.contact.reachable_since_ms)
     }
 
-    /// Tells whether the rules are too old for the owner to start anything by: a failure domain may
+    /// Returns whether the rules are too old for the owner to start tasks: a failure domain may
     /// have been evacuated for so long that nothing may start there any more.
     pub(super) fn may_miss_evacuations(&self, now: Now) -> bool {
         let promised_ms = self.bounds.evacuation_ms * MAX_AGE_PERCENT / 100;
@@ -74,7 +75,7 @@
         age_ms.is_none_or(|age_ms| age_ms > promised_ms)
     }
 
-    /// Notices that the rules have become too old, and that they are current again.
+    /// Detects that the rules have become too old, and that they are current again.
     pub(super) fn check_rules_age(&mut self, now: Now, actions: &mut Vec<Action>) {
         let are_outdated = self.config.is_some() && !self.are_rules_current(now);
         if are_outdated == self.are_rules_outdated {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Ends the evacuations that a load of all keys no longer shows.
+    /// Ends the evacuations whose keys are missing after all keys were loaded again.
     fn drop_evacuations(&mut self, records: &[StoredRecord], actions: &mut Vec<Action>) {
         let keys = records.iter().map(|record| &*record.key).collect();
         for domain in Rc::make_mut(&mut self.evacuations).retain_keys(&keys) {
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Takes an evacuation into force, or back. One that can't be read changes nothing.
+    /// Applies the begin or the end of an evacuation. A record that can't be decoded changes
+    /// nothing.
     fn apply_evacuation(
         &mut self,
         record: &StoredRecord,
@@ -159,7 +161,7 @@
         actions.push(Action::Note(Note::new(code, domain, detail)));
     }
 
-    /// Takes rules into force, unless newer ones are.
+    /// Puts rules in force, unless newer ones already are.
     fn apply_config(
         &mut self,
         config: Config,
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -1,11 +1,12 @@
-//! How much of the store a host reads.
+//! Which streams of the store a host reads.
 //!
-//! Load: many hosts, each of which reads all jobs and states, ask the store for hosts times jobs,
-//! and most of them are never asked about most jobs. Right after all hosts were lost this is more
-//! than the store gives out within the time in which they must serve again. So where the owner
-//! keeps connections to the other hosts, these read no more than the rules and who owns, and ask
-//! the owner what callers want to know. Hosts that look out for the owner read everything, as one
-//! of them is the next; so does a host that the owner does not connect to, after a while.
+//! If each host read all jobs and states, the load on the store would be the number of hosts times
+//! the number of jobs, and most hosts are never asked about most jobs. Right after all hosts were
+//! lost, this is more than the store can deliver within the time in which the hosts must serve
+//! again. Where the owner keeps connections to the other hosts, these therefore read only the rules
+//! and the owner's record, and query the owner for what callers ask. Hosts that monitor the owner
+//! read everything, as one of them is the next owner. So does, after a while, a host to which the
+//! owner does not connect.
 
 use crate::election::HostSurvey;
 use crate::entry::Entry;
@@ -19,38 +20,39 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Time for which a host waits for the connection of an owner that lives before it announces
-/// itself again: the owner may not know it, or not where it is now.
+/// Time for which a host waits for the connection of a live owner before it announces itself again:
+/// the owner may not know the host, or may have an outdated address of it.
 const REANNOUNCE_MS: u64 = 1_000;
-/// Time for which it waits before it reads everything by itself. Hosts that an owner has no room
-/// for begin at times of their own.
+/// Time for which it waits before it reads everything by itself. Hosts for which an owner has no
+/// connections left start at different times, within the spread.
 const UNCONNECTED_MS: u64 = 3_000;
 const UNCONNECTED_SPREAD_MS: u64 = 2_000;
-/// Time without a sign of life of an owner after which none is waited for.
+/// Time without a heartbeat after which an owner's connection is no longer awaited.
 const OWNER_TIMEOUT_MS: u64 = 2_500;
-/// Time after which a host that reads everything leaves that to an owner that has connected.
+/// Time for which an owner must have been connected before a host that reads everything stops
+/// reading jobs.
 const STABLE_CONNECTION_MS: u64 = 1_000;
 
 /// What a host reads of the store beside the rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Scope {
-    /// Who owns; what else is to be read shows then.
+    /// The owner's record, which then decides what else is read.
     Undecided,
-    /// Who owns, while no owner is heard.
+    /// The owner's record, while no owner is connected.
     Owner,
     /// All jobs and their states.
     All,
 }
 
-/// How much a host reads, and what it hears of the owner.
+/// What a host reads, and its connection to the owner.
 #[derive(Debug)]
 pub(super) struct Reading {
     pub(super) scope: Scope,
-    /// The connection over which the owner is heard.
+    /// The connection over which the owner's frames arrive.
     pub(super) owner_connection: Option<ConnectionId>,
-    /// Since when that is so, or not.
+    /// Time since which there is such a connection, or none.
     connection_changed_ms: u64,
-    /// Since when an owner lives and does not connect.
+    /// Time since which an owner is alive and does not connect.
     unconnected_since_ms: Option<u64>,
 }
 
@@ -64,12 +66,12 @@
         }
     }
 
-    /// Tells whether the owner is asked for what callers want to know.
+    /// Returns whether queries of callers are forwarded to the owner.
     pub(super) fn asks_owner(&self) -> bool {
         self.scope == Scope::Owner
     }
 
-    /// Tells whether nothing is read but the rules, as the owner is heard.
+    /// Returns whether only the rules are read, as the owner is connected.
     pub(super) fn reads_only_rules(&self) -> bool {
         self.asks_owner() && self.owner_connection.is_some()
     }
@@ -80,13 +82,13 @@
     }
 }
 
-/// Makes the tail of the stream of states that brings who owns, and no job.
+/// Creates a tail of the stream of states that returns the owner's record and no jobs.
 pub(super) fn owner_tail(salt: u64) -> Tail {
     Tail::after_key(Stream::States, AFTER_JOBS, salt)
 }
 
 impl Entry {
-    /// Decides how much is to be read from now on.
+    /// Decides what is read from now on.
     pub(super) fn decide_scope(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         self.record_owner_connection(now_ms, actions);
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Chooses by what the newest owner has said of itself.
+    /// Chooses the scope by the newest owner's record.
     fn choose_scope(&mut self) {
         if !self.apply_owner_survey() {
             return self.read_all();
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Takes in what the newest owner says of all hosts; tells whether it informs them.
+    /// Applies the newest owner's survey of all hosts. Returns whether that owner keeps other hosts
+    /// informed over connections.
     fn apply_owner_survey(&mut self) -> bool {
         let owner = &self.job_table.owner;
         if !owner.informs_hosts {
@@ -131,7 +134,7 @@
         true
     }
 
-    /// Notices that the owner is heard, and that it no longer is.
+    /// Detects that the owner's connection has come or gone.
     fn record_owner_connection(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let conn = self
             .relay
@@ -149,12 +152,13 @@
         let detail = format!("scope={:?} lasted_ms={lasted_ms}", self.reading.scope);
         actions.push(Action::Note(Note::new(code, &*self.host, detail)));
         if conn.is_none() && self.reading.asks_owner() {
-            // Until now nobody could have been heard in the store.
+            // Until now this host read no heartbeats from the store, so their absence is no
+            // evidence.
             self.election.restart(now_ms);
         }
     }
 
-    /// Notices that an owner lives that does not connect to this host.
+    /// Records since when an owner is alive that does not connect to this host.
     fn record_unconnected_owner(&mut self, now_ms: u64) {
         let is_alive = self
             .election
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Tells whether an owner that lives may not know of this host.
+    /// Returns whether a live owner may not know this host.
     pub(super) fn may_be_unknown_to_owner(&self, now_ms: u64) -> bool {
         self.reading.has_been_unconnected_for(REANNOUNCE_MS, now_ms)
     }
@@ -182,7 +186,7 @@
         self.jobs = JobTails::new(self.bounds.job_partitions, self.salt);
     }
 
-    /// Stops reading jobs once an owner answers for them.
+    /// Stops reading jobs once an owner answers queries about them.
     fn stop_reading_jobs(&mut self, now_ms: u64) {
         let is_heard = self.reading.owner_connection.is_some();
         let is_connection_stable =
@@ -191,7 +195,7 @@
         if !is_heard || !is_connection_stable || is_owner_or_claiming {
             return;
         }
-        // Whoever has not read which hosts there are goes by what the owner says of them.
+        // A host that has not read which hosts exist uses the owner's survey.
         if self.job_table.hosts.len() <= 1 && !self.apply_owner_survey()
             || self.election.is_watcher()
         {
--- a/crates/dispatch/src/entry/suspension.rs
+++ b/crates/dispatch/src/entry/suspension.rs
@@ -1,5 +1,5 @@
-//! Time that passed without the host: while it was suspended its steady clock stood still, and
-//! all that it believes grew old.
+//! Detection of a suspension of the host. While a host is suspended its steady clock stands still,
+//! but its data grows older.
 
 use crate::entry::Entry;
 use crate::event::Action;
@@ -7,14 +7,13 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// How far the time of day must run ahead of the steady clock to count as a suspension. Clocks
-/// that are corrected move by less; what is believed may be older than the host knows by as
-/// much.
+/// Minimum jump of the wall clock against the steady clock that counts as a suspension. Clock
+/// corrections are smaller. The data may be older than the host knows by as much as this.
 const MIN_JUMP_MS: u64 = 500;
 
 impl Entry {
-    /// Compares the clocks. A time of day that was set ahead looks like a suspension, and costs
-    /// a read of each stream.
+    /// Compares the clocks. A wall clock that was set forward looks like a suspension, and costs a
+    /// read of each stream.
     pub(super) fn detect_suspension(&mut self, now: Now, actions: &mut Vec<Action>) {
         let lead_ms = now.wall_ms.saturating_sub(now.steady_ms);
         let Some(previous_ms) = self.clock_lead_ms.replace(lead_ms) else {
--- a/crates/dispatch/src/entry/worker_list.rs
+++ b/crates/dispatch/src/entry/worker_list.rs
@@ -10,7 +10,7 @@
 use goldcrestway_core::Note;
 
 impl Entry {
-    /// Takes in what the platform says of workers, and passes on what has changed.
+    /// Applies records of the list of workers, and passes the changes on to the owner.
     pub(super) fn apply_workers(
         &mut self,
         progress: Progress,
@@ -36,7 +36,7 @@
             match (self.decoders.worker)(&record.key, &record.value) {
                 Ok(entry) => drop(self.worker_entries.insert(record.key, entry)),
                 Err(fault) => {
-                    // What it said before no longer holds; what runs there goes on.
+                    // The previous entry no longer applies. Runs at the worker continue.
                     self.worker_entries.remove(&record.key);
                     actions.push(Action::Note(Note::new(
                         Code::RulesUnreadable,
