--- a/crates/dispatch/src/relay/frames.rs
+++ b/crates/dispatch/src/relay/frames.rs
@@ -1,40 +1,42 @@
-//! What an owner and a relay send one another, encoded by `prost`.
+//! Frames between an owner and its relays, encoded by `prost`.
 
 use prost::Message;
 
-/// Orders of an owner. Names and texts are sent once, and referred to from then on.
+/// Orders of an owner. Workers and texts of jobs are sent once per connection, and referred to
+/// afterwards.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct OrdersFrame {
-    /// Token of all these orders.
+    /// Token of the owner, which applies to all orders of the frame.
     #[prost(uint64, tag = "1")]
     pub(super) token: u64,
-    /// Workers that are named for the first time.
+    /// Workers that orders refer to for the first time.
     #[prost(message, repeated, tag = "2")]
     pub(super) workers: Vec<WorkerRow>,
-    /// Texts of jobs that are sent for the first time.
+    /// Texts of jobs that orders refer to for the first time.
     #[prost(message, repeated, tag = "3")]
     pub(super) texts: Vec<JobTextRow>,
     #[prost(message, repeated, tag = "4")]
     pub(super) orders: Vec<OrderRow>,
-    /// All texts from before this frame are to be forgotten.
+    /// The relay must drop all texts from earlier frames.
     #[prost(bool, tag = "5")]
     pub(super) clears_texts: bool,
-    /// Answers to what the host has asked.
+    /// Answers to queries of the host.
     #[prost(message, repeated, tag = "6")]
     pub(super) answers: Vec<AnswerRow>,
 }
 
 impl OrdersFrame {
-    /// Tells whether it says anything beside that there is an owner.
+    /// Returns whether the frame holds neither orders nor answers, so that it is only a heartbeat.
     pub(super) fn is_empty(&self) -> bool {
         self.orders.is_empty() && self.answers.is_empty()
     }
 }
 
-/// What a host asks the owner: about the job, or how many jobs wait in the queue.
+/// A query of a host to the owner: for the state of the job, or for the number of waiting jobs of
+/// the queue.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct QueryRow {
-    /// Number by which the host knows it.
+    /// Number by which the host knows the query.
     #[prost(uint64, tag = "1")]
     pub(super) ticket: u64,
     #[prost(fixed64, optional, tag = "2")]
@@ -43,11 +45,11 @@
     pub(super) queue: String,
 }
 
-/// What the owner says of a job or a queue.
+/// Kind of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(super) enum AnswerKind {
-    /// The owner can't say; also what a later release says and this one does not know.
+    /// The owner does not know. A kind that a later release has added is read as this one.
     Unsure = 0,
     NoSuchJob = 1,
     Queued = 2,
@@ -59,19 +61,19 @@
     Waiting = 8,
 }
 
-/// The answer to a question.
+/// The answer to a query.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct AnswerRow {
     #[prost(uint64, tag = "1")]
     pub(super) ticket: u64,
     #[prost(enumeration = "AnswerKind", tag = "2")]
     pub(super) kind: i32,
-    /// How many jobs wait.
+    /// Number of waiting jobs.
     #[prost(uint64, tag = "3")]
     pub(super) waiting: u64,
 }
 
-/// The number that stands for one incarnation of a worker.
+/// The number that refers to one incarnation of a worker.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct WorkerRow {
     #[prost(uint32, tag = "1")]
@@ -93,7 +95,7 @@
     pub(super) text: String,
 }
 
-/// What an order is.
+/// Kind of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(super) enum OrderKind {
@@ -103,28 +105,28 @@
     SetShare = 3,
 }
 
-/// One order.
+/// An order to a worker.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct OrderRow {
-    /// Number by which the owner knows it.
+    /// Number by which the owner knows the order.
     #[prost(uint64, tag = "1")]
     pub(super) ticket: u64,
-    /// Number of the worker.
+    /// Number of the worker, as in [`WorkerRow`].
     #[prost(uint32, tag = "2")]
     pub(super) worker: u32,
     #[prost(enumeration = "OrderKind", tag = "3")]
     pub(super) kind: i32,
-    /// Time for which the worker's answer is awaited.
+    /// Timeout of the worker's answer.
     #[prost(uint32, tag = "4")]
     pub(super) timeout_ms: u32,
     #[prost(message, optional, tag = "5")]
     pub(super) task: Option<TaskRow>,
     #[prost(uint32, tag = "6")]
     pub(super) run: u32,
-    /// Time of the worker's clock until which leases go on; 0 for no lease.
+    /// Expiry of leases by the worker's clock; 0 for no lease.
     #[prost(uint64, tag = "7")]
     pub(super) lease_until_ms: u64,
-    /// Newest end that the worker may forget.
+    /// Number of the newest exit that the worker may forget.
     #[prost(uint64, tag = "8")]
     pub(super) acknowledged_exit: u64,
     #[prost(uint32, tag = "9")]
@@ -137,7 +139,7 @@
     pub(super) permit: String,
 }
 
-/// The name of a task.
+/// The identity of a task.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub(super) struct TaskRow {
     #[prost(fixed64, tag = "1")]
@@ -150,25 +152,25 @@
     pub(super) index: u32,
 }
 
-/// What came of orders.
+/// Outcomes of orders, and queries of the host.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct OutcomesFrame {
     #[prost(message, repeated, tag = "1")]
     pub(super) outcomes: Vec<OrderOutcomeRow>,
-    /// The relay is about to stop and wants no further orders.
+    /// The relay is about to stop and accepts no further orders.
     #[prost(bool, tag = "2")]
     pub(super) is_leaving: bool,
-    /// What the host wants to know.
+    /// Queries of the host to the owner.
     #[prost(message, repeated, tag = "3")]
     pub(super) queries: Vec<QueryRow>,
 }
 
-/// How an order ended.
+/// Kind of an order's outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(super) enum OutcomeKind {
-    /// It may be carried out now or later; also what a later release says and this one does
-    /// not know.
+    /// It may be carried out now or later. A kind that a later release has added is read as this
+    /// one.
     Unknown = 0,
     Done = 1,
     NotSent = 2,
@@ -182,29 +184,29 @@
     Faulty = 10,
 }
 
-/// What came of one order.
+/// Outcome of an order.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct OrderOutcomeRow {
     #[prost(uint64, tag = "1")]
     pub(super) ticket: u64,
     #[prost(enumeration = "OutcomeKind", tag = "2")]
     pub(super) kind: i32,
-    /// Clock of the worker.
+    /// The worker's clock.
     #[prost(uint64, tag = "3")]
     pub(super) clock_ms: u64,
-    /// What the worker lists; in answer to a look.
+    /// The worker's report, in answer to a poll.
     #[prost(message, optional, tag = "4")]
     pub(super) report: Option<WorkerReportRow>,
 }
 
-/// What a worker lists.
+/// What a worker reports in answer to a poll.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct WorkerReportRow {
     #[prost(message, repeated, tag = "1")]
     pub(super) runs: Vec<RunReportRow>,
     #[prost(message, repeated, tag = "2")]
     pub(super) exits: Vec<RunExitRow>,
-    /// When the worker started, by its clock.
+    /// Start time of the worker, by its clock.
     #[prost(uint64, optional, tag = "3")]
     pub(super) started_wall_ms: Option<u64>,
 }
@@ -224,7 +226,7 @@
     pub(super) checkpoint: String,
 }
 
-/// How a run ended.
+/// Why a run exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub(super) enum ExitReasonKind {
@@ -236,7 +238,7 @@
     Alone = 5,
 }
 
-/// A run that has ended.
+/// A run that has exited.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub(super) struct RunExitRow {
     #[prost(uint64, tag = "1")]
--- a/crates/dispatch/src/relay/mod.rs
+++ b/crates/dispatch/src/relay/mod.rs
@@ -1,17 +1,18 @@
-//! Orders of the owner that other entry hosts carry to the workers.
+//! Relaying of the owner's orders to workers through the other entry hosts.
 //!
-//! One host decides for all workers, and its link, processor and descriptors are those of one
-//! small host. Calls to workers are what it spends most of them on: 700 bytes for an order to
-//! start, of which the text of the job, the head and the worker's address are the same again
-//! and again. So the owner keeps one connection to each other host and sends them short orders;
-//! they make the calls, over connections and links of their own, and send back what came of
-//! them. Borg's master does the same with its link shards.
+//! One host decides for all workers, and it has only the link, the processor and the descriptors of
+//! one small host. It spends most of them on calls to workers: an order to start takes 700 bytes,
+//! of which the text of the job, the head and the worker's address are repeated in each call. The
+//! owner therefore keeps one connection to each other host and sends short orders over it. The
+//! other hosts make the calls over their own connections and links, and send the outcomes back.
+//! Borg's master does the same with its link shards.
 //!
-//! Nothing is decided by a relay. A relayed order has the owner's token, the run's number and
-//! the lease in it like any other, and what is not known of it counts as unknown: it may be
-//! carried out later, or never. So a relay may die, stand still or be cut off at any moment.
+//! A relay decides nothing. A relayed order carries the owner's token, the run's number and the
+//! lease like any other order, and an order without an outcome counts as unknown: it may be carried
+//! out later, or never. A relay may therefore crash, hang or be partitioned at any time.
 //!
-//! Over the same connections hosts ask the owner for the states of jobs, and hear that it lives.
+//! Over the same connections, hosts query the owner for the states of jobs and receive its
+//! heartbeats.
 
 mod frames;
 mod peer;
--- a/crates/dispatch/src/relay/peer.rs
+++ b/crates/dispatch/src/relay/peer.rs
@@ -1,4 +1,4 @@
-//! One relay as its owner knows it: the connection, and what it was told over that.
+//! The owner's state of one relay: the connection, and what was sent over it.
 
 use crate::event::ConnectionId;
 use crate::event::WorkerCall;
@@ -12,19 +12,19 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-/// Texts that a relay keeps at most. A relay holds 4 MB of them if all are of 4,000 bytes.
+/// Maximum number of texts that a relay retains: 4 MB if each has 4,000 bytes.
 const MAX_TEXTS: usize = 1_000;
 
-/// How far a connection has come.
+/// State of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// There is none; one may be opened from then on.
+    /// There is none. One may be opened at `retry_ms`.
     Closed { retry_ms: u64 },
-    /// It is being opened, or the first orders are on their way.
+    /// It is being opened, or is open.
     Open { conn: ConnectionId },
 }
 
-/// What a number in frames stands for.
+/// The incarnation of a worker that a number in frames refers to.
 #[derive(Debug, PartialEq, Eq, Hash)]
 struct WorkerIdentity {
     worker: Box<str>,
@@ -40,16 +40,16 @@
     pub(super) phase: Phase,
     pub(super) is_connected: bool,
     pub(super) is_leaving: bool,
-    /// Connections in a row that were not made.
+    /// Consecutive failures to connect.
     pub(super) failures: u32,
-    /// When it last said something.
+    /// Time of the last frame from the relay, or of the attempt to connect.
     pub(super) last_received_ms: u64,
-    /// When it was last told something.
+    /// Time of the last frame to the relay.
     pub(super) last_sent_ms: u64,
-    /// Numbers of workers, by id and address: a worker may start again elsewhere under its id.
+    /// Numbers of workers, by id and address: a worker may start again elsewhere under the same id.
     numbers: HashMap<WorkerIdentity, u32>,
     pub(super) texts: HashSet<JobId>,
-    /// Orders that go out at the end of this turn.
+    /// Frame that is sent at the end of this turn.
     pub(super) frame: OrdersFrame,
 }
 
@@ -74,7 +74,8 @@
         self.is_connected && !self.is_leaving
     }
 
-    /// Forgets the connection, and gives it if there was one.
+    /// Drops the connection and the state that belongs to it. Returns the connection if there was
+    /// one.
     pub(super) fn close(&mut self, retry_ms: u64) -> Option<ConnectionId> {
         let phase = std::mem::replace(&mut self.phase, Phase::Closed { retry_ms });
         self.is_connected = false;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Adds an order to the next frame, and gives the bytes that it takes.
+    /// Adds an order to the next frame, and returns its size in bytes.
     pub(super) fn add_order(&mut self, order: &RelayedOrder<'_>) -> usize {
         let mut bytes = 0;
         let next = self.numbers.len() as u32;
@@ -127,7 +128,8 @@
         if self.texts.contains(&job) {
             return 0;
         }
-        // Texts are forgotten together, and only before a frame that needs none of them.
+        // The relay drops all texts at once, and only before a frame without orders that refer to
+        // them.
         if self.texts.len() >= MAX_TEXTS && self.frame.orders.is_empty() {
             self.texts.clear();
             self.frame.clears_texts = true;
--- a/crates/dispatch/src/relay/queries.rs
+++ b/crates/dispatch/src/relay/queries.rs
@@ -1,4 +1,4 @@
-//! What hosts ask the owner over its connections to them, as rows of frames and back.
+//! Queries of hosts to the owner, and their conversion to rows of frames and back.
 
 use crate::event::ConnectionId;
 use crate::event::Reply;
@@ -8,36 +8,36 @@
 use crate::relay::frames::AnswerRow;
 use crate::relay::frames::QueryRow;
 
-/// What a host wants to know.
+/// Subject of a query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum QuerySubject {
     /// The state of a job.
     State(JobId),
-    /// How many jobs wait in a queue.
+    /// The number of waiting jobs of a queue.
     Waiting(Box<str>),
 }
 
-/// A question of a host, as the owner gets it.
+/// A query of another host, as the owner receives it.
 #[derive(Debug)]
 pub(crate) struct RemoteQuery {
     pub(crate) requester: RemoteRequester,
     pub(crate) subject: QuerySubject,
 }
 
-/// The host that asks.
+/// The host that sent a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct RemoteRequester {
-    /// The owner's connection to it.
+    /// The owner's connection to the host.
     pub(crate) conn: ConnectionId,
-    /// Number by which it knows the question.
+    /// Number by which the host knows the query.
     pub(crate) ticket: u64,
 }
 
-/// What the owner has answered.
+/// The owner's answer to a query.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) ticket: u64,
-    /// `None` if the owner can't say.
+    /// `None` if the owner does not know.
     pub(crate) reply: Option<Reply>,
 }
 
--- a/crates/dispatch/src/relay/rows.rs
+++ b/crates/dispatch/src/relay/rows.rs
@@ -1,4 +1,4 @@
-//! Orders and their ends as rows of frames, and back.
+//! Conversion of orders and their outcomes to rows of frames and back.
 
 use crate::event::ExitReason;
 use crate::event::OrderOutcome;
@@ -29,7 +29,7 @@
     })
 }
 
-/// Reads the name of a task; `None` if it is missing, or none that a task can have.
+/// Decodes the identity of a task; `None` if it is missing or out of range.
 fn task(row: Option<TaskRow>) -> Option<TaskId> {
     let row = row?;
     Some(TaskId {
@@ -40,7 +40,7 @@
     })
 }
 
-/// Makes the row of an order.
+/// Encodes an order.
 pub(super) fn order_row(ticket: u64, worker: u32, call: &WorkerCall, timeout_ms: u64) -> OrderRow {
     let row = OrderRow {
         ticket,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Reads an order. An order to start has the text that `text_of` gives for its job; without one
-/// it can't be carried out.
+/// Decodes an order. An order to start gets the text that `text_of` returns for its job. Returns
+/// `None` if the order can't be carried out: it is malformed, or the text is missing.
 pub(super) fn order_call(
     row: &OrderRow,
     text_of: impl FnOnce(JobId) -> Option<Rc<str>>,
@@ -128,7 +128,7 @@
     Some(call)
 }
 
-/// Makes the row of an order's outcome.
+/// Encodes the outcome of an order.
 pub(super) fn outcome_row(ticket: u64, outcome: &OrderOutcome) -> OrderOutcomeRow {
     let (kind, clock_ms, report) = match outcome {
         OrderOutcome::Done { clock_ms, report } => {
@@ -159,7 +159,7 @@
     }
 }
 
-/// Reads an order's outcome.
+/// Decodes the outcome of an order.
 pub(super) fn order_outcome(row: OrderOutcomeRow) -> OrderOutcome {
     match row.kind() {
         OutcomeKind::Unknown => OrderOutcome::Unknown,
@@ -212,7 +212,7 @@
         exits: Vec::with_capacity(rows.exits.len()),
     };
     for row in rows.runs {
-        // A name that is none of ours can't be a run of ours.
+        // A run with an invalid task identity was not started by an owner.
         let Some(task) = task(row.task) else {
             continue;
         };
--- a/crates/dispatch/src/relay/selection.rs
+++ b/crates/dispatch/src/relay/selection.rs
@@ -1,24 +1,25 @@
-//! Which relays carry the orders for which worker.
+//! Selection of the relays that carry the orders for a worker.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Relays that may carry the orders for one worker. With several to choose from the tasks of a
-/// job go through a few relays, each of which gets the job's text once: of 17 relays a step of
-/// 20 tasks then takes about 6, with one each 13. More would need more connections to each
-/// worker.
+/// Number of relays that may carry the orders for one worker. With several candidates the tasks of
+/// a job go through few relays, each of which gets the job's text once: of 17 relays, a step of 20
+/// tasks uses about 6, and 13 with one candidate per worker. More candidates would need more
+/// connections to each worker.
 pub(crate) const RELAYS_PER_WORKER: usize = 3;
 
-/// The relays of one worker, the first one before the others.
+/// The relays of one worker, in order of preference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Selection<K: Copy> {
     seed: u64,
-    /// With the hashes by which they were selected.
+    /// The selected relays, with the hashes by which they were selected.
     ranked: [Option<(u64, K)>; RELAYS_PER_WORKER],
 }
 
 impl<K: Copy + PartialEq> Selection<K> {
-    /// Selects the relays of a worker: those whose hashes with its name are greatest. A relay
-    /// that comes or goes changes this for no worker but its own.
+    /// Selects the relays of a worker by rendezvous hashing: those whose hashes with the worker's
+    /// name are greatest. A relay that is added or removed changes only the selections that contain
+    /// it.
     pub(crate) fn new<'a>(
         worker: &str,
         relays: impl Iterator<Item = (K, &'a str)>,
@@ -33,7 +34,7 @@
         selection
     }
 
-    /// Takes in a relay that has come.
+    /// Adds a relay if its hash is among the greatest.
     pub(crate) fn add(&mut self, key: K, name: &str) {
         let hash = xxh3_64_with_seed(name.as_bytes(), self.seed);
         let mut candidate = Some((hash, key));
@@ -49,18 +50,18 @@
         }
     }
 
-    /// Tells whether a relay is one of them.
+    /// Returns whether a relay is selected.
     pub(crate) fn contains(&self, key: K) -> bool {
         self.iter().any(|other| other == key)
     }
 
-    /// Gives the relay in this place.
+    /// Returns the relay at this position.
     pub(crate) fn get(&self, index: usize) -> Option<K> {
         let (_, key) = self.ranked.get(index).copied().flatten()?;
         Some(key)
     }
 
-    /// Lists the relays.
+    /// Returns the selected relays in order of preference.
     pub(crate) fn iter(&self) -> impl Iterator<Item = K> + '_ {
         self.ranked.iter().flatten().map(|(_, key)| *key)
     }
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -1,5 +1,5 @@
-//! The relay: makes the calls that an owner orders, tells what came of them, and asks the owner
-//! what callers want to know.
+//! The relay's side of the connections: it calls workers as owners order, returns the outcomes, and
+//! forwards callers' queries to the owner.
 
 use crate::evacuations::Evacuations;
 use crate::event::Action;
@@ -26,7 +26,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Where a worker is, and which incarnation is meant.
+/// The address of a worker, and the incarnation that orders are for.
 #[derive(Debug)]
 struct WorkerIdentity {
     address: Box<str>,
@@ -34,36 +34,36 @@
     failure_domain: Box<str>,
 }
 
-/// Time without a word of an owner after which it counts as silent: two signs of life, and a turn
-/// of a busy host.
+/// Time without a frame after which an owner counts as silent: two heartbeats, and one turn of a
+/// busy host.
 const OWNER_SILENCE_MS: u64 = 2 * HEARTBEAT_INTERVAL_MS + 500;
 
-/// What one owner has told, and what it is to be told.
+/// State of the connection of one owner: what the owner has sent, and what is to be sent to it.
 #[derive(Debug, Default)]
 struct Session {
-    /// The owner's token, once it has said something.
+    /// The owner's token; 0 before its first frame.
     token: u64,
     last_received_ms: u64,
     queries: Vec<QueryRow>,
-    /// By the numbers that the owner has given them.
+    /// Workers by the numbers that the owner has assigned.
     workers: HashMap<u32, WorkerIdentity>,
     texts: HashMap<JobId, Rc<str>>,
     outcomes: Vec<OrderOutcomeRow>,
     is_shutdown_sent: bool,
 }
 
-/// Orders of owners under way at this host.
+/// The relay of this host: the sessions of owners, and their pending orders.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
     sessions: BTreeMap<ConnectionId, Session>,
-    /// By the ticket of this host: whose they are, and their tickets there.
+    /// Pending orders: by this host's ticket, the owner's connection and ticket.
     orders: HashMap<u64, (ConnectionId, u64)>,
     answers: Vec<Answer>,
     is_leaving: bool,
 }
 
 impl Relay {
-    /// Takes in orders of an owner.
+    /// Handles a frame of an owner.
     pub(crate) fn handle_frame(
         &mut self,
         conn: ConnectionId,
@@ -76,7 +76,7 @@
         let frame = match OrdersFrame::decode(bytes) {
             Ok(frame) => frame,
             Err(error) => {
-                // What follows on this link can't be trusted.
+                // The rest of this connection can't be decoded either.
                 actions.push(Action::Note(Note::new(
                     Code::LinkRefused,
                     "relayed orders",
@@ -125,13 +125,14 @@
         let call = order_call(row, |job| session.texts.get(&job).cloned());
         let identity = session.workers.get(&row.worker);
         let (Some(call), Some(identity)) = (call, identity) else {
-            // The owner will order it by itself.
+            // The owner sends the order itself.
             session
                 .outcomes
                 .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
             return;
         };
-        // The order may have waited on the way here, and the owner have sent it by older rules.
+        // The order may have been delayed on its way, and the owner may have sent it under older
+        // rules.
         let is_start = matches!(call, WorkerCall::Start { .. });
         if is_start && evacuations.covers(&identity.failure_domain) {
             session
@@ -151,7 +152,7 @@
         });
     }
 
-    /// Takes in the end of an order, and tells whether it was one of an owner.
+    /// Handles the outcome of an order, and returns whether an owner had sent the order.
     pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: &OrderOutcome) -> bool {
         let Some((conn, owner_ticket)) = self.orders.remove(&ticket) else {
             return false;
@@ -162,8 +163,8 @@
         true
     }
 
-    /// Gives the connection of the owner that lives, if one does as far as its host is heard. An
-    /// owner with an older token than the given one has a successor.
+    /// Returns the connection of the live owner, or `None` if no owner's frames arrive. An owner
+    /// whose token is lower than the given one has been replaced.
     pub(crate) fn owner_connection(&self, token: u64, now_ms: u64) -> Option<ConnectionId> {
         let mut found: Option<(u64, ConnectionId)> = None;
         for (conn, session) in &self.sessions {
@@ -176,29 +177,29 @@
         found.map(|(_, conn)| conn)
     }
 
-    /// Asks an owner.
+    /// Sends a query to an owner with the next frame.
     pub(crate) fn send_query(&mut self, conn: ConnectionId, ticket: u64, subject: QuerySubject) {
         if let Some(session) = self.sessions.get_mut(&conn) {
             session.queries.push(query_row(ticket, subject));
         }
     }
 
-    /// Takes what owners have answered.
+    /// Removes and returns the answers of owners.
     pub(crate) fn drain_answers(&mut self) -> Vec<Answer> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Wants no further orders, as this host is about to stop.
+    /// Accepts no further orders, as this host is about to stop.
     pub(crate) fn begin_shutdown(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Forgets an owner whose link is gone. What it ordered goes on.
+    /// Drops the session of an owner whose connection was lost. Its pending orders continue.
     pub(crate) fn handle_lost(&mut self, conn: ConnectionId) {
         self.sessions.remove(&conn);
     }
 
-    /// Tells owners what came of their orders, and asks them.
+    /// Sends outcomes of orders and queries to the owners.
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
         for (conn, session) in &mut self.sessions {
             let must_send_shutdown = self.is_leaving && !session.is_shutdown_sent;
--- a/crates/dispatch/src/relay/sessions.rs
+++ b/crates/dispatch/src/relay/sessions.rs
@@ -1,4 +1,4 @@
-//! The owner's connections to relays, and the orders under way over them.
+//! The owner's side of the connections to relays, and the pending orders over them.
 
 use crate::event::Action;
 use crate::event::ConnectionId;
@@ -29,21 +29,21 @@
     struct RelayKey;
 }
 
-/// Time that an order may take over a relay beyond what the worker's answer may: two hops, and
-/// the turn of a busy host.
+/// Time that an order may take over a relay beyond the timeout of the worker's answer: two hops,
+/// and one turn of a busy host.
 const RELAY_OVERHEAD_MS: u64 = 150;
-/// Pause before a relay that could not be reached, or gave no answer, is tried again. Hosts that
-/// start together are there within a moment. It doubles so many times while it stays away, up to
-/// 8 s: hosts that are gone for good stay on record.
+/// Delay before the owner connects again to a relay that could not be reached or gave no answer.
+/// Hosts that start together are reachable within a moment. The delay doubles with each failure, up
+/// to 8 s: hosts that are gone forever stay on record.
 const RETRY_MS: u64 = 250;
 const MAX_DOUBLINGS: u32 = 5;
-/// Pause after which a host to which nothing was to be said gets a sign of life.
+/// Time without a frame to a host after which it gets a heartbeat.
 pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
-/// Part of an owner's descriptors, one in so many, that its connections to other hosts may take.
-/// The rest is for workers that it calls by itself, callers and the store.
+/// Divisor for the part of an owner's descriptors that its connections to other hosts may take. The
+/// rest is for workers that it calls directly, for callers and for the store.
 const DESCRIPTORS_DIVISOR: u64 = 2;
 
-/// An order to be carried by a relay.
+/// An order for a relay to carry.
 #[derive(Debug)]
 pub(crate) struct RelayedOrder<'a> {
     pub(crate) ticket: u64,
@@ -52,11 +52,11 @@
     pub(crate) failure_domain: &'a str,
     pub(crate) call: &'a WorkerCall,
     pub(crate) timeout_ms: u64,
-    /// Which of the worker's relays is to carry it.
+    /// Position, among the worker's relays, of the relay that is to carry the order.
     pub(crate) relay_index: usize,
 }
 
-/// How an order has ended.
+/// Outcome of a relayed order.
 #[derive(Debug)]
 pub(crate) struct RelayedOutcome {
     /// Number by which the owner knows the order.
@@ -64,7 +64,7 @@
     pub(crate) outcome: OrderOutcome,
 }
 
-/// An order under way.
+/// A pending order.
 #[derive(Debug, Clone, Copy)]
 struct Flight {
     relay: RelayKey,
@@ -80,20 +80,20 @@
     keys: HashMap<Box<str>, RelayKey>,
     conns: HashMap<ConnectionId, RelayKey>,
     flights: BTreeMap<u64, Flight>,
-    /// When which of them is overdue.
+    /// Deadlines of pending orders, with their tickets.
     deadlines: BTreeSet<(u64, u64)>,
-    /// Relays of each worker that an order was for, as of the relays that are there.
+    /// Selected relays of each worker that an order was for, among the relays that are usable now.
     selections: HashMap<Box<str>, Selection<RelayKey>>,
-    /// Relays that take orders.
+    /// Number of relays that accept orders.
     usable_count: usize,
-    /// How often the relays of a worker were selected anew.
+    /// Number of times that the relays of a worker were selected anew.
     selection_count: u64,
-    /// What other hosts have asked.
+    /// Queries of other hosts.
     remote_queries: Vec<RemoteQuery>,
 }
 
 impl Sessions {
-    /// Makes the sessions of an owner with so many descriptors.
+    /// Creates the sessions of an owner with this number of descriptors.
     pub(crate) fn new(descriptors: u64) -> Self {
         Self {
             max_peers: (descriptors / DESCRIPTORS_DIVISOR) as usize,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes in which hosts there are.
+    /// Updates the hosts that may be relays.
     pub(crate) fn update_hosts(&mut self, own: &str, hosts: &HashMap<Box<str>, HostRecord>) {
         let mut new = Vec::new();
         for (name, host) in hosts {
@@ -121,12 +121,12 @@
                 continue;
             };
             let peer = &mut self.peers[*key];
-            // A host that was replaced has another address; its old connection ends by itself.
+            // A host that was replaced has another address. Its old connection closes by itself.
             if *peer.address != *host.relay_address {
                 peer.address = host.relay_address.as_str().into();
             }
         }
-        // In the same order at each run, so that tests in virtual time repeat.
+        // The order is the same in each run, so that tests in virtual time are reproducible.
         new.sort_unstable();
         for (name, address) in new {
             if self.peers.len() < self.max_peers {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Notes that a connection was made.
+    /// Handles a connection that was established.
     pub(crate) fn handle_opened(&mut self, conn: ConnectionId, now_ms: u64) {
         let Some(key) = self.conns.get(&conn).copied() else {
             return;
@@ -172,27 +172,27 @@
         self.add_usable(key);
     }
 
-    /// Tells whether connections to relays are being made and none takes orders yet.
+    /// Returns whether connections to relays are being opened and no relay accepts orders yet.
     pub(crate) fn are_all_opening(&self) -> bool {
         !self.conns.is_empty() && self.usable_count == 0
     }
 
-    /// Tells how many relays take orders.
+    /// Returns the number of relays that accept orders.
     pub(crate) fn usable_count(&self) -> usize {
         self.usable_count
     }
 
-    /// Tells how often the relays of a worker were selected anew.
+    /// Returns the number of times that the relays of a worker were selected anew.
     pub(crate) fn selection_count(&self) -> u64 {
         self.selection_count
     }
 
-    /// Forgets a worker that is gone.
+    /// Drops the selection of a removed worker.
     pub(crate) fn forget_worker(&mut self, worker: &str) {
         self.selections.remove(worker);
     }
 
-    /// Has a relay that has connected take orders.
+    /// Adds a relay that has connected to the usable ones, and to the selections of workers.
     fn add_usable(&mut self, key: RelayKey) {
         self.usable_count += 1;
         let name = &self.peers[key].name;
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Has a relay that took orders take none any more. Its workers select anew.
+    /// Removes a relay from the usable ones. The relays of its workers are selected anew.
     fn remove_usable(&mut self, key: RelayKey) {
         if !self.peers[key].is_usable() {
             return;
@@ -211,8 +211,8 @@
             .retain(|_, selection| !selection.contains(key));
     }
 
-    /// Gives an order to a relay of its worker, and gives the bytes that it takes; `None` if
-    /// there is no relay, so that the order must go out directly.
+    /// Enqueues an order at a relay of its worker, and returns its size in bytes. Returns `None` if
+    /// there is no relay, so that the order must be sent directly.
     pub(crate) fn enqueue(&mut self, order: &RelayedOrder<'_>, now_ms: u64) -> Option<u64> {
         let key = self.choose_relay(order)?;
         let flight = Flight {
@@ -225,8 +225,9 @@
         Some(self.peers[key].add_order(order) as u64)
     }
 
-    /// Chooses the relay of an order: the one in its place, but for a start one that has the
-    /// text already, unless the first one has just missed its worker.
+    /// Chooses the relay of an order: the one at its position. An order to start goes to a selected
+    /// relay that has the text of the job already, unless the worker's first relay has just failed
+    /// to reach the worker.
     fn choose_relay(&mut self, order: &RelayedOrder<'_>) -> Option<RelayKey> {
         if !self.selections.contains_key(order.worker) {
             let usable = self.peers.iter().filter(|(_, peer)| peer.is_usable());
@@ -248,12 +249,12 @@
         selection.get(order.relay_index)
     }
 
-    /// Takes what other hosts have asked.
+    /// Removes and returns the queries of other hosts.
     pub(crate) fn drain_queries(&mut self) -> Vec<RemoteQuery> {
         std::mem::take(&mut self.remote_queries)
     }
 
-    /// Answers a host, if its connection is still there.
+    /// Answers a host, if its connection still exists.
     pub(crate) fn answer(&mut self, requester: RemoteRequester, reply: &Reply) {
         if let Some(key) = self.conns.get(&requester.conn) {
             let row = answer_row(requester.ticket, reply);
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Sends what is to be said in this turn, and signs of life where nothing was for a while.
+    /// Sends the frames of this turn, and heartbeats to hosts that got no frame for a while.
     pub(crate) fn flush(&mut self, token: u64, now_ms: u64, actions: &mut Vec<Action>) {
         for peer in self.peers.values_mut() {
             let Phase::Open { conn } = peer.phase else {
@@ -281,7 +282,8 @@
         }
     }
 
-    /// Takes in what came of orders, if the link is one of these.
+    /// Handles a frame of a relay and returns the outcomes in it. Returns none if the connection is
+    /// not to a relay.
     pub(crate) fn handle_frame(
         &mut self,
         conn: ConnectionId,
@@ -312,7 +314,7 @@
         }
         let mut outcomes = Vec::with_capacity(frame.outcomes.len());
         for row in frame.outcomes {
-            // An order that was given up already has had its end.
+            // The outcome of an order that has timed out was returned already.
             if self.remove_flight(row.ticket).is_some() {
                 outcomes.push(RelayedOutcome {
                     ticket: row.ticket,
@@ -323,7 +325,7 @@
         outcomes
     }
 
-    /// Gives the ends of orders that went with a connection.
+    /// Drops a lost connection and returns the outcomes of its pending orders.
     pub(crate) fn handle_lost(
         &mut self,
         conn: ConnectionId,
@@ -336,9 +338,9 @@
         }
     }
 
-    /// Gives up orders that are overdue. A relay that has said nothing since one of them went
-    /// out stands still or is cut off: the others that it has are given up with it, so that
-    /// their workers are asked over other relays at once.
+    /// Times out orders that are overdue. A relay that has sent nothing since one of them was sent
+    /// hangs or is partitioned: all its other orders time out as well, so that their workers are
+    /// called over other relays at once.
     pub(crate) fn expire(&mut self, now_ms: u64, actions: &mut Vec<Action>) -> Vec<RelayedOutcome> {
         let mut outcomes = Vec::new();
         let mut silent = BTreeSet::new();
