--- a/tests/dispatch_all_lost.rs
+++ b/tests/dispatch_all_lost.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 
 /// Jobs on record that are over, half of a day's.
-const FORMER_JOBS: u64 = 400;
+const FINISHED_JOBS: u64 = 400;
 /// Bytes of the text of each.
 const TEXT_BYTES: usize = 600;
 const JOB: u64 = 0x1_0000;
@@ -24,14 +24,14 @@
 };
 /// Time by which a host serves again and the owner has started what waits: a fifth of what
 /// operators allow for it.
-const BACK_MS: u64 = 3_500;
+const RECOVERY_MS: u64 = 3_500;
 
 /// Loads and reads of a host that starts, with a few polls until it hears of the owner.
-const CALLS_A_HOST: usize = 24;
+const CALLS_PER_HOST: usize = 24;
 /// Bytes that it reads, with what all hosts write meanwhile.
-const BYTES_A_HOST: u64 = 4_000;
+const BYTES_PER_HOST: u64 = 4_000;
 /// Hosts that may read everything: those that look out for the owner, and some to spare.
-const READERS_MOST: u64 = 24;
+const MAX_READERS: u64 = 24;
 
 const COMPLETED: u8 = 2;
 /// Heads of the fields that hold when a job came to its end, in a record of its state and in one
@@ -48,14 +48,14 @@
 }
 
 /// Puts jobs that are over on record.
-fn put_history(fleet: &mut Fleet) {
-    let mut former = job(vec![step(1, 500, &[])]);
-    former.specification = "x".repeat(TEXT_BYTES);
-    let former = former.encode_to_vec();
+fn store_finished_jobs(fleet: &mut Fleet) {
+    let mut finished = job(vec![step(1, 500, &[])]);
+    finished.specification = "x".repeat(TEXT_BYTES);
+    let finished = finished.encode_to_vec();
     let state = final_record(STATE_FINAL, fleet.wall_ms());
     let progress = final_record(PROGRESS_FINAL, fleet.wall_ms());
-    for id in 0..FORMER_JOBS {
-        let part = (id % 4) as u8;
+    for id in 0..FINISHED_JOBS {
+        let partition = (id % 4) as u8;
         let name = format!("{id:016x}");
         fleet.store.put(Stream::States, &format!("p{name}"), &state);
         fleet
@@ -63,7 +63,7 @@
             .put(Stream::Progress, &format!("s{name}"), &progress);
         fleet
             .store
-            .put(Stream::Jobs(part), &format!("j{name}"), &former);
+            .put(Stream::Jobs(partition), &format!("j{name}"), &finished);
     }
 }
 
@@ -74,29 +74,29 @@
     history_bytes: u64,
 }
 
-fn lose_all(hosts: usize) -> Recovery {
+fn measure_recovery(hosts: usize) -> Recovery {
     let mut fleet = Fleet::with_relays(hosts, 4);
-    let history_bytes = FORMER_JOBS * (TEXT_BYTES as u64 + 150);
+    let history_bytes = FINISHED_JOBS * (TEXT_BYTES as u64 + 150);
     for number in 0..hosts {
         fleet.kill(number);
     }
-    put_history(&mut fleet);
+    store_finished_jobs(&mut fleet);
     fleet.run(1_000);
     fleet.store.limits = LIMITS;
-    let (former_calls, former_bytes) = (fleet.store_calls_made, fleet.store.given_bytes());
+    let (calls_before, bytes_before) = (fleet.store_calls_made, fleet.store.given_bytes());
     for number in 0..hosts {
         fleet.start(number);
     }
     // A caller comes as soon as a host takes any.
     fleet.run(500);
     let request = fleet.submit(hosts / 2, JOB, &job(vec![step(2, 200, &[])]));
-    fleet.run(BACK_MS - 500);
+    fleet.run(RECOVERY_MS - 500);
     expect_that!(fleet.replies.get(&request), some(eq(&Reply::Stored)));
     let unready = (0..hosts).filter(|number| !fleet.is_ready(*number)).count();
     expect_that!(unready, eq(0), "{hosts} hosts");
     let recovery = Recovery {
-        calls: fleet.store_calls_made - former_calls,
-        bytes: fleet.store.given_bytes() - former_bytes,
+        calls: fleet.store_calls_made - calls_before,
+        bytes: fleet.store.given_bytes() - bytes_before,
         history_bytes,
     };
     // Whoever is asked knows what is over and what has come, and that nothing else is there.
@@ -117,15 +117,15 @@
 /// the store was still at them, and began anew, so that most of what the store gave out was for
 /// nobody.
 #[gtest]
-fn all_hosts_are_lost_and_serve_again_whatever_their_number() {
+fn all_hosts_serve_again_after_a_simultaneous_loss() {
     for hosts in [60, 600, 1_200] {
         let Recovery {
             calls,
             bytes,
             history_bytes,
-        } = lose_all(hosts);
-        expect_that!(calls, le(CALLS_A_HOST * hosts), "{hosts} hosts");
-        let bytes_most = READERS_MOST * history_bytes + BYTES_A_HOST * hosts as u64;
-        expect_that!(bytes, le(bytes_most), "{hosts} hosts");
+        } = measure_recovery(hosts);
+        expect_that!(calls, le(CALLS_PER_HOST * hosts), "{hosts} hosts");
+        let max_bytes = MAX_READERS * history_bytes + BYTES_PER_HOST * hosts as u64;
+        expect_that!(bytes, le(max_bytes), "{hosts} hosts");
     }
 }
--- a/tests/dispatch_freshness.rs
+++ b/tests/dispatch_freshness.rs
@@ -98,7 +98,7 @@
 /// After a host had stayed behind, its log could not tell a read that was lost from one that
 /// had not been sent, and nothing told how old its rules had been.
 #[gtest]
-fn a_failed_read_tells_why_and_how_old_the_rules_are() {
+fn a_failed_read_logs_the_fault_and_the_age_of_the_rules() {
     for (fault, why) in [
         (ReadFault::NotSent, "NotSent"),
         (ReadFault::NoAnswer, "NoAnswer"),
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn rules_in_force_tell_how_old_the_former_ones_were() {
+fn new_rules_log_the_age_of_the_previous_ones() {
     let (mut entry, ticket) = start();
     let ages = Ages {
         rules_version: 1,
@@ -181,7 +181,7 @@
 /// another read goes out beside it as soon as it is overdue, and no second one while that is
 /// under way.
 #[gtest]
-fn a_read_goes_out_beside_one_that_is_overdue() {
+fn an_overdue_long_poll_gets_one_read_beside_it() {
     let (mut entry, _) = start();
     let early = answer_others(&mut entry, 20, 1_100);
     expect_that!(short_reads(&early), not(contains(eq(&Stream::Rules))));
@@ -193,7 +193,7 @@
 
 /// A read that was sent into an outage is not awaited once other answers come.
 #[gtest]
-fn a_read_from_before_an_outage_ended_is_sent_again_at_once() {
+fn a_read_from_an_outage_is_repeated_at_the_next_answer() {
     let (mut entry, _) = start();
     // Nothing is answered; a read beside the first one goes out, and is lost as well.
     let mut states = 0;
@@ -221,29 +221,29 @@
 }
 
 /// What a host says of a queue that its rules do not name, by their age.
-struct Denial {
+struct UnknownQueue {
     name: &'static str,
-    asked_ms: u64,
+    queried_ms: u64,
     found: Found<'static>,
     is_ready: bool,
 }
 
-const DENIALS: &[Denial] = &[
-    Denial {
+const UNKNOWN_QUEUES: &[UnknownQueue] = &[
+    UnknownQueue {
         name: "rules just read",
-        asked_ms: 300,
+        queried_ms: 300,
         found: Found::Nothing,
         is_ready: true,
     },
-    Denial {
+    UnknownQueue {
         name: "rules three quarters as old as promised",
-        asked_ms: 1_500,
+        queried_ms: 1_500,
         found: Found::Nothing,
         is_ready: true,
     },
-    Denial {
+    UnknownQueue {
         name: "rules that may be too old",
-        asked_ms: 1_600,
+        queried_ms: 1_600,
         found: Found::Unsure,
         is_ready: false,
     },
@@ -252,11 +252,11 @@
 /// A host that can't tell whether its rules are current told callers that a queue is not
 /// there, and they did not come again: `refused with 404`. All else of the store answers.
 #[gtest]
-fn a_host_with_rules_of_unknown_age_denies_no_queue() {
-    for case in DENIALS {
+fn a_host_with_rules_of_unknown_age_rejects_no_queue() {
+    for case in UNKNOWN_QUEUES {
         let (mut entry, _) = start();
-        let mut actions = answer_others(&mut entry, 20, case.asked_ms);
-        let now = at(case.asked_ms);
+        let mut actions = answer_others(&mut entry, 20, case.queried_ms);
+        let now = at(case.queried_ms);
         let found = entry.find_queue("batch.test", "/new/", now);
         expect_that!(found, eq(case.found), "{}", case.name);
         // What it knows it still serves, and only the count has to wait.
@@ -267,8 +267,8 @@
         actions.extend(entry.handle(now, Event::Count { request: 7, queue }));
         actions.extend(answer_others(
             &mut entry,
-            case.asked_ms + 10,
-            case.asked_ms + 1_000,
+            case.queried_ms + 10,
+            case.queried_ms + 1_000,
         ));
         let deferred = Action::Answer {
             request: 7,
@@ -278,8 +278,8 @@
         };
         let is_unsure = case.found == Found::Unsure;
         expect_that!(actions.contains(&deferred), eq(is_unsure), "{}", case.name);
-        let is_told = !details(&actions, Code::RulesBehind).is_empty();
-        expect_true!(is_told || !is_unsure, "{}", case.name);
+        let is_reported = !details(&actions, Code::RulesBehind).is_empty();
+        expect_true!(is_reported || !is_unsure, "{}", case.name);
     }
 }
 
@@ -287,7 +287,7 @@
 /// outage for three seconds more: `StoreBack` at 11.006 s, `RulesInForce` at 14.381 s. It is
 /// ready once the rules were read; or could not be, if only a part of the store is back.
 #[gtest]
-fn a_host_takes_callers_again_once_it_has_read_the_rules() {
+fn a_host_is_ready_again_once_it_has_read_the_rules() {
     for outcome in [
         ReadOutcome::Records {
             records: vec![rules(1, 2)],
@@ -334,28 +334,28 @@
 
 /// How the time of day and the steady clock went while a host did nothing, and whether it goes
 /// by its rules afterwards. Its rules were read 100 ms before.
-struct Pause {
+struct ClockCase {
     name: &'static str,
     steady_ms: u64,
     wall_ms: u64,
     found: Found<'static>,
 }
 
-const PAUSES: &[Pause] = &[
-    Pause {
-        name: "both clocks go on",
+const CLOCK_CASES: &[ClockCase] = &[
+    ClockCase {
+        name: "both clocks run",
         steady_ms: 300,
         wall_ms: 300,
         found: Found::Nothing,
     },
-    Pause {
+    ClockCase {
         name: "the host is suspended, and its steady clock with it",
         steady_ms: 5,
         wall_ms: 5_005,
         found: Found::Unsure,
     },
-    Pause {
-        name: "the time of day is set back",
+    ClockCase {
+        name: "the wall clock is set back",
         steady_ms: 300,
         wall_ms: 0,
         found: Found::Nothing,
@@ -366,39 +366,39 @@
 /// before look new when it wakes up, and are as old as the suspension. Only the time of day
 /// tells; a host can't tell that from a clock that was set, and asks the store in either case.
 #[gtest]
-fn rules_grow_old_while_a_host_is_suspended() {
-    for case in PAUSES {
+fn rules_age_while_a_host_is_suspended() {
+    for case in CLOCK_CASES {
         let (mut entry, _) = start();
         entry.handle(at(110), Event::Tick);
-        let woken = Now {
+        let resumed = Now {
             steady_ms: 110 + case.steady_ms,
             wall_ms: at(110).wall_ms + case.wall_ms,
         };
-        let actions = entry.handle(woken, Event::Tick);
-        let found = entry.find_queue("batch.test", "/new/", woken);
+        let actions = entry.handle(resumed, Event::Tick);
+        let found = entry.find_queue("batch.test", "/new/", resumed);
         expect_that!(found, eq(case.found), "{}", case.name);
-        let is_asked = short_reads(&actions).contains(&Stream::Rules);
+        let is_read = short_reads(&actions).contains(&Stream::Rules);
         let is_unsure = case.found == Found::Unsure;
-        expect_that!(is_asked, eq(is_unsure), "{}", case.name);
+        expect_that!(is_read, eq(is_unsure), "{}", case.name);
         expect_that!(entry.is_ready(), eq(!is_unsure), "{}", case.name);
     }
 }
 
 /// An answer that was on its way while a host was suspended says nothing of the time since.
 #[gtest]
-fn an_answer_from_before_a_suspension_makes_nothing_new() {
+fn an_answer_from_before_a_suspension_refreshes_nothing() {
     let (mut entry, ticket) = start();
     entry.handle(at(110), Event::Tick);
-    let woken = Now {
+    let resumed = Now {
         steady_ms: 815,
         wall_ms: at(6_000).wall_ms,
     };
-    entry.handle(woken, Event::Tick);
+    entry.handle(resumed, Event::Tick);
     let outcome = ReadOutcome::Records {
         records: Vec::new(),
         end: 1,
     };
-    entry.handle(woken, Event::Read { ticket, outcome });
-    let found = entry.find_queue("batch.test", "/new/", woken);
+    entry.handle(resumed, Event::Read { ticket, outcome });
+    let found = entry.find_queue("batch.test", "/new/", resumed);
     expect_that!(found, eq(Found::Unsure));
 }
--- a/tests/dispatch_links.rs
+++ b/tests/dispatch_links.rs
@@ -24,9 +24,9 @@
     mbit_per_s: u64,
     workers: usize,
     /// Pause between two jobs of thirty tasks.
-    pause_ms: u64,
+    interval_ms: u64,
     /// Tasks that must have ended well once jobs no longer come.
-    ended_least: usize,
+    min_ended: usize,
 }
 
 const CASES: &[Case] = &[
@@ -34,29 +34,29 @@
         name: "wide enough",
         mbit_per_s: 20,
         workers: 85,
-        pause_ms: 150,
-        ended_least: 3_800,
+        interval_ms: 150,
+        min_ended: 3_800,
     },
     Case {
         name: "a link that is full at the peak",
         mbit_per_s: 4,
         workers: 85,
-        pause_ms: 150,
-        ended_least: 3_800,
+        interval_ms: 150,
+        min_ended: 3_800,
     },
     Case {
         name: "a link that can't carry all orders to start",
         mbit_per_s: 2,
         workers: 85,
-        pause_ms: 70,
-        ended_least: 8_000,
+        interval_ms: 70,
+        min_ended: 8_000,
     },
     Case {
         name: "a link that carries a third of them",
         mbit_per_s: 1,
         workers: 85,
-        pause_ms: 70,
-        ended_least: 5_000,
+        interval_ms: 70,
+        min_ended: 5_000,
     },
 ];
 
@@ -73,7 +73,7 @@
 /// started elsewhere while their ends stand in its list. Cause: a missing answer was held
 /// against the worker, and not against the owner's own link.
 #[gtest]
-fn no_worker_is_given_up_because_the_owners_link_is_full() {
+fn no_worker_is_removed_because_the_link_of_the_owner_is_full() {
     for case in CASES {
         let mut fleet = Fleet::with_links(HOSTS, case.workers, case.mbit_per_s);
         fleet.promises.is_calm = true;
@@ -82,14 +82,14 @@
         while fleet.now_ms < until_ms {
             jobs += 1;
             fleet.submit(jobs as usize % HOSTS, jobs, &submission());
-            fleet.run(case.pause_ms);
+            fleet.run(case.interval_ms);
         }
         let ended = fleet.promises.ended.len();
-        let given_up = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
+        let removed = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
-        expect_that!(given_up, eq(0), "{}", case.name);
+        expect_that!(removed, eq(0), "{}", case.name);
         expect_that!(fleet.claims, eq(1), "{}", case.name);
-        expect_that!(ended, ge(case.ended_least), "{}", case.name);
+        expect_that!(ended, ge(case.min_ended), "{}", case.name);
     }
 }
 
@@ -98,7 +98,7 @@
 /// takes longer than the silence after which the next host claims. Cause: who has claimed gave
 /// one sign of life, and the next one only when it had read everything.
 #[gtest]
-fn a_host_that_reads_for_long_before_it_owns_is_not_replaced() {
+fn a_new_owner_with_a_long_read_is_not_replaced() {
     let mut fleet = Fleet::with_links(6, 40, 2);
     let small = Step {
         cpu_milli: 20,
@@ -111,11 +111,11 @@
         fleet.run(20);
     }
     fleet.run(2_000);
-    let former = fleet.owner().expect("there is an owner");
+    let previous = fleet.owner().expect("there is an owner");
     // Each page takes a moment, as it does on a link that other hosts' answers share.
     fleet.store.answer_ms = 30;
     let before = fleet.claims;
-    fleet.kill(former);
+    fleet.kill(previous);
     fleet.run(8_000);
     eprintln!(
         "{:?} claims {} before {before} now {}",
@@ -133,21 +133,21 @@
 const LATE_STEPS: u64 = 20;
 const LATE_STEP_MS: u64 = 700;
 /// Time in which jobs end once answers are no longer late: leases must run out first.
-const CALMED_MS: u64 = 30_000;
+const DRAIN_MS: u64 = 30_000;
 
 /// Symptom: a task runs again though it had ended, and that end is noted afterwards. Sequence:
 /// answers of workers take 0.1 to 10 s and overtake one another; workers are given up, come
 /// back, and list what had ended there; owners change meanwhile. Cause: what is known of a
 /// worker's lease was taken for what is known of the ends in its list.
 #[gtest]
-fn ends_that_are_told_late_count_once() {
+fn late_exit_reports_count_once() {
     for seed in 0..LATE_SEQUENCES {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut fleet = Fleet::new(HOSTS, 6);
         let mut jobs = 0;
         for _ in 0..LATE_STEPS {
-            let most_ms = [100, 400, 1_000, 3_000, 10_000][random.random_range(0..5)];
-            fleet.answers_late = Some((most_ms / 10, most_ms, random.random()));
+            let max_ms = [100, 400, 1_000, 3_000, 10_000][random.random_range(0..5)];
+            fleet.answers_late = Some((max_ms / 10, max_ms, random.random()));
             if random.random_range(0..6) == 0 {
                 let host = random.random_range(0..HOSTS);
                 fleet.kill(host);
@@ -161,7 +161,7 @@
             fleet.run(LATE_STEP_MS);
         }
         fleet.answers_late = None;
-        fleet.run(CALMED_MS);
+        fleet.run(DRAIN_MS);
         expect_that!(fleet.promises.broken, is_empty(), "seed {seed}");
         for id in fleet.promises.accepted.clone() {
             let state = fleet.state(0, id.0);
--- a/tests/dispatch_loading.rs
+++ b/tests/dispatch_loading.rs
@@ -20,41 +20,41 @@
 /// What comes of the load of one part of the jobs, while all else has been loaded.
 struct Case {
     name: &'static str,
-    end: Option<PartEnd>,
+    slow_outcome: Option<SlowOutcome>,
     is_ready: bool,
     missing: Option<&'static str>,
 }
 
 /// How the load of that part ends.
-enum PartEnd {
+enum SlowOutcome {
     Page { has_more: bool },
     Failed,
 }
 
-const SLOW: Stream = Stream::Jobs(2);
+const SLOW_STREAM: Stream = Stream::Jobs(2);
 
 const CASES: &[Case] = &[
     Case {
         name: "the first page is still on its way",
-        end: None,
+        slow_outcome: None,
         is_ready: false,
         missing: Some("missing=Jobs(2) records=0 age_ms=1100"),
     },
     Case {
-        name: "the first of several pages has come",
-        end: Some(PartEnd::Page { has_more: true }),
+        name: "the first of several pages has arrived",
+        slow_outcome: Some(SlowOutcome::Page { has_more: true }),
         is_ready: false,
         missing: Some("missing=Jobs(2) records=1 age_ms=1100"),
     },
     Case {
-        name: "the part is away",
-        end: Some(PartEnd::Failed),
+        name: "the partition is unavailable",
+        slow_outcome: Some(SlowOutcome::Failed),
         is_ready: true,
         missing: Some("missing=Jobs(2) records=0 age_ms=1100"),
     },
     Case {
         name: "all is read",
-        end: Some(PartEnd::Page { has_more: false }),
+        slow_outcome: Some(SlowOutcome::Page { has_more: false }),
         is_ready: true,
         missing: None,
     },
@@ -72,7 +72,7 @@
     if stream == Stream::Rules {
         records.push(record("config", &[1]));
     }
-    if stream == SLOW {
+    if stream == SLOW_STREAM {
         records.push(record("unknown", &[]));
     }
     Page {
@@ -107,14 +107,14 @@
             continue;
         };
         // Of a stream that has more, the first page is all that comes.
-        if stream == SLOW && answered.contains(&stream) {
+        if stream == SLOW_STREAM && answered.contains(&stream) {
             continue;
         }
         answered.push(stream);
-        let outcome = match (&case.end, stream) {
-            (None, SLOW) => continue,
-            (Some(PartEnd::Failed), SLOW) => Err(ReadFault::NoAnswer),
-            (Some(PartEnd::Page { has_more }), SLOW) => Ok(page(stream, *has_more)),
+        let outcome = match (&case.slow_outcome, stream) {
+            (None, SLOW_STREAM) => continue,
+            (Some(SlowOutcome::Failed), SLOW_STREAM) => Err(ReadFault::NoAnswer),
+            (Some(SlowOutcome::Page { has_more }), SLOW_STREAM) => Ok(page(stream, *has_more)),
             _ => Ok(page(stream, false)),
         };
         due.extend(entry.handle(at(10), Event::Loaded { ticket, outcome }));
@@ -133,22 +133,22 @@
 /// what the store holds, say that they are ready, and get callers. Cause: one part of the
 /// jobs was enough to be ready, and nothing told what was missing.
 #[gtest]
-fn a_host_is_ready_once_all_has_come_that_the_store_gives() {
+fn a_host_is_ready_once_all_available_streams_are_loaded() {
     for case in CASES {
         let (mut entry, mut actions) = start(case);
         expect_that!(entry.is_ready(), eq(case.is_ready), "{}", case.name);
         actions.extend(entry.handle(at(1_100), Event::Tick));
-        let mut told = None;
+        let mut reported = None;
         let mut is_loaded = false;
         for action in &actions {
             if let Action::Note(note) = action
                 && note.code == Code::StreamsLoading
             {
-                told = Some(note.detail.clone());
+                reported = Some(note.detail.clone());
             }
             is_loaded |= is_loaded_at_once(action);
         }
         expect_that!(is_loaded, eq(case.missing.is_none()), "{}", case.name);
-        expect_that!(told.as_deref(), eq(case.missing), "{}", case.name);
+        expect_that!(reported.as_deref(), eq(case.missing), "{}", case.name);
     }
 }
--- a/tests/dispatch_outages.rs
+++ b/tests/dispatch_outages.rs
@@ -30,10 +30,10 @@
 /// owner stops as planned; its successors claim one after the other and never begin. Cause:
 /// they waited for the list of workers, or the newest jobs, for longer than leases last.
 #[gtest]
-fn a_new_owner_begins_while_part_of_the_store_is_away() {
+fn a_new_owner_starts_while_part_of_the_store_is_unavailable() {
     for away in CASES {
         let mut fleet = Fleet::new(3, 4);
-        let lasting = Step {
+        let long_running = Step {
             is_long_running: true,
             ..step(6, 1_000, &[])
         };
@@ -44,7 +44,7 @@
                 &job(vec![step(2, 300, &[])]),
             );
         }
-        fleet.submit(0, 0x1, &job(vec![lasting]));
+        fleet.submit(0, 0x1, &job(vec![long_running]));
         fleet.run(1_000);
         fleet.submit(0, JOB, &job(vec![step(6, 9_000, &[]), step(2, 200, &[0])]));
         fleet.run(300);
@@ -64,15 +64,15 @@
             "{away:?}"
         );
         // Only the second step, and what the new owner had not read yet, starts anew.
-        let again = fleet.promises.starts.len() - starts;
-        expect_that!(again, eq(2), "{away:?}");
+        let restarts = fleet.promises.starts.len() - starts;
+        expect_that!(restarts, eq(2), "{away:?}");
     }
 }
 
 /// Symptom: all submissions are refused while a part of the store is away. Cause: they all
 /// went to that part.
 #[gtest]
-fn submissions_use_the_parts_that_are_there() {
+fn submissions_use_available_partitions() {
     let mut fleet = Fleet::new(3, 4);
     fleet.store.away = vec![Stream::Jobs(0), Stream::Jobs(2)];
     let mut requests = Vec::new();
@@ -92,7 +92,7 @@
 /// polls wait. Cause: more calls were under way than there were connections to the store, so
 /// the reads waited for two seconds behind long polls.
 #[gtest]
-fn calls_to_the_store_never_wait_for_one_another() {
+fn concurrent_calls_to_the_store_stay_within_the_limit() {
     let mut fleet = Fleet::new(4, 4);
     for round in 0..3 {
         for number in 0..30 {
@@ -114,7 +114,7 @@
 }
 
 /// Time in which an owner that reaches the store knows of what other hosts have stored.
-const HEARD_MS: u64 = 1_200;
+const READ_WITHIN_MS: u64 = 1_200;
 
 /// Symptom: jobs taken in by other hosts do not begin for seconds, and tasks of cancelled ones
 /// go on being started, though the owner reaches store and workers. Sequence: the owner's
@@ -122,36 +122,36 @@
 /// then a job is stored, and one is cancelled. Cause: the owner hears of both by reads that
 /// the store holds back, and awaited the lost ones to their end.
 #[gtest]
-fn an_owner_hears_of_jobs_soon_after_its_reads_were_lost() {
-    for moment in 0..8 {
+fn an_owner_reads_new_jobs_soon_after_its_reads_were_lost() {
+    for offset in 0..8 {
         let mut fleet = Fleet::new(3, 4);
-        let lasting = Step {
+        let long_running = Step {
             is_long_running: true,
             ..step(4, 1_000, &[])
         };
         let other = (owner(&fleet) + 1) % 3;
-        fleet.submit(other, 0x1, &job(vec![lasting]));
-        fleet.run(2_000 + 150 * moment);
+        fleet.submit(other, 0x1, &job(vec![long_running]));
+        fleet.run(2_000 + 150 * offset);
         expect_that!(fleet.promises.starts.len(), eq(4));
         fleet.lose_calls(owner(&fleet));
         fleet.run(50);
         fleet.submit(other, JOB, &job(vec![step(2, 500, &[])]));
         fleet.cancel(other, 0x1);
-        fleet.run(HEARD_MS);
-        expect_that!(fleet.promises.starts.len(), eq(6), "moment {moment}");
-        let mut lasting_runs = 0;
+        fleet.run(READ_WITHIN_MS);
+        expect_that!(fleet.promises.starts.len(), eq(6), "offset {offset}");
+        let mut long_running_runs = 0;
         for (_, task, _) in fleet.promises.starts.clone() {
-            lasting_runs += u32::from(task.job.0 == 0x1 && fleet.running(task) > 0);
+            long_running_runs += u32::from(task.job.0 == 0x1 && fleet.running(task) > 0);
         }
-        expect_that!(lasting_runs, eq(0), "moment {moment}");
-        expect_that!(fleet.owners(), eq(1), "moment {moment}");
+        expect_that!(long_running_runs, eq(0), "offset {offset}");
+        expect_that!(fleet.owners(), eq(1), "offset {offset}");
     }
 }
 
 /// The same beside a store that answers nothing: all calls are awaited to their end then, and
 /// the first ones after its return must not wait for them.
 #[gtest]
-fn calls_into_an_outage_leave_connections_for_those_after_it() {
+fn calls_during_an_outage_stay_within_the_limit() {
     let mut fleet = Fleet::new(4, 4);
     for round in 0..3 {
         for number in 0..100 {
@@ -173,7 +173,7 @@
 /// are told to come again, while the store is known to be away. Cause: the host awaited reads
 /// that could bring nothing.
 #[gtest]
-fn questions_are_put_off_at_once_while_the_store_is_away() {
+fn queries_are_deferred_at_once_while_the_store_is_unavailable() {
     let mut fleet = Fleet::new(3, 4);
     fleet.submit(0, JOB, &job(vec![step(1, 20_000, &[])]));
     // Hosts that do not own read jobs every six seconds.
@@ -197,20 +197,20 @@
 /// those for rules, which a store that refuses at once answers four times a second.
 const PROBES_PER_S: usize = 9;
 /// Time after the store's return by which every host takes callers again.
-const BACK_MS: u64 = 250;
+const RECOVERY_MS: u64 = 250;
 
 /// Symptom: hosts refuse what the store would take for half a second and more after it is back.
 /// Cause: reads of all streams went on into the outage, each was awaited for half a second and
 /// more, and the next one went out a while after one had failed.
 #[gtest]
-fn hosts_press_an_away_store_little_and_are_back_soon() {
+fn hosts_call_an_unavailable_store_rarely_and_recover_soon() {
     const HOSTS: usize = 8;
-    for (mode, moment) in [Mode::Silent, Mode::Refuses]
+    for (mode, offset) in [Mode::Silent, Mode::Refuses]
         .into_iter()
-        .flat_map(|mode| (0..8).map(move |moment| (mode, moment)))
+        .flat_map(|mode| (0..8).map(move |offset| (mode, offset)))
     {
         let mut fleet = Fleet::new(HOSTS, 4);
-        fleet.run(500 + 90 * moment);
+        fleet.run(500 + 90 * offset);
         fleet.store.mode = mode;
         fleet.run(4_000);
         let owner = owner(&fleet);
@@ -218,14 +218,14 @@
         let before = fleet.store_calls_made;
         fleet.run(2_000);
         let calls = fleet.store_calls_made - before;
-        let most = 2 * PROBES_PER_S * (HOSTS - 1);
-        expect_that!(calls, le(most), "{mode:?}, moment {moment}");
+        let max_calls = 2 * PROBES_PER_S * (HOSTS - 1);
+        expect_that!(calls, le(max_calls), "{mode:?}, offset {offset}");
         fleet.resume(owner);
         fleet.store.mode = Mode::Up;
-        fleet.run(BACK_MS);
+        fleet.run(RECOVERY_MS);
         for host in 0..HOSTS {
             let is_ready = fleet.is_ready(host);
-            expect_true!(is_ready, "{mode:?}, moment {moment}, host {host}");
+            expect_true!(is_ready, "{mode:?}, offset {offset}, host {host}");
         }
     }
 }
@@ -244,25 +244,25 @@
 /// 35.166 RunOrdered run=2                of a task whose run 1 was done at 32.786
 /// ```
 #[gtest]
-fn ends_of_a_job_that_was_not_read_count_once_it_is_submitted_again() {
-    let all_parts: Vec<Stream> = (0..4).map(Stream::Jobs).collect();
-    for part in 0..4 {
+fn exits_of_an_unread_job_count_after_it_is_submitted_again() {
+    let all_partitions: Vec<Stream> = (0..4).map(Stream::Jobs).collect();
+    for partition in 0..4 {
         let mut fleet = Fleet::new(3, 4);
         let owner = owner(&fleet);
         let other = (owner + 1) % 3;
         let submission = job(vec![step(6, 1_200, &[])]);
         // Appends take the parts in turn, so one of these goes to the part that stays.
-        for number in 0..part {
+        for number in 0..partition {
             fleet.submit(owner, 0x10 + number, &job(vec![step(1, 50, &[])]));
             fleet.run(20);
         }
         fleet.submit(owner, JOB, &submission);
         fleet.run(60);
         let starts = fleet.promises.starts.len();
-        fleet.store.away = all_parts.clone();
+        fleet.store.away = all_partitions.clone();
         fleet.kill(owner);
         fleet.run(3_000);
-        expect_that!(fleet.owners(), eq(1), "part {part}");
+        expect_that!(fleet.owners(), eq(1), "partition {partition}");
         fleet.store.away.truncate(3);
         let mut stored = fleet.submit(other, JOB, &submission);
         for _ in 0..20 {
@@ -273,13 +273,25 @@
             stored = fleet.submit(other, JOB, &submission);
         }
         fleet.run(2_000);
-        expect_that!(fleet.promises.starts.len(), eq(starts), "part {part}");
+        expect_that!(
+            fleet.promises.starts.len(),
+            eq(starts),
+            "partition {partition}"
+        );
         fleet.store.away.clear();
         fleet.run(4_000);
-        expect_that!(fleet.promises.starts.len(), eq(starts), "part {part}");
+        expect_that!(
+            fleet.promises.starts.len(),
+            eq(starts),
+            "partition {partition}"
+        );
         let state = fleet.state(other, JOB);
-        expect_that!(state, some(eq(JobState::Completed)), "part {part}");
-        expect_that!(fleet.promises.broken, is_empty(), "part {part}");
+        expect_that!(
+            state,
+            some(eq(JobState::Completed)),
+            "partition {partition}"
+        );
+        expect_that!(fleet.promises.broken, is_empty(), "partition {partition}");
     }
 }
 
@@ -287,9 +299,9 @@
 /// nothing. Cause: a host that hears the owner asks the store for nothing but rules, and took seconds
 /// to notice that it is away.
 #[gtest]
-fn a_host_that_hears_the_owner_notices_soon_that_the_store_is_away() {
+fn a_host_connected_to_the_owner_detects_an_outage_soon() {
     /// A late append, and the doubt that it raises.
-    const NOTICED_MS: u64 = 1_000;
+    const DETECTION_MS: u64 = 1_000;
     for mode in [Mode::Silent, Mode::Refuses] {
         let mut fleet = Fleet::with_relays(12, 12);
         fleet.run(4_000);
@@ -298,7 +310,7 @@
         fleet.store.mode = mode;
         fleet.run(50);
         fleet.submit(host, JOB, &job(vec![step(1, 100, &[])]));
-        fleet.run(NOTICED_MS);
+        fleet.run(DETECTION_MS);
         let request = fleet.submit(host, JOB + 1, &job(vec![step(1, 100, &[])]));
         fleet.run(10);
         let refused = Reply::NotDone {
@@ -306,7 +318,7 @@
         };
         expect_that!(fleet.replies.get(&request), some(eq(&refused)), "{mode:?}");
         fleet.store.mode = Mode::Up;
-        fleet.run(BACK_MS);
+        fleet.run(RECOVERY_MS);
         expect_true!(fleet.is_ready(host));
     }
 }
--- a/tests/dispatch_questions.rs
+++ b/tests/dispatch_questions.rs
@@ -72,15 +72,15 @@
 /// Sequence: it reads for one caller; the job is stored; another caller asks for it within
 /// the same millisecond. Cause: the read was taken to have been sent after the question.
 #[gtest]
-fn a_read_from_before_a_question_does_not_answer_it() {
+fn a_read_from_before_a_query_does_not_answer_it() {
     let mut entry = loaded();
-    let question = |request, job| Event::Query {
+    let query = |request, job| Event::Query {
         request,
         job: JobId(job),
     };
-    let before = reads(&entry.handle(at(100), question(1, 0xa)));
+    let before = reads(&entry.handle(at(100), query(1, 0xa)));
     expect_that!(before, not(is_empty()));
-    let mut actions = entry.handle(at(100), question(2, 0xb));
+    let mut actions = entry.handle(at(100), query(2, 0xb));
     for ticket in before {
         let outcome = ReadOutcome::Records {
             records: Vec::new(),
@@ -88,34 +88,34 @@
         };
         actions.extend(entry.handle(at(101), Event::Read { ticket, outcome }));
     }
-    let answered = |request: u64| {
-        let gone = Action::Answer {
+    let is_answered = |request: u64| {
+        let no_such_job = Action::Answer {
             request,
             reply: Reply::NoSuchJob,
         };
-        actions.contains(&gone)
+        actions.contains(&no_such_job)
     };
-    expect_true!(answered(1));
-    expect_false!(answered(2));
+    expect_true!(is_answered(1));
+    expect_false!(is_answered(2));
     expect_that!(reads(&actions), not(is_empty()));
 }
 
 /// Each question how many jobs wait costs a read of each part of their stream, though callers bear a
 /// number that is two seconds old.
 #[gtest]
-fn a_count_is_answered_by_what_was_read_shortly_before() {
+fn a_count_is_answered_from_recent_data() {
     let count = |request| Event::Count {
         request,
         queue: "batch".into(),
     };
-    let told = |actions: &[Action], request| {
+    let is_answered = |actions: &[Action], request| {
         let reply = Reply::Waiting(0);
         actions.contains(&Action::Answer { request, reply })
     };
     let mut entry = loaded();
     let actions = entry.handle(at(1_500), count(1));
-    expect_true!(told(&actions, 1));
+    expect_true!(is_answered(&actions, 1));
     let actions = entry.handle(at(1_760), count(2));
-    expect_false!(told(&actions, 2));
+    expect_false!(is_answered(&actions, 2));
     expect_that!(reads(&actions), not(is_empty()));
 }
--- a/tests/dispatch_relays.rs
+++ b/tests/dispatch_relays.rs
@@ -15,45 +15,45 @@
 /// What happens to hosts that relay, or to their connections.
 struct Case {
     name: &'static str,
-    strike: fn(&mut Fleet, usize),
-    heal: fn(&mut Fleet, usize),
+    inject_fault: fn(&mut Fleet, usize),
+    end_fault: fn(&mut Fleet, usize),
     /// Time by which the job has ended, after it was handed in. Its two steps take 1,500 ms.
     ends_within_ms: u64,
 }
 
-fn nothing(_: &mut Fleet, _: usize) {}
+fn no_fault(_: &mut Fleet, _: usize) {}
 
 const CASES: &[Case] = &[
     Case {
-        name: "all is well",
-        strike: nothing,
-        heal: nothing,
+        name: "no fault",
+        inject_fault: no_fault,
+        end_fault: no_fault,
         ends_within_ms: 2_200,
     },
     // Its connection ends, and its orders count as unknown; other relays ask what came of them.
     Case {
         name: "a relay is killed",
-        strike: |fleet, relay| fleet.kill(relay),
-        heal: nothing,
+        inject_fault: |fleet, relay| fleet.kill(relay),
+        end_fault: no_fault,
         ends_within_ms: 3_000,
     },
     // Nothing tells of it but orders that are overdue.
     Case {
-        name: "a relay stands still",
-        strike: |fleet, relay| fleet.pause(relay),
-        heal: |fleet, relay| fleet.resume(relay),
+        name: "a relay hangs",
+        inject_fault: |fleet, relay| fleet.pause(relay),
+        end_fault: |fleet, relay| fleet.resume(relay),
         ends_within_ms: 4_500,
     },
     Case {
         name: "the connections of a relay go silent",
-        strike: |fleet, relay| fleet.silence_links(relay),
-        heal: nothing,
+        inject_fault: |fleet, relay| fleet.silence_links(relay),
+        end_fault: no_fault,
         ends_within_ms: 4_500,
     },
     // The owner has no relay left, and gives its orders by itself.
     Case {
         name: "all relays are killed",
-        strike: |fleet, _| {
+        inject_fault: |fleet, _| {
             let owner = fleet.owner();
             for host in 0..HOSTS {
                 if Some(host) != owner {
@@ -61,14 +61,14 @@
                 }
             }
         },
-        heal: nothing,
+        end_fault: no_fault,
         ends_within_ms: 3_500,
     },
     // It takes no further orders, and what it has is answered.
     Case {
         name: "a relay is stopped as planned",
-        strike: |fleet, relay| fleet.stop(relay),
-        heal: nothing,
+        inject_fault: |fleet, relay| fleet.stop(relay),
+        end_fault: no_fault,
         ends_within_ms: 2_500,
     },
 ];
@@ -76,7 +76,7 @@
 /// Symptom: tasks wait for seconds, run twice, or never run, after a host that was no owner has
 /// failed. Sequence: orders are with it, and nobody says what became of them.
 #[gtest]
-fn jobs_outlive_the_hosts_that_relay_their_orders() {
+fn jobs_survive_failures_of_the_hosts_that_relay_their_orders() {
     for case in CASES {
         for delay_ms in [5, 200, 600] {
             let mut fleet = Fleet::with_relays(HOSTS, WORKERS);
@@ -85,11 +85,11 @@
             let submission = job(vec![step(40, 1_000, &[]), step(8, 500, &[0])]);
             fleet.submit(owner, JOB, &submission);
             fleet.run(delay_ms);
-            (case.strike)(&mut fleet, relay);
+            (case.inject_fault)(&mut fleet, relay);
             fleet.run(case.ends_within_ms - delay_ms);
             let name = format!("{} after {delay_ms} ms", case.name);
             expect_that!(fleet.promises.ended.len(), eq(48), "{name}");
-            (case.heal)(&mut fleet, relay);
+            (case.end_fault)(&mut fleet, relay);
             fleet.run(3_000);
             let state = fleet.state(owner, JOB);
             expect_that!(state, some(eq(JobState::Completed)), "{name}");
@@ -102,7 +102,7 @@
 /// Symptom: a worker is given up though it is well. Cause: the host that relays its looks can't
 /// reach it, and nobody else asked.
 #[gtest]
-fn a_worker_that_one_relay_misses_is_asked_directly() {
+fn a_worker_that_relays_do_not_reach_is_called_directly() {
     let mut fleet = Fleet::with_relays(HOSTS, WORKERS);
     let owner = fleet.owner().expect("there is an owner");
     for host in 0..HOSTS {
@@ -110,14 +110,14 @@
             fleet.cut_from_workers(host, true);
         }
     }
-    let lasting = Step {
+    let long_running = Step {
         is_long_running: true,
         ..step(20, 100, &[])
     };
-    fleet.submit(owner, JOB, &job(vec![lasting]));
+    fleet.submit(owner, JOB, &job(vec![long_running]));
     fleet.run(12_000);
-    let given_up = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
-    expect_that!(given_up, eq(0));
+    let removed = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
+    expect_that!(removed, eq(0));
     let starts = fleet.promises.starts.len();
     expect_that!(starts, eq(20), "each task started once");
     expect_that!(fleet.promises.broken, is_empty());
@@ -127,11 +127,11 @@
 /// a second of a whole core. Cause: a relay that came or went had the relays of all workers selected
 /// anew, by a hash for each worker and relay.
 #[gtest]
-fn a_relay_that_comes_and_goes_concerns_its_own_workers_only() {
+fn a_restarted_relay_affects_only_its_own_workers() {
     const MANY_HOSTS: usize = 60;
     const MANY_WORKERS: usize = 600;
     /// Relays that each worker has, and times that one changes as a host stops and starts.
-    const CHOICES: u64 = 3;
+    const RELAYS_PER_WORKER: u64 = 3;
     const CHANGES: u64 = 2;
     let mut fleet = Fleet::with_relays(MANY_HOSTS, MANY_WORKERS);
     fleet.run(3_000);
@@ -143,8 +143,8 @@
     fleet.start(relay);
     fleet.run(3_000);
     expect_that!(fleet.owner(), some(eq(owner)));
-    let own = CHOICES * (MANY_WORKERS / MANY_HOSTS) as u64;
+    let per_change = RELAYS_PER_WORKER * (MANY_WORKERS / MANY_HOSTS) as u64;
     // Workers are dealt out by chance: some relays have half as many again.
-    let most = CHANGES * own * 3 / 2;
-    expect_that!(fleet.stats(owner).selected - before, le(most));
+    let max_selections = CHANGES * per_change * 3 / 2;
+    expect_that!(fleet.stats(owner).selected - before, le(max_selections));
 }
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -12,69 +12,69 @@
 
 const HOSTS: usize = 3;
 /// Time between two questions of a caller.
-const ASK_MS: u64 = 25;
+const QUERY_INTERVAL_MS: u64 = 25;
 /// Outages begin at so many different moments of a host's reads, so far apart. Reads that
 /// wait take up to two seconds.
-const MOMENTS: u64 = 24;
-const MOMENT_MS: u64 = 150;
+const OFFSETS: u64 = 24;
+const OFFSET_MS: u64 = 150;
 
 /// A disturbance, after which rules change.
 struct Case {
     name: &'static str,
-    strike: fn(&mut Fleet),
-    lasts_ms: u64,
-    heal: fn(&mut Fleet),
+    inject_fault: fn(&mut Fleet),
+    duration_ms: u64,
+    end_fault: fn(&mut Fleet),
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "store silent",
-        strike: |fleet| fleet.store.mode = Mode::Silent,
-        lasts_ms: 6_000,
-        heal: |fleet| fleet.store.mode = Mode::Up,
+        inject_fault: |fleet| fleet.store.mode = Mode::Silent,
+        duration_ms: 6_000,
+        end_fault: |fleet| fleet.store.mode = Mode::Up,
     },
     Case {
         name: "store silent for a moment",
-        strike: |fleet| fleet.store.mode = Mode::Silent,
-        lasts_ms: 300,
-        heal: |fleet| fleet.store.mode = Mode::Up,
+        inject_fault: |fleet| fleet.store.mode = Mode::Silent,
+        duration_ms: 300,
+        end_fault: |fleet| fleet.store.mode = Mode::Up,
     },
     Case {
         name: "store busy",
-        strike: |fleet| fleet.store.mode = Mode::Refuses,
-        lasts_ms: 4_000,
-        heal: |fleet| fleet.store.mode = Mode::Up,
+        inject_fault: |fleet| fleet.store.mode = Mode::Refuses,
+        duration_ms: 4_000,
+        end_fault: |fleet| fleet.store.mode = Mode::Up,
     },
     Case {
         name: "owner cut from store",
-        strike: |fleet| fleet.cut_from_store(owner(fleet), true),
-        lasts_ms: 2_500,
-        heal: |fleet| (0..HOSTS).for_each(|number| fleet.cut_from_store(number, false)),
+        inject_fault: |fleet| fleet.cut_from_store(owner(fleet), true),
+        duration_ms: 2_500,
+        end_fault: |fleet| (0..HOSTS).for_each(|number| fleet.cut_from_store(number, false)),
     },
     Case {
         name: "all connections to the store go silent",
-        strike: |fleet| (0..HOSTS).for_each(|number| fleet.lose_calls(number)),
-        lasts_ms: 0,
-        heal: |_| {},
+        inject_fault: |fleet| (0..HOSTS).for_each(|number| fleet.lose_calls(number)),
+        duration_ms: 0,
+        end_fault: |_| {},
     },
     Case {
         name: "history dropped, and connections go silent",
-        strike: |fleet| {
+        inject_fault: |fleet| {
             fleet.store.drop_history();
             (0..HOSTS).for_each(|number| fleet.lose_calls(number));
         },
-        lasts_ms: 0,
-        heal: |_| {},
+        duration_ms: 0,
+        end_fault: |_| {},
     },
 ];
 
 /// Lets a fleet run while callers ask every host for a queue.
-fn ask_on(fleet: &mut Fleet, watch: &mut RulesWatch, letter: u8, ms: u64) {
-    for _ in 0..ms / ASK_MS {
+fn query_for(fleet: &mut Fleet, watch: &mut RulesWatch, letter: u8, ms: u64) {
+    for _ in 0..ms / QUERY_INTERVAL_MS {
         for number in 0..HOSTS {
             watch.ask(number, letter, fleet);
         }
-        fleet.run(ASK_MS);
+        fleet.run(QUERY_INTERVAL_MS);
         watch.look(fleet);
     }
 }
@@ -92,19 +92,19 @@
 fn rules_are_in_force_in_time_after_each_disturbance() {
     for case in CASES {
         let mut broken = Vec::new();
-        for moment in 0..MOMENTS {
+        for offset in 0..OFFSETS {
             let mut fleet = Fleet::new(HOSTS, 0);
             let mut watch = RulesWatch::new(&fleet);
             watch.toggle(b'a', &mut fleet);
-            ask_on(&mut fleet, &mut watch, b'a', 4_000 + moment * MOMENT_MS);
-            (case.strike)(&mut fleet);
+            query_for(&mut fleet, &mut watch, b'a', 4_000 + offset * OFFSET_MS);
+            (case.inject_fault)(&mut fleet);
             (0..HOSTS).for_each(|number| watch.disturb(number, &fleet));
-            ask_on(&mut fleet, &mut watch, b'a', case.lasts_ms);
-            (case.heal)(&mut fleet);
-            ask_on(&mut fleet, &mut watch, b'a', 100);
+            query_for(&mut fleet, &mut watch, b'a', case.duration_ms);
+            (case.end_fault)(&mut fleet);
+            query_for(&mut fleet, &mut watch, b'a', 100);
             watch.toggle(b'a', &mut fleet);
-            ask_on(&mut fleet, &mut watch, b'a', 5_000);
-            expect_that!(watch.told, gt(0), "{}, moment {moment}", case.name);
+            query_for(&mut fleet, &mut watch, b'a', 5_000);
+            expect_that!(watch.told, gt(0), "{}, offset {offset}", case.name);
             broken.extend(watch.broken.into_iter().take(1));
             for number in 0..HOSTS {
                 expect_that!(fleet.rules_version(number), eq(3), "{}", case.name);
@@ -121,7 +121,7 @@
 const LETTERS: &[u8] = b"abcd";
 
 /// Disturbs a host or the store, or ends a disturbance.
-fn stir(fleet: &mut Fleet, watch: &mut RulesWatch, random: &mut Pcg64) {
+fn inject_random_fault(fleet: &mut Fleet, watch: &mut RulesWatch, random: &mut Pcg64) {
     let host = random.random_range(0..HOSTS);
     match random.random_range(0..14) {
         0 | 1 => fleet.store.mode = Mode::Silent,
@@ -149,7 +149,7 @@
 }
 
 /// Ends all disturbances.
-fn calm(fleet: &mut Fleet) {
+fn end_all_faults(fleet: &mut Fleet) {
     fleet.store.mode = Mode::Up;
     for number in 0..HOSTS {
         fleet.cut_from_store(number, false);
@@ -157,32 +157,32 @@
     }
 }
 
-fn play(seed: u64) -> RulesWatch {
+fn run_sequence(seed: u64) -> RulesWatch {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut fleet = Fleet::new(HOSTS, 0);
     let mut watch = RulesWatch::new(&fleet);
-    let mut until_calm = 0;
+    let mut faults_until = 0;
     for turn in 0..TURNS {
         if random.random_range(0..40) == 0 {
             let letter = LETTERS[random.random_range(0..LETTERS.len())];
             watch.toggle(letter, &mut fleet);
         }
         // Spells of trouble and of quiet: in the latter hosts get in touch.
-        if turn >= until_calm + 200 {
-            calm(&mut fleet);
-            until_calm = turn + random.random_range(20..160);
+        if turn >= faults_until + 200 {
+            end_all_faults(&mut fleet);
+            faults_until = turn + random.random_range(20..160);
         }
-        if turn < until_calm && random.random_range(0..8) == 0 {
-            stir(&mut fleet, &mut watch, &mut random);
+        if turn < faults_until && random.random_range(0..8) == 0 {
+            inject_random_fault(&mut fleet, &mut watch, &mut random);
         }
-        if turn == until_calm {
-            calm(&mut fleet);
+        if turn == faults_until {
+            end_all_faults(&mut fleet);
         }
         for number in 0..HOSTS {
             let letter = LETTERS[random.random_range(0..LETTERS.len())];
             watch.ask(number, letter, &mut fleet);
         }
-        fleet.run(ASK_MS);
+        fleet.run(QUERY_INTERVAL_MS);
         watch.look(&mut fleet);
     }
     watch
@@ -198,7 +198,7 @@
         .and_then(|text| text.parse().ok())
         .unwrap_or(SEQUENCES);
     for seed in 0..sequences {
-        let watch = play(seed);
+        let watch = run_sequence(seed);
         expect_that!(watch.broken, is_empty(), "seed {seed}");
         expect_that!(watch.told, gt(100), "seed {seed}");
         // A host in touch tells what is asked, rather than when to come again.
@@ -211,10 +211,10 @@
 /// under way, though it had been dropped.
 #[gtest]
 fn rules_published_after_an_outage_are_in_force_at_once() {
-    for moment in 0..MOMENTS {
+    for offset in 0..OFFSETS {
         let mut fleet = Fleet::new(HOSTS, 0);
         let mut watch = RulesWatch::new(&fleet);
-        fleet.run(1_000 + moment * MOMENT_MS);
+        fleet.run(1_000 + offset * OFFSET_MS);
         fleet.store.mode = Mode::Silent;
         fleet.run(4_000);
         fleet.store.mode = Mode::Up;
@@ -222,7 +222,7 @@
         watch.toggle(b'a', &mut fleet);
         fleet.run(50);
         for number in 0..HOSTS {
-            expect_that!(fleet.rules_version(number), eq(2), "moment {moment}");
+            expect_that!(fleet.rules_version(number), eq(2), "offset {offset}");
         }
     }
 }
