--- a/tests/dispatch_all_lost.rs
+++ b/tests/dispatch_all_lost.rs
@@ -1,4 +1,4 @@
-//! All hosts are lost at once, and each starts again on a store that bears only so much.
+//! Loss and restart of all hosts at once, on a store with limited throughput.
 
 use crate::fleet::Fleet;
 use crate::fleet::Limits;
@@ -10,36 +10,36 @@
 use googletest::prelude::*;
 use prost::Message;
 
-/// Jobs on record that are over, half of a day's.
+/// Finished jobs on record, half of a day's.
 const FINISHED_JOBS: u64 = 400;
-/// Bytes of the text of each.
+/// Bytes of the text of each job.
 const TEXT_BYTES: usize = 600;
 const JOB: u64 = 0x1_0000;
-/// What the store bears: a twentieth of what 600 hosts would read in a second that each read
+/// Throughput of the store: a twentieth of what 600 hosts would read in a second if each read
 /// everything.
 const LIMITS: Limits = Limits {
     read_bytes_per_s: 8_000_000,
     reads_per_s: 16_000,
     page_keys: 500,
 };
-/// Time by which a host serves again and the owner has started what waits: a fifth of what
-/// operators allow for it.
+/// Time by which all hosts serve again and the owner has started the waiting tasks: a fifth of what
+/// operators allow.
 const RECOVERY_MS: u64 = 3_500;
 
-/// Loads and reads of a host that starts, with a few polls until it hears of the owner.
+/// Loads and reads of a starting host, with a few polls until the owner connects to it.
 const CALLS_PER_HOST: usize = 24;
-/// Bytes that it reads, with what all hosts write meanwhile.
+/// Bytes that it reads, including what all hosts write in the meantime.
 const BYTES_PER_HOST: u64 = 4_000;
-/// Hosts that may read everything: those that look out for the owner, and some to spare.
+/// Hosts that may read everything: those that monitor the owner, and a margin.
 const MAX_READERS: u64 = 24;
 
 const COMPLETED: u8 = 2;
-/// Heads of the fields that hold when a job came to its end, in a record of its state and in one
-/// of its progress.
+/// Tags of the fields with the final time of a job, in the record of its state and in that of its
+/// progress.
 const STATE_FINAL: u8 = 2 << 3;
 const PROGRESS_FINAL: u8 = 4 << 3;
 
-/// How a job that is over stands on record.
+/// Returns the record of a completed job.
 fn final_record(head: u8, wall_ms: u64) -> Vec<u8> {
     const PHASE: u8 = 1 << 3;
     let mut record = vec![PHASE, COMPLETED, head];
@@ -47,7 +47,7 @@
     record
 }
 
-/// Puts jobs that are over on record.
+/// Stores finished jobs.
 fn store_finished_jobs(fleet: &mut Fleet) {
     let mut finished = job(vec![step(1, 500, &[])]);
     finished.specification = "x".repeat(TEXT_BYTES);
@@ -67,7 +67,7 @@
     }
 }
 
-/// What it took until all hosts served again.
+/// Calls and bytes until all hosts served again.
 struct Recovery {
     calls: usize,
     bytes: u64,
@@ -87,7 +87,7 @@
     for number in 0..hosts {
         fleet.start(number);
     }
-    // A caller comes as soon as a host takes any.
+    // A caller submits as soon as a host is ready.
     fleet.run(500);
     let request = fleet.submit(hosts / 2, JOB, &job(vec![step(2, 200, &[])]));
     fleet.run(RECOVERY_MS - 500);
@@ -99,7 +99,7 @@
         bytes: fleet.store.given_bytes() - bytes_before,
         history_bytes,
     };
-    // Whoever is asked knows what is over and what has come, and that nothing else is there.
+    // Every host knows the finished jobs and the new one, and that no other job exists.
     let asked = [1, hosts / 3, hosts - 1];
     for number in asked {
         expect_that!(fleet.state(number, JOB), some(eq(JobState::Completed)));
@@ -112,10 +112,9 @@
     recovery
 }
 
-/// Symptom: after all of 584 hosts were killed, the system never served again. Cause: each host
-/// read all jobs on record before it took callers or claimed, gave reads up after a second while
-/// the store was still at them, and began anew, so that most of what the store gave out was for
-/// nobody.
+/// After all of 584 hosts were killed, the system never served again. Each host read all jobs on
+/// record before it accepted callers or claimed, timed out its reads after a second while the store
+/// was still executing them, and started again, so that most of the store's output was discarded.
 #[gtest]
 fn all_hosts_serve_again_after_a_simultaneous_loss() {
     for hosts in [60, 600, 1_200] {
--- a/tests/dispatch_freshness.rs
+++ b/tests/dispatch_freshness.rs
@@ -1,4 +1,5 @@
-//! How old what a host believes is: what logs say of it, and that no stale answer is given.
+//! The age of a host's data: what the log says of it, and that outdated data gives no wrong
+//! answers.
 
 use crate::fleet::decode_config;
 use crate::fleet::decode_evacuation;
@@ -28,7 +29,7 @@
     }
 }
 
-/// Gives an answer to a load that finds rules of version 1 and nothing else.
+/// Returns a page of a store that holds rules of version 1 and nothing else.
 fn page(stream: Stream) -> Page {
     let mut records = Vec::new();
     if stream == Stream::Rules {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Makes a host that has loaded all at 10 ms, and gives the ticket of its read of the rules.
+/// Returns a host that has loaded everything at 10 ms, and the ticket of its read of the rules.
 fn start() -> (Entry, u64) {
     let decoders = Decoders {
         config: decode_config,
@@ -82,7 +83,7 @@
     None
 }
 
-/// Lists what the notes with a number say.
+/// Returns subjects and details of the notes with this code.
 fn details(actions: &[Action], code: Code) -> Vec<String> {
     let mut details = Vec::new();
     for action in actions {
@@ -95,8 +96,8 @@
     details
 }
 
-/// After a host had stayed behind, its log could not tell a read that was lost from one that
-/// had not been sent, and nothing told how old its rules had been.
+/// When a host had outdated rules, its log did not distinguish a lost read from one that was not
+/// sent, and did not say how old the rules were.
 #[gtest]
 fn a_failed_read_logs_the_fault_and_the_age_of_the_rules() {
     for (fault, why) in [
@@ -136,7 +137,7 @@
     expect_that!(entry.ages(at(400)).rules_ms, some(eq(390)));
 }
 
-/// Lists the streams of reads that the store is to answer at once.
+/// Returns the streams of reads that are no long polls.
 fn short_reads(actions: &[Action]) -> Vec<Stream> {
     let mut streams = Vec::new();
     for action in actions {
@@ -150,7 +151,7 @@
     streams
 }
 
-/// Answers reads of all streams but the rules, and lets time pass up to a moment.
+/// Answers reads of all streams except the rules, up to a point in time.
 fn answer_others(entry: &mut Entry, from_ms: u64, until_ms: u64) -> Vec<Action> {
     let mut all = Vec::new();
     let mut tickets = Vec::new();
@@ -176,10 +177,9 @@
     all
 }
 
-/// The read that waits for rules was lost while other calls were answered, and the host asked
-/// again only when it gave that read up: `ReadFailed why=NoAnswer sent_age_ms=3200`. Now
-/// another read goes out beside it as soon as it is overdue, and no second one while that is
-/// under way.
+/// The long poll for rules was lost while other calls were answered, and the host read again only
+/// after the timeout: `ReadFailed why=NoAnswer sent_age_ms=3200`. Another read must be sent beside
+/// it as soon as it is overdue, and no second one while that is pending.
 #[gtest]
 fn an_overdue_long_poll_gets_one_read_beside_it() {
     let (mut entry, _) = start();
@@ -191,11 +191,11 @@
     expect_that!(reads, eq(1));
 }
 
-/// A read that was sent into an outage is not awaited once other answers come.
+/// A read that was sent during an outage is not awaited once other answers arrive.
 #[gtest]
 fn a_read_from_an_outage_is_repeated_at_the_next_answer() {
     let (mut entry, _) = start();
-    // Nothing is answered; a read beside the first one goes out, and is lost as well.
+    // Nothing is answered. A read beside the first one is sent, and is lost as well.
     let mut states = 0;
     for now_ms in (20..=1_400).step_by(10) {
         for action in entry.handle(at(now_ms), Event::Tick) {
@@ -220,7 +220,7 @@
     expect_that!(short_reads(&actions), contains(eq(&Stream::Rules)));
 }
 
-/// What a host says of a queue that its rules do not name, by their age.
+/// What a host answers about a queue that its rules do not define, by the age of the rules.
 struct UnknownQueue {
     name: &'static str,
     queried_ms: u64,
@@ -249,8 +249,8 @@
     },
 ];
 
-/// A host that can't tell whether its rules are current told callers that a queue is not
-/// there, and they did not come again: `refused with 404`. All else of the store answers.
+/// A host with possibly outdated rules told callers that a queue does not exist, and they did not
+/// retry: `refused with 404`. All other streams of the store answer here.
 #[gtest]
 fn a_host_with_rules_of_unknown_age_rejects_no_queue() {
     for case in UNKNOWN_QUEUES {
@@ -259,7 +259,7 @@
         let now = at(case.queried_ms);
         let found = entry.find_queue("batch.test", "/new/", now);
         expect_that!(found, eq(case.found), "{}", case.name);
-        // What it knows it still serves, and only the count has to wait.
+        // It still accepts jobs for queues that it knows. Only the count must wait.
         let known = entry.find_queue("batch.test", "/batch/", now);
         expect_true!(matches!(known, Found::Queue(_)), "{}", case.name);
         expect_that!(entry.is_ready(), eq(case.is_ready), "{}", case.name);
@@ -283,9 +283,9 @@
     }
 }
 
-/// A host was ready 75 ms after the store was back, and took callers by rules from before the
-/// outage for three seconds more: `StoreBack` at 11.006 s, `RulesInForce` at 14.381 s. It is
-/// ready once the rules were read; or could not be, if only a part of the store is back.
+/// A host was ready 75 ms after the store's return, and used rules from before the outage for three
+/// more seconds: `StoreBack` at 11.006 s, `RulesInForce` at 14.381 s. It may be ready only once it
+/// has read the rules, or has failed to because only part of the store is back.
 #[gtest]
 fn a_host_is_ready_again_once_it_has_read_the_rules() {
     for outcome in [
@@ -332,8 +332,8 @@
     }
 }
 
-/// How the time of day and the steady clock went while a host did nothing, and whether it goes
-/// by its rules afterwards. Its rules were read 100 ms before.
+/// Advance of both clocks while a host does nothing, and whether it uses its rules afterwards. The
+/// rules were read 100 ms before.
 struct ClockCase {
     name: &'static str,
     steady_ms: u64,
@@ -362,9 +362,10 @@
     },
 ];
 
-/// A suspended host does not see time pass: its steady clock stands still. Rules read just
-/// before look new when it wakes up, and are as old as the suspension. Only the time of day
-/// tells; a host can't tell that from a clock that was set, and asks the store in either case.
+/// The steady clock of a suspended host stands still, so rules that were read just before look
+/// recent after it, though they are as old as the suspension. Only the wall clock shows the
+/// difference. A host can't distinguish that from a clock that was set, and reads the rules in
+/// either case.
 #[gtest]
 fn rules_age_while_a_host_is_suspended() {
     for case in CLOCK_CASES {
@@ -384,7 +385,7 @@
     }
 }
 
-/// An answer that was on its way while a host was suspended says nothing of the time since.
+/// An answer that was in transit while a host was suspended says nothing of the time since.
 #[gtest]
 fn an_answer_from_before_a_suspension_refreshes_nothing() {
     let (mut entry, ticket) = start();
--- a/tests/dispatch_links.rs
+++ b/tests/dispatch_links.rs
@@ -1,4 +1,4 @@
-//! Hosts on thin links: whatever they can't carry must be put off, and no promise may break.
+//! Hosts on slow links: calls that a link can't carry are deferred, and no promise is broken.
 
 use crate::fleet::Fleet;
 use crate::fleet::job;
@@ -13,19 +13,19 @@
 use rand_pcg::Pcg64;
 
 const HOSTS: usize = 3;
-/// Time for which jobs are handed in.
+/// Time for which jobs are submitted.
 const BUSY_MS: u64 = 20_000;
-/// Bytes of the text of each job; workers get it with each task.
+/// Bytes of the text of each job, which workers get with each task.
 const TEXT_BYTES: usize = 450;
 
-/// A load on links of some width.
+/// A load on links of a given speed.
 struct Case {
     name: &'static str,
     mbit_per_s: u64,
     workers: usize,
-    /// Pause between two jobs of thirty tasks.
+    /// Interval between two jobs of thirty tasks.
     interval_ms: u64,
-    /// Tasks that must have ended well once jobs no longer come.
+    /// Tasks that must have completed once no more jobs are submitted.
     min_ended: usize,
 }
 
@@ -67,11 +67,10 @@
     }
 }
 
-/// Symptom: on calm days tasks run twice, and workers are given up that never died. Sequence:
-/// orders to start fill the link of the owner; looks wait behind them and are given up after a
-/// fixed time; two such looks make a worker silent, its lease runs out, and its tasks are
-/// started elsewhere while their ends stand in its list. Cause: a missing answer was held
-/// against the worker, and not against the owner's own link.
+/// Orders to start saturated the owner's link. Polls queued behind them and timed out after a fixed
+/// time. Two such polls made a worker silent, its lease expired, and its tasks were started again
+/// elsewhere although their exits were in its list. A missing answer must count against the owner's
+/// own link, not against the worker.
 #[gtest]
 fn no_worker_is_removed_because_the_link_of_the_owner_is_full() {
     for case in CASES {
@@ -93,10 +92,9 @@
     }
 }
 
-/// Symptom: a dozen hosts own in turn, each for a moment, and nothing starts meanwhile.
-/// Sequence: the owner dies; its successor reads the progress of all jobs over a thin link, which
-/// takes longer than the silence after which the next host claims. Cause: who has claimed gave
-/// one sign of life, and the next one only when it had read everything.
+/// After the owner's death a dozen hosts owned in turn, each briefly, and nothing was started. A
+/// successor read the progress of all jobs over a slow link for longer than the silence after which
+/// the next host claims, and sent no heartbeat between its claim and the end of the read.
 #[gtest]
 fn a_new_owner_with_a_long_read_is_not_replaced() {
     let mut fleet = Fleet::with_links(6, 40, 2);
@@ -112,7 +110,7 @@
     }
     fleet.run(2_000);
     let previous = fleet.owner().expect("there is an owner");
-    // Each page takes a moment, as it does on a link that other hosts' answers share.
+    // Each page takes a while, as on a link that is shared with other hosts' answers.
     fleet.store.answer_ms = 30;
     let before = fleet.claims;
     fleet.kill(previous);
@@ -121,7 +119,7 @@
         "{:?} claims {} before {before} now {}",
         fleet.notes, fleet.claims, fleet.now_ms
     );
-    // Two hosts whose turns come at the same moment may both claim.
+    // Two hosts whose turns come at the same time may both claim.
     expect_that!(fleet.claims - before, le(2));
     expect_that!(fleet.owners(), eq(1));
     expect_that!(fleet.promises.broken, is_empty());
@@ -129,16 +127,16 @@
 
 /// Sequences of late answers that CI runs.
 const LATE_SEQUENCES: u64 = 60;
-/// Steps of one sequence, and their length.
+/// Steps of one sequence, and their duration.
 const LATE_STEPS: u64 = 20;
 const LATE_STEP_MS: u64 = 700;
-/// Time in which jobs end once answers are no longer late: leases must run out first.
+/// Time in which jobs finish once answers are no longer late: leases must expire first.
 const DRAIN_MS: u64 = 30_000;
 
-/// Symptom: a task runs again though it had ended, and that end is noted afterwards. Sequence:
-/// answers of workers take 0.1 to 10 s and overtake one another; workers are given up, come
-/// back, and list what had ended there; owners change meanwhile. Cause: what is known of a
-/// worker's lease was taken for what is known of the ends in its list.
+/// A task ran again although it had exited, and its exit was recorded afterwards. Answers of
+/// workers take 0.1 to 10 s and overtake one another; workers are removed, return, and list old
+/// exits; owners change. What is known of a worker's lease must not be taken for knowledge of the
+/// exits in its list.
 #[gtest]
 fn late_exit_reports_count_once() {
     for seed in 0..LATE_SEQUENCES {
--- a/tests/dispatch_loading.rs
+++ b/tests/dispatch_loading.rs
@@ -1,4 +1,4 @@
-//! Hosts that have just started and read what the store holds, event by event.
+//! Hosts that have just started and load the store, event by event.
 
 use crate::fleet::decode_config;
 use crate::fleet::decode_evacuation;
@@ -17,7 +17,7 @@
 use googletest::prelude::*;
 use std::collections::VecDeque;
 
-/// What comes of the load of one part of the jobs, while all else has been loaded.
+/// Outcome of the load of one partition of the jobs, while all other streams are loaded.
 struct Case {
     name: &'static str,
     slow_outcome: Option<SlowOutcome>,
@@ -25,7 +25,7 @@
     missing: Option<&'static str>,
 }
 
-/// How the load of that part ends.
+/// Outcome of the load of that partition.
 enum SlowOutcome {
     Page { has_more: bool },
     Failed,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Makes a host and answers its first loads, that of the slow part as the case says.
+/// Creates a host and answers its first loads, that of the slow partition by the case.
 fn start(case: &Case) -> (Entry, Vec<Action>) {
     let decoders = Decoders {
         config: decode_config,
@@ -106,7 +106,7 @@
             actions.push(action);
             continue;
         };
-        // Of a stream that has more, the first page is all that comes.
+        // Of a stream with more pages, only the first page arrives.
         if stream == SLOW_STREAM && answered.contains(&stream) {
             continue;
         }
@@ -122,16 +122,15 @@
     (entry, actions)
 }
 
-/// Tells whether an action says that all was read, and that this took no longer than it did.
+/// Returns whether an action logs that everything was loaded, with the right duration.
 fn is_loaded_at_once(action: &Action) -> bool {
     matches!(action, Action::Note(note)
         if note.code == Code::StreamsLoaded && note.detail.contains("age_ms=10"))
 }
 
-/// Symptom: after all hosts were started at once, callers are told to come again for jobs
-/// that were accepted, until their time is over. Sequence: hosts on thin links still read
-/// what the store holds, say that they are ready, and get callers. Cause: one part of the
-/// jobs was enough to be ready, and nothing told what was missing.
+/// After all hosts had started at once, callers were told to retry queries for accepted jobs until
+/// they timed out. Hosts on slow links were ready, and got callers, while they still loaded the
+/// store: one partition of the jobs was enough to be ready, and no log line named what was missing.
 #[gtest]
 fn a_host_is_ready_once_all_available_streams_are_loaded() {
     for case in CASES {
--- a/tests/dispatch_outages.rs
+++ b/tests/dispatch_outages.rs
@@ -1,4 +1,4 @@
-//! Parts of the store that are away while the others are there.
+//! Outages of the store, or of some of its streams.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -26,9 +26,9 @@
     ],
 ];
 
-/// Symptom: all that runs ends by its lease. Sequence: part of the store is away, and the
-/// owner stops as planned; its successors claim one after the other and never begin. Cause:
-/// they waited for the list of workers, or the newest jobs, for longer than leases last.
+/// While part of the store was unavailable, the owner stopped as planned, and its successors
+/// claimed one after the other without ever starting to own, until all leases expired. They waited
+/// for the list of workers, or the newest jobs, for longer than leases last.
 #[gtest]
 fn a_new_owner_starts_while_part_of_the_store_is_unavailable() {
     for away in CASES {
@@ -63,14 +63,14 @@
             some(eq(JobState::Completed)),
             "{away:?}"
         );
-        // Only the second step, and what the new owner had not read yet, starts anew.
+        // Only the second step, and jobs that the new owner had not read yet, are started.
         let restarts = fleet.promises.starts.len() - starts;
         expect_that!(restarts, eq(2), "{away:?}");
     }
 }
 
-/// Symptom: all submissions are refused while a part of the store is away. Cause: they all
-/// went to that part.
+/// All submissions were refused while a partition was unavailable, as all of them went to that
+/// partition.
 #[gtest]
 fn submissions_use_available_partitions() {
     let mut fleet = Fleet::new(3, 4);
@@ -87,10 +87,9 @@
     }
 }
 
-/// Symptom: one host after the other claims and none owns for longer than a second, as soon
-/// as no jobs come in. Sequence: the owner dies; the host that claims reads while its long
-/// polls wait. Cause: more calls were under way than there were connections to the store, so
-/// the reads waited for two seconds behind long polls.
+/// When no jobs were submitted, one host after the other claimed, and none owned for longer than a
+/// second. More calls were pending than there were connections to the store, so the reads of a
+/// claiming host waited behind long polls for two seconds.
 #[gtest]
 fn concurrent_calls_to_the_store_stay_within_the_limit() {
     let mut fleet = Fleet::new(4, 4);
@@ -113,14 +112,13 @@
     expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
 }
 
-/// Time in which an owner that reaches the store knows of what other hosts have stored.
+/// Time in which an owner that reaches the store reads what other hosts have stored.
 const READ_WITHIN_MS: u64 = 1_200;
 
-/// Symptom: jobs taken in by other hosts do not begin for seconds, and tasks of cancelled ones
-/// go on being started, though the owner reaches store and workers. Sequence: the owner's
-/// connections to the store go silent, as when the store drops what was sent into an outage;
-/// then a job is stored, and one is cancelled. Cause: the owner hears of both by reads that
-/// the store holds back, and awaited the lost ones to their end.
+/// Jobs that other hosts had accepted did not start for seconds, and tasks of cancelled jobs were
+/// still started, though the owner reached the store and the workers. The owner's connections to
+/// the store had gone silent, as when the store drops what was sent during an outage. The owner
+/// learns of jobs and cancellations by long polls, and awaited the lost ones until their timeout.
 #[gtest]
 fn an_owner_reads_new_jobs_soon_after_its_reads_were_lost() {
     for offset in 0..8 {
@@ -148,8 +146,8 @@
     }
 }
 
-/// The same beside a store that answers nothing: all calls are awaited to their end then, and
-/// the first ones after its return must not wait for them.
+/// The same with a store that answers nothing: all calls are then pending until their timeout, and
+/// the first calls after its return must not wait for them.
 #[gtest]
 fn calls_during_an_outage_stay_within_the_limit() {
     let mut fleet = Fleet::new(4, 4);
@@ -169,9 +167,9 @@
     expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
 }
 
-/// Symptom: callers who ask about a job that a host does not know wait for 0.9 s before they
-/// are told to come again, while the store is known to be away. Cause: the host awaited reads
-/// that could bring nothing.
+/// Callers with queries for a job that a host does not know waited for 0.9 s before they were told
+/// to retry, while the store was known to be unavailable: the host awaited reads that could not
+/// succeed.
 #[gtest]
 fn queries_are_deferred_at_once_while_the_store_is_unavailable() {
     let mut fleet = Fleet::new(3, 4);
@@ -193,15 +191,15 @@
     }
 }
 
-/// Calls of a host that does not own into an outage: those that notice the store's return, and
-/// those for rules, which a store that refuses at once answers four times a second.
+/// Calls per second of a host that does not own during an outage: those that detect the store's
+/// return, and those for rules, which a store that refuses at once answers four times a second.
 const PROBES_PER_S: usize = 9;
-/// Time after the store's return by which every host takes callers again.
+/// Time after the store's return by which every host is ready again.
 const RECOVERY_MS: u64 = 250;
 
-/// Symptom: hosts refuse what the store would take for half a second and more after it is back.
-/// Cause: reads of all streams went on into the outage, each was awaited for half a second and
-/// more, and the next one went out a while after one had failed.
+/// Hosts refused callers for half a second and more after the store's return. They continued to
+/// read all streams during the outage, awaited each read for half a second and more, and sent the
+/// next one a while after one had failed.
 #[gtest]
 fn hosts_call_an_unavailable_store_rarely_and_recover_soon() {
     const HOSTS: usize = 8;
@@ -230,13 +228,12 @@
     }
 }
 
-/// Symptom: tasks that had ended well run a second time, all those of a job at once. Sequence:
-/// part of the store goes away just after a job was stored there; the owner stops, and its
-/// successor begins without that part; tasks of the job end meanwhile, and their ends are passed
-/// over, as nothing is known of the job; its caller submits it again, and it is stored in a part
-/// that is there. Cause: the successor took the job in, with the runs that were on record, and
-/// did not look again at the ends that it had passed over: it took these runs for lost. From the
-/// log of such a day:
+/// Completed tasks ran a second time, all those of a job at once. A job was stored in a partition
+/// that then became unavailable; the owner stopped, and its successor started without that
+/// partition. Tasks of the job exited, and the exits were ignored, as the job was unknown. The
+/// caller submitted the job again, and it was stored in an available partition. The successor
+/// adopted the job with the runs on record, did not check the ignored exits again, and took the
+/// runs for lost. From the log of such a day:
 ///
 /// ```text
 /// 30.435 JobStored what=submit           32.409 OwnerSuspected leaving=true
@@ -251,7 +248,7 @@
         let owner = owner(&fleet);
         let other = (owner + 1) % 3;
         let submission = job(vec![step(6, 1_200, &[])]);
-        // Appends take the parts in turn, so one of these goes to the part that stays.
+        // Appends use the partitions in turn, so one of these goes to the partition that remains.
         for number in 0..partition {
             fleet.submit(owner, 0x10 + number, &job(vec![step(1, 50, &[])]));
             fleet.run(20);
@@ -295,12 +292,12 @@
     }
 }
 
-/// Symptom: while the store is away for some hosts, callers there wait for their whole time and learn
-/// nothing. Cause: a host that hears the owner asks the store for nothing but rules, and took seconds
-/// to notice that it is away.
+/// While the store was unavailable for some hosts, their callers waited until their timeout without
+/// an answer. A host that is connected to the owner reads only rules from the store, and took
+/// seconds to detect the outage.
 #[gtest]
 fn a_host_connected_to_the_owner_detects_an_outage_soon() {
-    /// A late append, and the doubt that it raises.
+    /// Time until an append is late, and for which the store must then be in doubt.
     const DETECTION_MS: u64 = 1_000;
     for mode in [Mode::Silent, Mode::Refuses] {
         let mut fleet = Fleet::with_relays(12, 12);
--- a/tests/dispatch_questions.rs
+++ b/tests/dispatch_questions.rs
@@ -1,4 +1,4 @@
-//! Questions of callers, event by event.
+//! Queries of callers, event by event.
 
 use crate::fleet::decode_config;
 use crate::fleet::decode_evacuation;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Makes a host that has loaded a store with rules and no jobs.
+/// Returns a host that has loaded a store with rules and no jobs.
 fn loaded() -> Entry {
     let decoders = Decoders {
         config: decode_config,
@@ -68,9 +68,9 @@
     tickets
 }
 
-/// Symptom: a host says that a job does not exist which another host has just accepted.
-/// Sequence: it reads for one caller; the job is stored; another caller asks for it within
-/// the same millisecond. Cause: the read was taken to have been sent after the question.
+/// A host answered that a job does not exist which another host had just accepted. It read for one
+/// caller, the job was stored, and another caller queried it within the same millisecond: the read
+/// was taken to have been sent after the second query.
 #[gtest]
 fn a_read_from_before_a_query_does_not_answer_it() {
     let mut entry = loaded();
@@ -100,8 +100,8 @@
     expect_that!(reads(&actions), not(is_empty()));
 }
 
-/// Each question how many jobs wait costs a read of each part of their stream, though callers bear a
-/// number that is two seconds old.
+/// Each query for the number of waiting jobs caused a read of each partition of their stream,
+/// although callers accept a number that is two seconds old.
 #[gtest]
 fn a_count_is_answered_from_recent_data() {
     let count = |request| Event::Count {
--- a/tests/dispatch_relays.rs
+++ b/tests/dispatch_relays.rs
@@ -1,4 +1,4 @@
-//! Orders of an owner that other hosts relay, and what happens when those fail.
+//! Orders of an owner that other hosts relay, and failures of these hosts.
 
 use crate::fleet::Fleet;
 use crate::fleet::job;
@@ -12,12 +12,12 @@
 const WORKERS: usize = 12;
 const JOB: u64 = 1;
 
-/// What happens to hosts that relay, or to their connections.
+/// A fault of a host that relays orders, or of its connections.
 struct Case {
     name: &'static str,
     inject_fault: fn(&mut Fleet, usize),
     end_fault: fn(&mut Fleet, usize),
-    /// Time by which the job has ended, after it was handed in. Its two steps take 1,500 ms.
+    /// Time after its submission by which the job has completed. Its two steps take 1,500 ms.
     ends_within_ms: u64,
 }
 
@@ -30,14 +30,14 @@
         end_fault: no_fault,
         ends_within_ms: 2_200,
     },
-    // Its connection ends, and its orders count as unknown; other relays ask what came of them.
+    // Its connection closes and its orders count as unknown. Other relays poll for the outcomes.
     Case {
         name: "a relay is killed",
         inject_fault: |fleet, relay| fleet.kill(relay),
         end_fault: no_fault,
         ends_within_ms: 3_000,
     },
-    // Nothing tells of it but orders that are overdue.
+    // Only overdue orders show it.
     Case {
         name: "a relay hangs",
         inject_fault: |fleet, relay| fleet.pause(relay),
@@ -50,7 +50,7 @@
         end_fault: no_fault,
         ends_within_ms: 4_500,
     },
-    // The owner has no relay left, and gives its orders by itself.
+    // The owner has no relay left and sends its orders directly.
     Case {
         name: "all relays are killed",
         inject_fault: |fleet, _| {
@@ -64,7 +64,7 @@
         end_fault: no_fault,
         ends_within_ms: 3_500,
     },
-    // It takes no further orders, and what it has is answered.
+    // It accepts no further orders, and answers those that it has.
     Case {
         name: "a relay is stopped as planned",
         inject_fault: |fleet, relay| fleet.stop(relay),
@@ -73,8 +73,8 @@
     },
 ];
 
-/// Symptom: tasks wait for seconds, run twice, or never run, after a host that was no owner has
-/// failed. Sequence: orders are with it, and nobody says what became of them.
+/// Tasks waited for seconds, ran twice, or never ran, after a host that was not the owner had
+/// failed: orders were pending at it, and their outcomes were unknown.
 #[gtest]
 fn jobs_survive_failures_of_the_hosts_that_relay_their_orders() {
     for case in CASES {
@@ -99,8 +99,8 @@
     }
 }
 
-/// Symptom: a worker is given up though it is well. Cause: the host that relays its looks can't
-/// reach it, and nobody else asked.
+/// A healthy worker was removed, because the host that relayed its polls could not reach it and no
+/// other host polled it.
 #[gtest]
 fn a_worker_that_relays_do_not_reach_is_called_directly() {
     let mut fleet = Fleet::with_relays(HOSTS, WORKERS);
@@ -123,14 +123,14 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Symptom: each of thirty hosts that are stopped in turn costs the owner of 6,000 workers a tenth of
-/// a second of a whole core. Cause: a relay that came or went had the relays of all workers selected
-/// anew, by a hash for each worker and relay.
+/// Each of thirty hosts that were stopped in turn cost the owner of 6,000 workers a tenth of a
+/// second of a whole core: a relay that was added or removed caused the relays of all workers to be
+/// selected anew, with a hash for each worker and relay.
 #[gtest]
 fn a_restarted_relay_affects_only_its_own_workers() {
     const MANY_HOSTS: usize = 60;
     const MANY_WORKERS: usize = 600;
-    /// Relays that each worker has, and times that one changes as a host stops and starts.
+    /// Relays of each worker, and changes of one relay when its host stops and starts.
     const RELAYS_PER_WORKER: u64 = 3;
     const CHANGES: u64 = 2;
     let mut fleet = Fleet::with_relays(MANY_HOSTS, MANY_WORKERS);
@@ -144,7 +144,7 @@
     fleet.run(3_000);
     expect_that!(fleet.owner(), some(eq(owner)));
     let per_change = RELAYS_PER_WORKER * (MANY_WORKERS / MANY_HOSTS) as u64;
-    // Workers are dealt out by chance: some relays have half as many again.
+    // Workers are distributed by hash: some relays have half as many again.
     let max_selections = CHANGES * per_change * 3 / 2;
     expect_that!(fleet.stats(owner).selected - before, le(max_selections));
 }
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -1,5 +1,5 @@
-//! Rules in force: hosts go by the newest ones soon after these were acknowledged, whatever
-//! has just happened to the store or to a host's connections.
+//! Rules in force: hosts apply the newest rules soon after their publication was acknowledged,
+//! whatever has just happened to the store or to a host's connections.
 
 use crate::dispatch::owner;
 use crate::fleet::Fleet;
@@ -11,14 +11,14 @@
 use rand_pcg::Pcg64;
 
 const HOSTS: usize = 3;
-/// Time between two questions of a caller.
+/// Time between two queries of a caller.
 const QUERY_INTERVAL_MS: u64 = 25;
-/// Outages begin at so many different moments of a host's reads, so far apart. Reads that
-/// wait take up to two seconds.
+/// Number and distance of the points in time, relative to a host's reads, at which outages begin.
+/// Long polls take up to two seconds.
 const OFFSETS: u64 = 24;
 const OFFSET_MS: u64 = 150;
 
-/// A disturbance, after which rules change.
+/// A fault, after which rules change.
 struct Case {
     name: &'static str,
     inject_fault: fn(&mut Fleet),
@@ -68,7 +68,7 @@
     },
 ];
 
-/// Lets a fleet run while callers ask every host for a queue.
+/// Runs a fleet while callers query every host for a queue.
 fn query_for(fleet: &mut Fleet, watch: &mut RulesWatch, letter: u8, ms: u64) {
     for _ in 0..ms / QUERY_INTERVAL_MS {
         for number in 0..HOSTS {
@@ -79,17 +79,17 @@
     }
 }
 
-/// A host that came through an outage of the store went on by rules that were ten seconds old
-/// for another three, while the others had moved on. It had sent a read that the store was to
-/// hold until a record came, 75 ms before the store was back, and the store had dropped it.
-/// The host waited for an answer to the end, and nothing made it ask again. What settled it:
+/// After an outage of the store, a host used rules that were ten seconds old for another three,
+/// while the others had newer ones. It had sent a long poll 75 ms before the store's return, the
+/// store had dropped it, and the host awaited it until its timeout. The log lines that showed the
+/// cause:
 ///
 /// ```text
 /// 14.1220 ReadFailed why=NoAnswer sent_age_ms=3200 waits=true failures=1 age_ms=12107   Rules
 /// 14.3805 RulesInForce queues=15 former_age_ms=12366                                   13
 /// ```
 #[gtest]
-fn rules_are_in_force_in_time_after_each_disturbance() {
+fn rules_are_in_force_in_time_after_each_fault() {
     for case in CASES {
         let mut broken = Vec::new();
         for offset in 0..OFFSETS {
@@ -114,13 +114,13 @@
     }
 }
 
-/// Sequences of disturbances that CI runs; `DISPATCH_SEQUENCES` asks for more.
+/// Sequences of faults that CI runs; `DISPATCH_SEQUENCES` sets another number.
 const SEQUENCES: u64 = 30;
 /// Turns of callers in one sequence.
 const TURNS: u64 = 1_600;
 const LETTERS: &[u8] = b"abcd";
 
-/// Disturbs a host or the store, or ends a disturbance.
+/// Injects a fault at a host or the store, or ends one.
 fn inject_random_fault(fleet: &mut Fleet, watch: &mut RulesWatch, random: &mut Pcg64) {
     let host = random.random_range(0..HOSTS);
     match random.random_range(0..14) {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Ends all disturbances.
+/// Ends all faults.
 fn end_all_faults(fleet: &mut Fleet) {
     fleet.store.mode = Mode::Up;
     for number in 0..HOSTS {
@@ -167,7 +167,7 @@
             let letter = LETTERS[random.random_range(0..LETTERS.len())];
             watch.toggle(letter, &mut fleet);
         }
-        // Spells of trouble and of quiet: in the latter hosts get in touch.
+        // Periods with faults alternate with periods without, in which hosts reach the store again.
         if turn >= faults_until + 200 {
             end_all_faults(&mut fleet);
             faults_until = turn + random.random_range(20..160);
@@ -188,9 +188,9 @@
     watch
 }
 
-/// Callers keep their connections while rules change in series and overlap with a store that
-/// is away, busy or loses answers, was compacted, and with hosts that are cut off, stand
-/// still or start again. Symptom: an answer that only older rules give.
+/// Callers keep their connections while rules change repeatedly and the store is unavailable, busy,
+/// loses answers or was compacted, and hosts are partitioned, hang or restart. No caller may get an
+/// answer that only older rules give.
 #[gtest]
 fn callers_are_answered_by_rules_in_force() {
     let sequences = std::env::var("DISPATCH_SEQUENCES")
@@ -201,14 +201,14 @@
         let watch = run_sequence(seed);
         expect_that!(watch.broken, is_empty(), "seed {seed}");
         expect_that!(watch.told, gt(100), "seed {seed}");
-        // A host in touch tells what is asked, rather than when to come again.
+        // A host that reaches the store answers queries, and rarely tells the caller to retry.
         expect_that!(watch.deferred * 100, le(watch.told), "seed {seed}");
     }
 }
 
-/// Symptom: rules published just after the store is back are in force half a second to a second
-/// late. Cause: the read that waits for them had been sent into the outage, and was taken to be
-/// under way, though it had been dropped.
+/// Rules that were published just after the store's return came into force half a second to a
+/// second late. The long poll for them had been sent during the outage and was taken to be pending,
+/// though the store had dropped it.
 #[gtest]
 fn rules_published_after_an_outage_are_in_force_at_once() {
     for offset in 0..OFFSETS {
