--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -348,29 +348,29 @@
         actions: &mut Vec<Action>,
     ) {
         self.callers.record_append(ticket, outcome, now.steady_ms);
-        let mut at = 0;
+        let mut index = 0;
         let mut stored = 0;
-        while at < self.callers.writes.len() {
-            let write = &mut self.callers.writes[at];
+        while index < self.callers.writes.len() {
+            let write = &mut self.callers.writes[index];
             if write.ticket != Some(ticket) {
-                at += 1;
+                index += 1;
                 continue;
             }
             write.ticket = None;
             match outcome {
                 AppendOutcome::Stored { offset } => {
-                    let write = self.callers.writes.remove(at);
+                    let write = self.callers.writes.remove(index);
                     self.complete_write(write, offset + stored, now, actions);
                     stored += 1;
                 }
                 AppendOutcome::Unknown => {
                     write.is_doubtful = true;
-                    at += 1;
+                    index += 1;
                 }
                 AppendOutcome::Refused | AppendOutcome::Fenced => {
                     write.refusals += 1;
                     write.retry_ms = now.steady_ms + RETRY_MS;
-                    at += 1;
+                    index += 1;
                 }
             }
         }
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -61,8 +61,8 @@
             }
             self.jobs.long_poll(long_poll_ms, now_ms, tickets, actions);
             self.jobs.confirm(long_poll_ms, now_ms, tickets, actions);
-            if now_ms >= self.workers_read_ms + self.workers_pause_ms {
-                self.workers_read_ms = now_ms;
+            if now_ms >= self.last_workers_read_ms + self.workers_interval_ms {
+                self.last_workers_read_ms = now_ms;
                 // Concurrent reads would return the same reports twice.
                 self.workers.read_now(0, now_ms, tickets, actions);
             }
@@ -78,9 +78,9 @@
         if self.reading.scope == Scope::All {
             self.follow_jobs(now_ms, actions);
         }
-        let pause_ms = self.election.poll_ms(now_ms, &self.job_table.owner);
-        if now_ms >= self.states_read_ms + pause_ms {
-            self.states_read_ms = now_ms;
+        let interval_ms = self.election.poll_ms(now_ms, &self.job_table.owner);
+        if now_ms >= self.last_states_read_ms + interval_ms {
+            self.last_states_read_ms = now_ms;
             self.states
                 .read_now(now_ms, now_ms, &mut self.tickets, actions);
         }
@@ -93,22 +93,22 @@
         if self.job_table.owner.token == 0 {
             return;
         }
-        let hosts_read_ms = *self.hosts_read_ms.get_or_insert(now_ms + HOSTS_READ_MS);
-        if now_ms >= hosts_read_ms && self.reading.owner_connection.is_none() {
-            self.jobs_read_ms = None;
-            self.hosts_read_ms = Some(u64::MAX);
+        let hosts_read_due_ms = *self.hosts_read_due_ms.get_or_insert(now_ms + HOSTS_READ_MS);
+        if now_ms >= hosts_read_due_ms && self.reading.owner_connection.is_none() {
+            self.last_jobs_read_ms = None;
+            self.hosts_read_due_ms = Some(u64::MAX);
         }
     }
 
     fn follow_jobs(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         self.read_hosts(now_ms);
-        let pause_ms = match self.callers.has_doubtful() {
+        let interval_ms = match self.callers.has_doubtful() {
             true => DOUBTFUL_POLL_MS,
             false => JOBS_POLL_MS,
         };
-        let read_ms = self.jobs_read_ms;
-        if read_ms.is_none_or(|read_ms| now_ms >= read_ms + pause_ms) {
-            self.jobs_read_ms = Some(now_ms);
+        let read_ms = self.last_jobs_read_ms;
+        if read_ms.is_none_or(|read_ms| now_ms >= read_ms + interval_ms) {
+            self.last_jobs_read_ms = Some(now_ms);
             self.jobs
                 .read_now(now_ms, now_ms, &mut self.tickets, actions);
         }
@@ -178,12 +178,12 @@
             return;
         }
         self.next_purge_ms = now.steady_ms + PURGE_MS;
-        let kept_ms = self.bounds.status_ms + STATUS_SLACK_MS;
+        let retention_ms = self.bounds.status_ms + STATUS_SLACK_MS;
         let mut expired = Vec::new();
         for (id, job) in &self.job_table.jobs {
             if job
                 .final_wall_ms()
-                .is_some_and(|final_wall_ms| now.wall_ms >= final_wall_ms + kept_ms)
+                .is_some_and(|final_wall_ms| now.wall_ms >= final_wall_ms + retention_ms)
             {
                 expired.push(*id);
             }
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -66,7 +66,7 @@
     ticket: Option<u64>,
     retry_ms: u64,
     /// When the store confirmed the claim.
-    known_stored_ms: Option<u64>,
+    confirmed_ms: Option<u64>,
     /// Appends heartbeats from then on, until this host owns.
     heartbeats: Appender,
     heartbeat: u64,
@@ -104,13 +104,13 @@
     rules: Tail,
     workers: Tail,
     loading: LoadingReport,
-    jobs_read_ms: Option<u64>,
+    last_jobs_read_ms: Option<u64>,
     /// When to read which hosts exist; set once an owner is on record.
-    hosts_read_ms: Option<u64>,
-    states_read_ms: u64,
-    workers_read_ms: u64,
+    hosts_read_due_ms: Option<u64>,
+    last_states_read_ms: u64,
+    last_workers_read_ms: u64,
     /// Interval between reads of the list of workers.
-    workers_pause_ms: u64,
+    workers_interval_ms: u64,
     next_purge_ms: u64,
     job_table: JobTable,
     config: Option<Rc<Config>>,
@@ -134,7 +134,7 @@
     contact: StoreContact,
     are_rules_outdated: bool,
     /// Offset of the wall clock from the steady clock.
-    clock_lead_ms: Option<u64>,
+    clock_offset_ms: Option<u64>,
 }
 
 impl Entry {
@@ -157,11 +157,11 @@
             rules: Tail::new(Stream::Rules, salt),
             workers: Tail::new(Stream::Workers, salt),
             loading: LoadingReport::default(),
-            jobs_read_ms: None,
-            hosts_read_ms: None,
-            states_read_ms: 0,
-            workers_read_ms: 0,
-            workers_pause_ms: MAX_LIST_PAUSE_MS,
+            last_jobs_read_ms: None,
+            hosts_read_due_ms: None,
+            last_states_read_ms: 0,
+            last_workers_read_ms: 0,
+            workers_interval_ms: MAX_LIST_PAUSE_MS,
             next_purge_ms: 0,
             job_table: JobTable::default(),
             config: None,
@@ -178,7 +178,7 @@
             is_store_unavailable: false,
             contact: StoreContact::default(),
             are_rules_outdated: false,
-            clock_lead_ms: None,
+            clock_offset_ms: None,
         }
     }
 
--- a/crates/dispatch/src/entry/ownership.rs
+++ b/crates/dispatch/src/entry/ownership.rs
@@ -45,7 +45,7 @@
         {
             return;
         }
-        let own = HostRecord {
+        let own_record = HostRecord {
             cpu_permille: self.bounds.cpu_permille,
             relay_address: self.bounds.relay_address.to_string(),
         };
@@ -53,7 +53,7 @@
         // it.
         let is_known = match self.reading.asks_owner() {
             true => !self.may_be_unknown_to_owner(now.steady_ms),
-            false => self.job_table.hosts.get(&self.host) == Some(&own),
+            false => self.job_table.hosts.get(&self.host) == Some(&own_record),
         };
         if is_known {
             return;
@@ -67,7 +67,7 @@
             fence: None,
             records: vec![(
                 Key::Host(self.host.clone()).text(),
-                own.encode_to_vec().into(),
+                own_record.encode_to_vec().into(),
             )],
             timeout_ms: CLAIM_TIMEOUT_MS,
         });
@@ -80,17 +80,21 @@
         outcome: AppendOutcome,
         now: Now,
     ) -> bool {
-        if self.announcement.take_if(|own| *own == ticket).is_none() {
+        if self
+            .announcement
+            .take_if(|pending| *pending == ticket)
+            .is_none()
+        {
             return false;
         }
         // The announcement is confirmed once it is read back.
         let is_stored = matches!(outcome, AppendOutcome::Stored { .. });
-        let pause_ms = if is_stored {
+        let delay_ms = if is_stored {
             READ_BACK_MS
         } else {
             ANNOUNCE_RETRY_MS
         };
-        self.next_announce_ms = now.steady_ms + pause_ms;
+        self.next_announce_ms = now.steady_ms + delay_ms;
         true
     }
 
@@ -128,7 +132,7 @@
                 fence,
                 ticket: None,
                 retry_ms: 0,
-                known_stored_ms: None,
+                confirmed_ms: None,
                 // The claim itself has sequence number 0.
                 heartbeats: Appender::new(Stream::States, 1, now.steady_ms),
                 heartbeat: 0,
@@ -165,7 +169,7 @@
         let Some(claim) = self
             .claim
             .as_mut()
-            .filter(|claim| claim.known_stored_ms.is_some())
+            .filter(|claim| claim.confirmed_ms.is_some())
         else {
             return;
         };
@@ -184,9 +188,7 @@
         let Some(claim) = &mut self.claim else {
             return;
         };
-        if claim.ticket.is_some()
-            || claim.known_stored_ms.is_some()
-            || now.steady_ms < claim.retry_ms
+        if claim.ticket.is_some() || claim.confirmed_ms.is_some() || now.steady_ms < claim.retry_ms
         {
             return;
         }
@@ -205,7 +207,7 @@
     /// Starts to own once everything before the claim and every job stored so far is read, and the
     /// list of workers is available.
     fn finish_claim(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let Some(stored_ms) = self.claim.as_ref().and_then(|claim| claim.known_stored_ms) else {
+        let Some(stored_ms) = self.claim.as_ref().and_then(|claim| claim.confirmed_ms) else {
             return;
         };
         let token = self.claim.as_ref().map_or(0, |claim| claim.fence.epoch);
@@ -292,7 +294,7 @@
         claim.ticket = None;
         match outcome {
             AppendOutcome::Stored { offset } => {
-                claim.known_stored_ms = Some(now.steady_ms);
+                claim.confirmed_ms = Some(now.steady_ms);
                 self.progress = Tail::new(Stream::Progress, self.salt);
                 self.recovered = RecoveredState::default();
                 let epoch = claim.fence.epoch;
--- a/crates/dispatch/src/entry/queries.rs
+++ b/crates/dispatch/src/entry/queries.rs
@@ -315,10 +315,10 @@
         }
         if is_late {
             // A host whose data may be outdated must not answer that a job does not exist.
-            let unsure = Reply::NotDone {
+            let retry_later = Reply::NotDone {
                 retry_after_ms: RETRY_AFTER_MS,
             };
-            return Some(record.map_or(unsure, |record| Reply::State(record.state())));
+            return Some(record.map_or(retry_later, |record| Reply::State(record.state())));
         }
         let tickets = &mut self.tickets;
         match record {
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -188,11 +188,11 @@
 
     /// Stops reading jobs once an owner answers queries about them.
     fn stop_reading_jobs(&mut self, now_ms: u64) {
-        let is_heard = self.reading.owner_connection.is_some();
+        let is_connected = self.reading.owner_connection.is_some();
         let is_connection_stable =
             now_ms >= self.reading.connection_changed_ms + STABLE_CONNECTION_MS;
         let is_owner_or_claiming = self.owner.is_some() || self.claim.is_some();
-        if !is_heard || !is_connection_stable || is_owner_or_claiming {
+        if !is_connected || !is_connection_stable || is_owner_or_claiming {
             return;
         }
         // A host that has not read which hosts exist uses the owner's survey.
--- a/crates/dispatch/src/entry/suspension.rs
+++ b/crates/dispatch/src/entry/suspension.rs
@@ -15,11 +15,11 @@
     /// Compares the clocks. A wall clock that was set forward looks like a suspension, and costs a
     /// read of each stream.
     pub(super) fn detect_suspension(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let lead_ms = now.wall_ms.saturating_sub(now.steady_ms);
-        let Some(previous_ms) = self.clock_lead_ms.replace(lead_ms) else {
+        let offset_ms = now.wall_ms.saturating_sub(now.steady_ms);
+        let Some(previous_ms) = self.clock_offset_ms.replace(offset_ms) else {
             return;
         };
-        let jump_ms = lead_ms.saturating_sub(previous_ms);
+        let jump_ms = offset_ms.saturating_sub(previous_ms);
         if jump_ms < MIN_JUMP_MS {
             return;
         }
--- a/crates/dispatch/src/entry/worker_list.rs
+++ b/crates/dispatch/src/entry/worker_list.rs
@@ -24,7 +24,8 @@
         let bytes = records_bytes(rows.map(|record| (&*record.key, &*record.value)));
         if !progress.is_reloaded && bytes > 0 {
             let link_bytes_per_s = self.bounds.link_bytes_per_s;
-            self.workers_pause_ms = list_pause_ms(self.workers_pause_ms, bytes, link_bytes_per_s);
+            self.workers_interval_ms =
+                list_pause_ms(self.workers_interval_ms, bytes, link_bytes_per_s);
         }
         let mut changed = Vec::with_capacity(progress.records.len());
         for record in progress.records {
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -168,9 +168,9 @@
     pub(crate) fn owner_connection(&self, token: u64, now_ms: u64) -> Option<ConnectionId> {
         let mut found: Option<(u64, ConnectionId)> = None;
         for (conn, session) in &self.sessions {
-            let is_heard = now_ms <= session.last_received_ms + OWNER_SILENCE_MS;
+            let is_recent = now_ms <= session.last_received_ms + OWNER_SILENCE_MS;
             let is_newer = found.is_none_or(|(newest, _)| session.token > newest);
-            if is_heard && session.token >= token && is_newer {
+            if is_recent && session.token >= token && is_newer {
                 found = Some((session.token, *conn));
             }
         }
