--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -44,8 +44,8 @@
 /// Time for which a partition that refused an append, or did not answer, gets no appends:
 /// partitions are unavailable for seconds.
 const AVOID_PARTITION_MS: u64 = 1_000;
-/// Maximum number of concurrent appends of this host. Writes that arrive meanwhile share the next
-/// one.
+/// Maximum number of concurrent appends of this host. Writes that arrive while all of them are
+/// pending share the next append.
 const MAX_FLIGHTS: usize = 4;
 /// Maximum number of records in one append.
 const MAX_BATCH: usize = 64;
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -27,7 +27,8 @@
 /// Time without an answer of the store after which a host is no longer ready, and refuses at once
 /// what it could not store.
 const STORE_UNAVAILABLE_MS: u64 = 1_800;
-/// The same time, from a late or failed call, on a host that otherwise sends no calls to the store.
+/// Time without an answer, since a late or failed call, after which a host that otherwise sends no
+/// calls to the store is no longer ready.
 const MAX_DOUBT_MS: u64 = 600;
 /// Time for which the state of a final job is available to callers beyond what the bounds require.
 const STATUS_SLACK_MS: u64 = 60_000;
--- a/crates/dispatch/src/entry/queries.rs
+++ b/crates/dispatch/src/entry/queries.rs
@@ -41,7 +41,7 @@
     Write(u64),
 }
 
-/// A query that was forwarded to the owner and has no answer yet.
+/// A query that was forwarded to the owner.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Flight {
     conn: ConnectionId,
@@ -57,7 +57,7 @@
     /// The host's latest ticket when the query arrived. Data read under an earlier ticket may lack
     /// a job that was stored within the same millisecond.
     pub(crate) after_ticket: u64,
-    /// Set once it was forwarded to the owner.
+    /// Set once the query was forwarded to the owner.
     pub(crate) flight: Option<Flight>,
     /// The owner's answer.
     pub(crate) reply: Option<Reply>,
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -134,7 +134,7 @@
         true
     }
 
-    /// Detects that the owner's connection has come or gone.
+    /// Detects that the owner's connection has opened or closed.
     fn record_owner_connection(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         let conn = self
             .relay
