--- a/crates/dispatch/src/entry/callers.rs
+++ b/crates/dispatch/src/entry/callers.rs
@@ -1,11 +1,14 @@
-//! Callers who await that something is stored: submissions and cancellations.
+//! Writes that callers await: submissions and cancellations.
+//!
+//! A caller is answered once its write is stored. A write whose append failed is retried in another
+//! partition. An append without an answer may still be carried out, so its write is read back.
 
 mod read_back;
 
 use crate::entry::Entry;
-use crate::entry::questions::About;
-use crate::entry::questions::Asker;
-use crate::entry::questions::Question;
+use crate::entry::queries::PendingQuery;
+use crate::entry::queries::QueryKind;
+use crate::entry::queries::Requester;
 use crate::event::Action;
 use crate::event::AppendOutcome;
 use crate::event::Now;
@@ -22,32 +25,35 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What a record holds beside its value: the key and its length.
+/// Bytes of a record beside its value: the key and its length.
 const KEY_BYTES: u64 = 64;
-/// Time after which an append without an answer is repeated; a job stored twice remains
-/// one. The store answers in 4 ms, and in 240 ms when it is sixty times slower.
+/// Time after which an append without an answer is retried; a job that is stored twice remains one
+/// job. The store answers in 4 ms, and in 240 ms when it is sixty times slower.
 const APPEND_TIMEOUT_MS: u64 = 700;
-/// A store that takes longer than this for an append is slow. A stream takes its appends
-/// one by one, so a slow one gets one of this host at a time, with all that waits.
-const SLOW_MS: u64 = 60;
-/// Time after which an append counts as late, where nothing else tells how the store is.
-const LATE_MS: u64 = 200;
-/// An append to a slow store is given up after so many times what the latest ones took.
-const SLOW_FACTOR: u64 = 4;
-/// Pause before a refused append is repeated, at another part.
+/// Average latency of appends above which the store counts as slow. A stream executes its appends
+/// one by one, so a slow store gets one append of this host at a time, with all writes that are
+/// pending.
+const SLOW_APPEND_MS: u64 = 60;
+/// Time after which an append counts as late on a host that has no other sign of the store's
+/// condition.
+const LATE_APPEND_MS: u64 = 200;
+/// Timeout of an append to a slow store, as a multiple of the latency of the latest appends.
+const TIMEOUT_FACTOR: u64 = 4;
+/// Delay before a refused append is retried, in another partition.
 const RETRY_MS: u64 = 120;
-/// Time for which a part that refused an append, or gave no answer, is left alone: parts
-/// are away for seconds.
-const AVOID_MS: u64 = 1_000;
-/// Appends of this host under way at once. Jobs that come meanwhile share the next one.
+/// Time for which a partition that refused an append, or did not answer, gets no appends:
+/// partitions are unavailable for seconds.
+const AVOID_PARTITION_MS: u64 = 1_000;
+/// Maximum number of concurrent appends of this host. Writes that arrive while all of them are
+/// pending share the next append.
 const MAX_FLIGHTS: usize = 4;
-/// Records in one append.
+/// Maximum number of records in one append.
 const MAX_BATCH: usize = 64;
-/// Time that the way back to the caller may take.
-const WAY_MS: u64 = 150;
-/// Time that a caller of unknown patience is made to wait at most.
+/// Time reserved for the answer to reach the caller, out of the caller's own timeout.
+const REPLY_MARGIN_MS: u64 = 150;
+/// Maximum time for which a caller waits, also one whose timeout is unknown.
 const MAX_ANSWER_TIMEOUT_MS: u64 = 2_500;
-/// After that long a store in trouble may be better.
+/// Delay after which a caller is told to retry, as the store may have recovered by then.
 pub(crate) const RETRY_AFTER_MS: u64 = 1_000;
 
 /// A write that a caller awaits.
@@ -57,36 +63,36 @@
     job: JobId,
     key: Key,
     value: Box<[u8]>,
-    give_up_ms: u64,
-    taken_ms: u64,
+    deadline_ms: u64,
+    received_ms: u64,
     retry_ms: u64,
-    /// The append under way.
+    /// Ticket of the pending append.
     ticket: Option<u64>,
-    /// An earlier append may yet be carried out.
+    /// An earlier append had no answer and may still be carried out.
     is_doubtful: bool,
-    /// The owner knows of it.
+    /// The owner has confirmed that it is stored.
     is_read_back: bool,
-    /// When the owner may be asked whether it does.
-    ask_ms: u64,
+    /// When the owner may next be queried for it.
+    next_query_ms: u64,
     refusals: u32,
 }
 
-/// All callers who await an answer.
+/// All writes and queries that callers await.
 #[derive(Debug)]
 pub(crate) struct Callers {
     writes: Vec<Write>,
-    pub(crate) questions: Vec<Question>,
-    /// Appends under way, by ticket.
+    pub(crate) queries: Vec<PendingQuery>,
+    /// Pending appends, by ticket.
     flights: HashMap<u64, Flight>,
-    /// Until when each part of the stream of jobs is left alone, after a failure.
+    /// Time until which each partition of the stream of jobs is avoided, after a failure.
     avoided_until_ms: Vec<u64>,
-    /// The part that the next append goes to.
+    /// Partition of the next append.
     next_partition: usize,
-    /// What appends take of late.
+    /// Moving average of the latency of appends.
     append_ms: u64,
 }
 
-/// An append under way.
+/// A pending append.
 #[derive(Debug)]
 struct Flight {
     sent_ms: u64,
@@ -94,12 +100,13 @@
 }
 
 impl Callers {
-    /// Hosts begin with different parts, so that these share the load.
+    /// Creates the state of a host without callers. Hosts start with different partitions to spread
+    /// the load.
     pub(crate) fn new(host: &str, partitions: u8) -> Self {
         let partitions = usize::from(partitions.max(1));
         Self {
             writes: Vec::new(),
-            questions: Vec::new(),
+            queries: Vec::new(),
             flights: HashMap::new(),
             avoided_until_ms: vec![0; partitions],
             next_partition: xxh3_64(host.as_bytes()) as usize % partitions,
@@ -107,12 +114,13 @@
         }
     }
 
-    /// Tells whether an append that callers await had no answer.
+    /// Returns whether a write awaits an append that had no answer.
     pub(crate) fn has_doubtful(&self) -> bool {
         self.writes.iter().any(|write| write.is_doubtful)
     }
 
-    /// Chooses the part for an append: in turn, past those that have just failed.
+    /// Returns the partition for an append: round robin, without those that have just failed unless
+    /// all have.
     pub(crate) fn choose_partition(&mut self, now_ms: u64) -> u8 {
         let partitions = self.avoided_until_ms.len();
         let mut partition = self.next_partition;
@@ -128,28 +136,28 @@
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.writes.is_empty() && self.questions.is_empty()
+        self.writes.is_empty() && self.queries.is_empty()
     }
 
-    /// Notes the end of an append.
+    /// Records the outcome of an append: its latency, and a failure of its partition.
     fn record_append(&mut self, ticket: u64, outcome: AppendOutcome, now_ms: u64) {
         let Some(flight) = self.flights.remove(&ticket) else {
             return;
         };
         self.append_ms = (self.append_ms + now_ms - flight.sent_ms) / 2;
         if matches!(outcome, AppendOutcome::Refused | AppendOutcome::Unknown) {
-            self.avoided_until_ms[flight.partition] = now_ms + AVOID_MS;
+            self.avoided_until_ms[flight.partition] = now_ms + AVOID_PARTITION_MS;
         }
     }
 
-    /// Tells whether an append takes longer than one does on a store that is well.
+    /// Returns whether a pending append takes longer than it does at a healthy store.
     pub(crate) fn has_late_append(&self, now_ms: u64) -> bool {
         let mut flights = self.flights.values();
-        flights.any(|flight| now_ms >= flight.sent_ms + LATE_MS)
+        flights.any(|flight| now_ms >= flight.sent_ms + LATE_APPEND_MS)
     }
 
     fn max_flights(&self) -> usize {
-        if self.append_ms > SLOW_MS {
+        if self.append_ms > SLOW_APPEND_MS {
             1
         } else {
             MAX_FLIGHTS
@@ -157,12 +165,12 @@
     }
 
     fn timeout_ms(&self) -> u64 {
-        (self.append_ms * SLOW_FACTOR).clamp(APPEND_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
+        (self.append_ms * TIMEOUT_FACTOR).clamp(APPEND_TIMEOUT_MS, MAX_ANSWER_TIMEOUT_MS)
     }
 }
 
 impl Entry {
-    /// Takes a job in: it is stored before the caller is told so.
+    /// Accepts a job. The caller is answered once the job is stored.
     pub(crate) fn submit(
         &mut self,
         request: u64,
@@ -205,7 +213,7 @@
         );
     }
 
-    /// Takes the cancelling of a job in.
+    /// Accepts the cancellation of a job.
     pub(crate) fn cancel(
         &mut self,
         request: u64,
@@ -224,9 +232,9 @@
             Some(record) if record.submission.is_some() => {
                 self.write_cancel(request, job, answer_timeout_ms, now, actions);
             }
-            _ => self.ask(
-                Asker::Caller(request),
-                About::Cancel(job, answer_timeout_ms),
+            _ => self.add_query(
+                Requester::Caller(request),
+                QueryKind::Cancel(job, answer_timeout_ms),
                 now,
             ),
         }
@@ -266,7 +274,7 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        // What can't be stored soon is refused at once; nothing of it was sent.
+        // A write that can't be stored soon is refused at once; nothing of it was sent.
         if self.is_store_unavailable || self.config.is_none() {
             actions.push(Action::Note(Note::new(
                 Code::JobRefused,
@@ -283,25 +291,25 @@
         }
         let answer_timeout_ms = answer_timeout_ms
             .min(MAX_ANSWER_TIMEOUT_MS)
-            .saturating_sub(WAY_MS);
+            .saturating_sub(REPLY_MARGIN_MS);
         self.callers.writes.push(Write {
             request,
             job,
             key,
             value,
-            give_up_ms: now.steady_ms + answer_timeout_ms,
-            taken_ms: now.steady_ms,
+            deadline_ms: now.steady_ms + answer_timeout_ms,
+            received_ms: now.steady_ms,
             retry_ms: 0,
             ticket: None,
             is_doubtful: false,
             is_read_back: false,
-            ask_ms: 0,
+            next_query_ms: 0,
             refusals: 0,
         });
     }
 
-    /// Takes in the end of an append.
-    pub(crate) fn appended(
+    /// Handles the outcome of an append.
+    pub(crate) fn on_append(
         &mut self,
         ticket: u64,
         outcome: AppendOutcome,
@@ -310,11 +318,12 @@
     ) {
         match outcome {
             AppendOutcome::Fenced | AppendOutcome::Stored { .. } => {
-                self.contact.record_answer(self.quiet_ms(), now.steady_ms);
+                self.contact
+                    .record_answer(self.expected_silence_ms(), now.steady_ms);
             }
             AppendOutcome::Refused | AppendOutcome::Unknown => self.contact.suspect(now.steady_ms),
         }
-        if self.take_announced(ticket, outcome, now)
+        if self.handle_announcement(ticket, outcome, now)
             || self.handle_claim(ticket, outcome, now, actions)
         {
             return;
@@ -328,10 +337,10 @@
             }
             return;
         }
-        self.end_write(ticket, outcome, now, actions);
+        self.apply_append_outcome(ticket, outcome, now, actions);
     }
 
-    fn end_write(
+    fn apply_append_outcome(
         &mut self,
         ticket: u64,
         outcome: AppendOutcome,
@@ -339,35 +348,35 @@
         actions: &mut Vec<Action>,
     ) {
         self.callers.record_append(ticket, outcome, now.steady_ms);
-        let mut at = 0;
+        let mut index = 0;
         let mut stored = 0;
-        while at < self.callers.writes.len() {
-            let write = &mut self.callers.writes[at];
+        while index < self.callers.writes.len() {
+            let write = &mut self.callers.writes[index];
             if write.ticket != Some(ticket) {
-                at += 1;
+                index += 1;
                 continue;
             }
             write.ticket = None;
             match outcome {
                 AppendOutcome::Stored { offset } => {
-                    let write = self.callers.writes.remove(at);
-                    self.finish_write(write, offset + stored, now, actions);
+                    let write = self.callers.writes.remove(index);
+                    self.complete_write(write, offset + stored, now, actions);
                     stored += 1;
                 }
                 AppendOutcome::Unknown => {
                     write.is_doubtful = true;
-                    at += 1;
+                    index += 1;
                 }
                 AppendOutcome::Refused | AppendOutcome::Fenced => {
                     write.refusals += 1;
                     write.retry_ms = now.steady_ms + RETRY_MS;
-                    at += 1;
+                    index += 1;
                 }
             }
         }
     }
 
-    fn finish_write(&mut self, write: Write, offset: u64, now: Now, actions: &mut Vec<Action>) {
+    fn complete_write(&mut self, write: Write, offset: u64, now: Now, actions: &mut Vec<Action>) {
         let record = StoredRecord {
             offset,
             key: write.key.text(),
@@ -385,7 +394,7 @@
                 } else {
                     "submit"
                 },
-                now.steady_ms - write.taken_ms
+                now.steady_ms - write.received_ms
             ),
         )));
         actions.push(Action::Answer {
@@ -394,13 +403,13 @@
         });
     }
 
-    /// Sends what waits, answers what can be answered, gives up what is late.
-    pub(crate) fn serve(&mut self, now: Now, actions: &mut Vec<Action>) {
-        self.ask_for_writes(now);
-        self.settle_read_writes(now, actions);
+    /// Sends pending writes, answers what can be answered, and abandons writes that are overdue.
+    pub(crate) fn answer_callers(&mut self, now: Now, actions: &mut Vec<Action>) {
+        self.query_owner_for_writes(now);
+        self.answer_read_back_writes(now, actions);
         self.send_writes(now, actions);
-        self.give_up_writes(now, actions);
-        self.answer_questions(now, actions);
+        self.abandon_writes(now, actions);
+        self.answer_queries(now, actions);
     }
 
     fn send_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
@@ -439,14 +448,14 @@
         }
     }
 
-    fn give_up_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
+    fn abandon_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let is_store_unavailable = self.is_store_unavailable;
         self.callers.writes.retain(|write| {
-            // A write under way may be stored at any moment.
+            // A pending append may be carried out at any moment.
             let is_certain = !write.is_doubtful && write.ticket.is_none();
-            let is_hopeless = is_store_unavailable || write.refusals > 2;
-            let is_late = now.steady_ms >= write.give_up_ms;
-            if !(is_late || is_certain && is_hopeless) {
+            let is_unstorable = is_store_unavailable || write.refusals > 2;
+            let is_late = now.steady_ms >= write.deadline_ms;
+            if !(is_late || is_certain && is_unstorable) {
                 return true;
             }
             let (reply, code) = match is_certain {
@@ -463,7 +472,7 @@
                 write.job.to_string(),
                 format!(
                     "waited_ms={} refusals={} doubtful={}",
-                    now.steady_ms - write.taken_ms,
+                    now.steady_ms - write.received_ms,
                     write.refusals,
                     write.is_doubtful
                 ),
--- a/crates/dispatch/src/entry/callers/read_back.rs
+++ b/crates/dispatch/src/entry/callers/read_back.rs
@@ -1,9 +1,9 @@
-//! Writes whose append had no answer: whether they are stored shows by reading them back, or by
-//! asking the owner where this host does not read jobs.
+//! Writes whose append had no answer. A host that reads jobs learns from its reads whether they are
+//! stored; any other host queries the owner.
 
 use crate::entry::Entry;
-use crate::entry::questions::About;
-use crate::entry::questions::Asker;
+use crate::entry::queries::QueryKind;
+use crate::entry::queries::Requester;
 use crate::event::Action;
 use crate::event::Now;
 use crate::event::Reply;
@@ -12,14 +12,14 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Pause between two questions to the owner for a write whose append had no answer.
-const ASK_AGAIN_MS: u64 = 600;
+/// Interval between queries to the owner for a write whose append had no answer.
+const QUERY_RETRY_MS: u64 = 600;
 
 impl Entry {
-    /// Answers those whose append had no answer and is read back.
-    pub(super) fn settle_read_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
+    /// Answers the callers whose append had no answer and whose write was read back.
+    pub(super) fn answer_read_back_writes(&mut self, now: Now, actions: &mut Vec<Action>) {
         let jobs = &self.job_table.jobs;
-        let mut settled = Vec::new();
+        let mut stored_writes = Vec::new();
         self.callers.writes.retain(|write| {
             let record = jobs.get(&write.job);
             let is_stored = write.is_doubtful
@@ -29,12 +29,12 @@
                     _ => record.is_some_and(|record| record.submission.is_some()),
                 };
             if is_stored {
-                settled.push((write.request, write.job, write.taken_ms));
+                stored_writes.push((write.request, write.job, write.received_ms));
             }
             !is_stored
         });
-        for (request, job, taken_ms) in settled {
-            let took_ms = now.steady_ms - taken_ms;
+        for (request, job, received_ms) in stored_writes {
+            let took_ms = now.steady_ms - received_ms;
             actions.push(Action::Note(Note::new(
                 Code::JobStored,
                 job.to_string(),
@@ -47,25 +47,25 @@
         }
     }
 
-    /// Asks the owner for writes whose append had no answer, where this host does not read jobs.
-    pub(super) fn ask_for_writes(&mut self, now: Now) {
-        if !self.reading.is_quiet() {
+    /// Queries the owner for writes whose append had no answer, on a host that does not read jobs.
+    pub(super) fn query_owner_for_writes(&mut self, now: Now) {
+        if !self.reading.reads_only_rules() {
             return;
         }
         let mut due = Vec::new();
         for write in &mut self.callers.writes {
-            if !write.is_doubtful || write.is_read_back || now.steady_ms < write.ask_ms {
+            if !write.is_doubtful || write.is_read_back || now.steady_ms < write.next_query_ms {
                 continue;
             }
-            write.ask_ms = now.steady_ms + ASK_AGAIN_MS;
+            write.next_query_ms = now.steady_ms + QUERY_RETRY_MS;
             due.push((write.request, write.job));
         }
         for (request, job) in due {
-            self.ask(Asker::Write(request), About::State(job), now);
+            self.add_query(Requester::Write(request), QueryKind::State(job), now);
         }
     }
 
-    /// Takes in what the owner says of the job of a write.
+    /// Applies the owner's answer about the job of a write.
     pub(in crate::entry) fn record_read_back(&mut self, request: u64, reply: &Reply) {
         let Reply::State(state) = reply else {
             return;
--- a/crates/dispatch/src/entry/loading.rs
+++ b/crates/dispatch/src/entry/loading.rs
@@ -1,9 +1,9 @@
-//! What a host that has just started still has to read, and telling so.
+//! Progress of the initial load, and its report in the log.
 //!
-//! Right after all hosts have started, each of them reads all jobs and their states. On a
-//! thin link that takes seconds. A host that took callers meanwhile would answer questions
-//! about jobs that it has not read with "come again", and its callers would be late; one
-//! line a second says what it still waits for and how far it is.
+//! Right after all hosts have started, each of them reads all jobs and their states, which takes
+//! seconds over a slow link. A host that accepted callers in the meantime would answer queries
+//! about jobs that it has not read with a request to retry, and its callers would time out. One log
+//! line a second states which streams are missing and how many records have arrived.
 
 use crate::entry::Entry;
 use crate::event::Action;
@@ -12,10 +12,10 @@
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
-/// Pause between two lines about what is missing.
-const REPORT_MS: u64 = 1_000;
+/// Interval between log lines about missing streams.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// What was said about loading.
+/// What was logged about loading.
 #[derive(Debug, Default)]
 pub(super) struct LoadingReport {
     since_ms: Option<u64>,
@@ -24,31 +24,32 @@
 }
 
 impl Entry {
-    /// Tells whether jobs or states still come in. A stream that the store refuses or does
-    /// not answer for is not waited for: it may be away for long, and the others serve.
+    /// Returns whether jobs or states still arrive. A stream that the store refuses, or for which
+    /// it does not answer, is not awaited: it may be unavailable for long, and the others suffice
+    /// to serve callers.
     pub(super) fn is_loading(&self) -> bool {
-        self.followed().any(Tail::is_arriving)
+        self.followed_tails().any(Tail::is_arriving)
     }
 
-    fn followed(&self) -> impl Iterator<Item = &Tail> {
+    fn followed_tails(&self) -> impl Iterator<Item = &Tail> {
         let reads_jobs = !self.reading.asks_owner();
         let jobs = self.jobs.iter().filter(move |_| reads_jobs);
         jobs.chain([&self.states])
     }
 
-    /// Says once a second what is missing, and once that nothing is.
+    /// Logs once a second which streams are missing, and once that all are loaded.
     pub(super) fn report_loading(&mut self, now: Now, actions: &mut Vec<Action>) {
         let now_ms = now.steady_ms;
         if self.loading.is_done {
             return;
         }
         let since_ms = *self.loading.since_ms.get_or_insert(now_ms);
-        let is_done = self.followed().all(Tail::is_loaded);
-        let is_due = now_ms >= since_ms + REPORT_MS * (self.loading.reports + 1);
+        let is_done = self.followed_tails().all(Tail::is_loaded);
+        let is_due = now_ms >= since_ms + REPORT_INTERVAL_MS * (self.loading.reports + 1);
         if !is_done && !is_due {
             return;
         }
-        let records: usize = self.followed().map(Tail::arrived).sum();
+        let records: usize = self.followed_tails().map(Tail::arrived).sum();
         let detail = format!("records={records} age_ms={}", now_ms - since_ms);
         let note = match is_done {
             true => Note::new(Code::StreamsLoaded, &*self.host, detail),
@@ -64,7 +65,7 @@
 
     fn list_missing(&self) -> Vec<String> {
         let mut missing = Vec::new();
-        for tail in self.followed() {
+        for tail in self.followed_tails() {
             if !tail.is_loaded() {
                 missing.push(tail.to_string());
             }
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! One entry host: takes jobs in, answers for them, and owns their progress if no
-//! other host does.
+//! The decisions of one entry host: it accepts jobs, answers queries of callers, and owns the
+//! progress of all jobs while no other host does.
 
 mod ages;
 mod callers;
@@ -7,8 +7,8 @@
 mod following;
 mod job_tails;
 mod loading;
-mod owning;
-mod questions;
+mod ownership;
+mod queries;
 mod rules;
 mod scope;
 mod suspension;
@@ -22,7 +22,7 @@
 use crate::election::Election;
 pub use crate::entry::ages::Ages;
 use crate::entry::callers::Callers;
-use crate::entry::contact::Contact;
+use crate::entry::contact::StoreContact;
 use crate::entry::job_tails::JobTails;
 use crate::entry::loading::LoadingReport;
 pub use crate::entry::rules::Found;
@@ -50,7 +50,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The streams of one part.
+/// The streams that have a single partition.
 const SINGLE_STREAMS: [Stream; 4] = [
     Stream::States,
     Stream::Progress,
@@ -58,23 +58,23 @@
     Stream::Workers,
 ];
 
-/// A claim under way.
+/// A pending claim to own the progress of all jobs.
 #[derive(Debug)]
 struct Claim {
     fence: Fence,
-    /// The append under way.
+    /// Ticket of the pending append of the claim.
     ticket: Option<u64>,
     retry_ms: u64,
-    /// When it was known to be stored.
-    stored: Option<u64>,
-    /// Signs of life since.
+    /// When the store confirmed the claim.
+    confirmed_ms: Option<u64>,
+    /// Appends heartbeats from then on, until this host owns.
     heartbeats: Appender,
     heartbeat: u64,
 }
 
 impl Claim {
-    /// Gives the record that tells the other hosts of this claim. What the former owner said of all
-    /// hosts holds on.
+    /// Returns the record that announces this claim to the other hosts. What the previous owner
+    /// recorded about all hosts remains valid and is copied.
     fn record(&self, host: &str, previous: &OwnerRecord) -> OwnerRecord {
         OwnerRecord {
             token: self.fence.epoch,
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub struct Entry {
     host: Box<str>,
-    /// Differs between hosts and between lives of a host.
+    /// Differs between hosts and between incarnations of a host.
     salt: u64,
     bounds: Bounds,
     decoders: Decoders,
@@ -98,20 +98,20 @@
     reading: Reading,
     jobs: JobTails,
     states: Tail,
-    /// Read only while this host is about to become owner.
+    /// Read only while this host is about to become the owner.
     progress: Tail,
     recovered: RecoveredState,
     rules: Tail,
     workers: Tail,
     loading: LoadingReport,
-    jobs_read_ms: Option<u64>,
-    /// When to read which hosts there are; set once an owner has shown itself.
-    hosts_read_ms: Option<u64>,
-    states_read_ms: u64,
-    workers_read_ms: u64,
-    /// Pause before the next read of the list of workers.
-    workers_pause_ms: u64,
-    purge_ms: u64,
+    last_jobs_read_ms: Option<u64>,
+    /// When to read which hosts exist; set once an owner is on record.
+    hosts_read_due_ms: Option<u64>,
+    last_states_read_ms: u64,
+    last_workers_read_ms: u64,
+    /// Interval between reads of the list of workers.
+    workers_interval_ms: u64,
+    next_purge_ms: u64,
     job_table: JobTable,
     config: Option<Rc<Config>>,
     evacuations: Rc<Evacuations>,
@@ -119,26 +119,27 @@
     callers: Callers,
     election: Election,
     claim: Option<Claim>,
-    /// The announcement under way, and when the next may be.
-    announcing: Option<u64>,
-    announce_ms: u64,
+    /// Ticket of the pending append that announces this host, and the earliest time of the next
+    /// one.
+    announcement: Option<u64>,
+    next_announce_ms: u64,
     owner: Option<Owner>,
-    /// Orders of owners that this host carries to workers.
+    /// Orders that this host relays from owners to workers.
     relay: Relay,
     past_stats: OwnerStats,
-    /// When the claim under which this host owns was stored.
+    /// When the store confirmed the claim by which this host owns.
     claimed_ms: u64,
     is_stopping: bool,
     is_store_unavailable: bool,
-    contact: Contact,
-    are_rules_behind: bool,
-    /// How far the time of day is ahead of the steady clock.
-    clock_lead_ms: Option<u64>,
+    contact: StoreContact,
+    are_rules_outdated: bool,
+    /// Offset of the wall clock from the steady clock.
+    clock_offset_ms: Option<u64>,
 }
 
 impl Entry {
-    /// Makes the decisions of the host with this name. The salt must differ between
-    /// hosts and between lives of a host.
+    /// Creates the decisions of the host with this name. The salt must differ between hosts and
+    /// between incarnations of a host.
     pub fn new(host: &str, bounds: Bounds, decoders: Decoders, salt: u64) -> Self {
         Self {
             host: host.into(),
@@ -156,59 +157,59 @@
             rules: Tail::new(Stream::Rules, salt),
             workers: Tail::new(Stream::Workers, salt),
             loading: LoadingReport::default(),
-            jobs_read_ms: None,
-            hosts_read_ms: None,
-            states_read_ms: 0,
-            workers_read_ms: 0,
-            workers_pause_ms: MAX_LIST_PAUSE_MS,
-            purge_ms: 0,
+            last_jobs_read_ms: None,
+            hosts_read_due_ms: None,
+            last_states_read_ms: 0,
+            last_workers_read_ms: 0,
+            workers_interval_ms: MAX_LIST_PAUSE_MS,
+            next_purge_ms: 0,
             job_table: JobTable::default(),
             config: None,
             evacuations: Rc::default(),
             worker_entries: BTreeMap::new(),
             claim: None,
-            announcing: None,
-            announce_ms: 0,
+            announcement: None,
+            next_announce_ms: 0,
             owner: None,
             relay: Relay::default(),
             past_stats: OwnerStats::default(),
             claimed_ms: 0,
             is_stopping: false,
             is_store_unavailable: false,
-            contact: Contact::default(),
-            are_rules_behind: false,
-            clock_lead_ms: None,
+            contact: StoreContact::default(),
+            are_rules_outdated: false,
+            clock_offset_ms: None,
         }
     }
 
-    /// Gives the rules in force, if any are known.
+    /// Returns the rules in force, or `None` if none were read yet.
     pub fn config(&self) -> Option<&Rc<Config>> {
         self.config.as_ref()
     }
 
-    /// Gives the failure domains that get nothing new, by the rules in force.
+    /// Returns the failure domains in which the rules in force allow no new tasks.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether callers may be routed to this host.
     pub fn is_ready(&self) -> bool {
         let is_caught_up = self.is_caught_up() && !self.is_loading();
-        let has_rules = self.config.is_some() && !self.are_rules_behind;
+        let has_rules = self.config.is_some() && !self.are_rules_outdated;
         has_rules && is_caught_up && !self.is_stopping && !self.is_store_unavailable
     }
 
-    /// Tells whether this host is the owner.
+    /// Returns whether this host is the owner.
     pub fn is_owner(&self) -> bool {
         self.owner.is_some()
     }
 
-    /// Tells whether no caller awaits an answer.
+    /// Returns whether no caller awaits an answer.
     pub fn is_idle(&self) -> bool {
         self.callers.is_empty()
     }
 
-    /// Gives the counts of all times at which this host was the owner.
+    /// Returns the counts of all periods in which this host was the owner.
     pub fn stats(&self) -> OwnerStats {
         match &self.owner {
             Some(owner) => owner.stats,
@@ -216,24 +217,24 @@
         }
     }
 
-    /// Tells whether this host has read what it needs to take jobs.
+    /// Returns whether this host has read what it needs to accept jobs.
     fn is_caught_up(&self) -> bool {
         let has_jobs = self.reading.asks_owner() || self.jobs.is_usable();
         has_jobs && self.states.is_loaded()
     }
 
-    /// Takes in an event and gives what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         self.handle_all(now, vec![event])
     }
 
-    /// Takes in events that came together and gives what to do. What follows from all of
-    /// them is decided once.
+    /// Handles events that arrived together and returns the actions to carry out. The decisions
+    /// that follow from them are made once, after the last event.
     pub fn handle_all(&mut self, now: Now, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.record_time(now, &mut actions);
+        self.detect_suspension(now, &mut actions);
         for event in events {
-            self.take(now, event, &mut actions);
+            self.handle_event(now, event, &mut actions);
         }
         self.advance(now, &mut actions);
         if let Some(owner) = &mut self.owner {
@@ -242,7 +243,7 @@
         actions
     }
 
-    fn take(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Now, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
             Event::Stop => self.stop(),
@@ -252,7 +253,7 @@
                 }
             }
             Event::Frame { conn, bytes } => self.handle_frame(conn, &bytes, now, actions),
-            Event::ConnectionLost { conn } if conn.is_incoming() => self.relay.lose(conn),
+            Event::ConnectionLost { conn } if conn.is_incoming() => self.relay.handle_lost(conn),
             Event::ConnectionLost { conn } => {
                 if let Some(owner) = &mut self.owner {
                     owner.handle_relay_lost(conn, now, actions);
@@ -271,9 +272,9 @@
                 answer_timeout_ms,
             } => self.cancel(request, job, answer_timeout_ms, now, actions),
             Event::Count { request, queue } => self.count(request, queue, now),
-            Event::Appended { ticket, outcome } => self.appended(ticket, outcome, now, actions),
-            Event::Read { ticket, outcome } => self.read(ticket, outcome, now, actions),
-            Event::Loaded { ticket, outcome } => self.loaded(ticket, outcome, now, actions),
+            Event::Appended { ticket, outcome } => self.on_append(ticket, outcome, now, actions),
+            Event::Read { ticket, outcome } => self.on_read(ticket, outcome, now, actions),
+            Event::Loaded { ticket, outcome } => self.on_load(ticket, outcome, now, actions),
             Event::PermitsAnswered { ticket, outcome } => {
                 if let Some(owner) = &mut self.owner {
                     owner.handle_permit_outcome(ticket, outcome, now);
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Takes in orders of an owner, or what came of orders of this one.
+    /// Handles a frame: orders of an owner, or outcomes of this owner's orders.
     fn handle_frame(
         &mut self,
         conn: ConnectionId,
@@ -303,23 +304,29 @@
             let tickets = &mut self.tickets;
             self.relay
                 .handle_frame(conn, bytes, evacuations, now.steady_ms, tickets, actions);
-            self.take_answers();
+            self.apply_owner_answers();
         } else if let Some(owner) = &mut self.owner {
             owner.handle_relay_frame(conn, bytes, now, actions);
-            self.take_inquiries(now);
+            self.handle_remote_queries(now);
         }
     }
 
     fn stop(&mut self) {
         self.is_stopping = true;
-        self.relay.leave();
+        self.relay.begin_shutdown();
         self.claim = None;
         if let Some(owner) = &mut self.owner {
             owner.leave();
         }
     }
 
-    fn read(&mut self, ticket: u64, mut outcome: ReadOutcome, now: Now, actions: &mut Vec<Action>) {
+    fn on_read(
+        &mut self,
+        ticket: u64,
+        mut outcome: ReadOutcome,
+        now: Now,
+        actions: &mut Vec<Action>,
+    ) {
         if matches!(outcome, ReadOutcome::Failed(_)) {
             self.contact.suspect(now.steady_ms);
         }
@@ -338,7 +345,7 @@
         }
     }
 
-    fn loaded(
+    fn on_load(
         &mut self,
         ticket: u64,
         mut outcome: crate::event::LoadOutcome,
@@ -356,7 +363,7 @@
         }
     }
 
-    /// Lists all streams that this host may read.
+    /// Returns all streams that this host may read.
     fn streams(&self) -> impl Iterator<Item = Stream> + use<> {
         let partitions = (0..self.jobs.partitions()).map(Stream::Jobs);
         SINGLE_STREAMS.into_iter().chain(partitions)
@@ -412,7 +419,7 @@
             has_hosts |= change == Change::Host;
             self.apply_change(change, now, actions);
         }
-        // With thousands of hosts this is a pass over all of them.
+        // This is a pass over all hosts, of which there may be thousands.
         if !has_hosts {
             return;
         }
@@ -422,7 +429,7 @@
         }
     }
 
-    /// Passes a change on to the owner, if this host is that.
+    /// Passes a change on to the owner if this host is the owner.
     pub(crate) fn apply_change(&mut self, change: Change, now: Now, actions: &mut Vec<Action>) {
         let Some(owner) = &mut self.owner else {
             return;
@@ -453,14 +460,14 @@
     fn advance(&mut self, now: Now, actions: &mut Vec<Action>) {
         self.record_contact();
         self.decide_scope(now, actions);
-        self.follow(now, actions);
+        self.follow_streams(now, actions);
         self.report_loading(now, actions);
-        self.watch_store(now, actions);
-        self.watch_rules(now, actions);
+        self.check_store(now, actions);
+        self.check_rules_age(now, actions);
         self.announce(now, actions);
-        self.contend(now, actions);
-        self.own(now, actions);
-        self.serve(now, actions);
+        self.maybe_claim(now, actions);
+        self.run_owner(now, actions);
+        self.answer_callers(now, actions);
         self.relay.flush(actions);
         self.purge(now, actions);
     }
--- a/crates/dispatch/src/entry/worker_list.rs
+++ b/crates/dispatch/src/entry/worker_list.rs
@@ -10,7 +10,7 @@
 use goldcrestway_core::Note;
 
 impl Entry {
-    /// Takes in what the platform says of workers, and passes on what has changed.
+    /// Applies records of the list of workers, and passes the changes on to the owner.
     pub(super) fn apply_workers(
         &mut self,
         progress: Progress,
@@ -24,7 +24,8 @@
         let bytes = records_bytes(rows.map(|record| (&*record.key, &*record.value)));
         if !progress.is_reloaded && bytes > 0 {
             let link_bytes_per_s = self.bounds.link_bytes_per_s;
-            self.workers_pause_ms = list_pause_ms(self.workers_pause_ms, bytes, link_bytes_per_s);
+            self.workers_interval_ms =
+                list_pause_ms(self.workers_interval_ms, bytes, link_bytes_per_s);
         }
         let mut changed = Vec::with_capacity(progress.records.len());
         for record in progress.records {
@@ -36,7 +37,7 @@
             match (self.decoders.worker)(&record.key, &record.value) {
                 Ok(entry) => drop(self.worker_entries.insert(record.key, entry)),
                 Err(fault) => {
-                    // What it said before no longer holds; what runs there goes on.
+                    // The previous entry no longer applies. Runs at the worker continue.
                     self.worker_entries.remove(&record.key);
                     actions.push(Action::Note(Note::new(
                         Code::RulesUnreadable,
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -11,11 +11,11 @@
 use crate::policy::relaying::Means;
 use crate::policy::relaying::needs_relays;
 use crate::record::HostRecord;
-use crate::relay::Asker;
-use crate::relay::CHOICES;
-use crate::relay::Inquiry;
+use crate::relay::RELAYS_PER_WORKER;
 use crate::relay::RelayedOrder;
 use crate::relay::RelayedOutcome;
+use crate::relay::RemoteQuery;
+use crate::relay::RemoteRequester;
 use std::collections::HashMap;
 
 /// Time for which an owner that needs relays sends no orders while it connects to them. Without
@@ -56,8 +56,8 @@
         self.relays.connect(now.steady_ms, tickets, actions);
         let outcomes = self.relays.expire(now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
-        self.stats.relays = self.relays.usable() as u64;
-        self.stats.relay_selections = self.relays.selected();
+        self.stats.relays = self.relays.usable_count() as u64;
+        self.stats.relay_selections = self.relays.selection_count();
     }
 
     /// Tells whether orders are to wait until a relay is connected.
@@ -88,9 +88,9 @@
             failure_domain: &worker.entry.failure_domain,
             call,
             timeout_ms,
-            place: worker.relay_index,
+            relay_index: worker.relay_index,
         };
-        let Some(bytes) = self.relays.relay(&order, now_ms) else {
+        let Some(bytes) = self.relays.enqueue(&order, now_ms) else {
             return false;
         };
         self.stats.relayed += 1;
@@ -109,7 +109,7 @@
             return;
         };
         // The index after the last relay stands for a direct call.
-        worker.relay_index = (worker.relay_index + 1) % (CHOICES + 1);
+        worker.relay_index = (worker.relay_index + 1) % (RELAYS_PER_WORKER + 1);
         worker.relay_index_until_ms = now_ms + RELAY_AVOID_MS;
     }
 
@@ -123,7 +123,7 @@
         now: Now,
         actions: &mut Vec<Action>,
     ) {
-        let outcomes = self.relays.lose(conn, now.steady_ms, actions);
+        let outcomes = self.relays.handle_lost(conn, now.steady_ms, actions);
         self.handle_order_outcomes(outcomes, now, actions);
     }
 
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Removes and gives the inquiries of other hosts.
-    pub(crate) fn take_inquiries(&mut self) -> Vec<Inquiry> {
-        self.relays.take_inquiries()
+    /// Removes and returns the queries of other hosts.
+    pub(crate) fn drain_queries(&mut self) -> Vec<RemoteQuery> {
+        self.relays.drain_queries()
     }
 
-    /// Answers an inquiry of another host.
-    pub(crate) fn answer_host(&mut self, asker: Asker, reply: &Reply) {
-        self.relays.answer(asker, reply);
+    /// Answers a query of another host.
+    pub(crate) fn answer_host(&mut self, requester: RemoteRequester, reply: &Reply) {
+        self.relays.answer(requester, reply);
     }
 
     /// Closes the connections to all relays, as this owner stops.
--- a/crates/dispatch/src/relay/serving.rs
+++ b/crates/dispatch/src/relay/serving.rs
@@ -1,5 +1,5 @@
-//! The relay: makes the calls that an owner orders, tells what came of them, and asks the owner
-//! what callers want to know.
+//! The relay's side of the connections: it calls workers as owners order, returns the outcomes, and
+//! forwards callers' queries to the owner.
 
 use crate::evacuations::Evacuations;
 use crate::event::Action;
@@ -11,14 +11,14 @@
 use crate::relay::frames::OrderRow;
 use crate::relay::frames::OrdersFrame;
 use crate::relay::frames::OutcomesFrame;
-use crate::relay::frames::QuestionRow;
-use crate::relay::inquiry::Answer;
-use crate::relay::inquiry::Subject;
-use crate::relay::inquiry::answer;
-use crate::relay::inquiry::question_row;
+use crate::relay::frames::QueryRow;
+use crate::relay::queries::Answer;
+use crate::relay::queries::QuerySubject;
+use crate::relay::queries::answer;
+use crate::relay::queries::query_row;
 use crate::relay::rows::order_call;
 use crate::relay::rows::outcome_row;
-use crate::relay::sessions::HEARTBEAT_GAP_MS;
+use crate::relay::sessions::HEARTBEAT_INTERVAL_MS;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use prost::Message;
@@ -26,44 +26,44 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Where a worker is, and which incarnation is meant.
+/// The address of a worker, and the incarnation that orders are for.
 #[derive(Debug)]
-struct Name {
+struct WorkerIdentity {
     address: Box<str>,
     id: Box<str>,
     failure_domain: Box<str>,
 }
 
-/// Time without a word of an owner after which it counts as silent: two signs of life, and a turn
-/// of a busy host.
-const SILENCE_MS: u64 = 2 * HEARTBEAT_GAP_MS + 500;
+/// Time without a frame after which an owner counts as silent: two heartbeats, and one turn of a
+/// busy host.
+const OWNER_SILENCE_MS: u64 = 2 * HEARTBEAT_INTERVAL_MS + 500;
 
-/// What one owner has told, and what it is to be told.
+/// State of the connection of one owner: what the owner has sent, and what is to be sent to it.
 #[derive(Debug, Default)]
 struct Session {
-    /// The owner's token, once it has said something.
+    /// The owner's token; 0 before its first frame.
     token: u64,
-    heard_ms: u64,
-    questions: Vec<QuestionRow>,
-    /// By the numbers that the owner has given them.
-    workers: HashMap<u32, Name>,
+    last_received_ms: u64,
+    queries: Vec<QueryRow>,
+    /// Workers by the numbers that the owner has assigned.
+    workers: HashMap<u32, WorkerIdentity>,
     texts: HashMap<JobId, Rc<str>>,
     outcomes: Vec<OrderOutcomeRow>,
-    was_told_leaving: bool,
+    is_shutdown_sent: bool,
 }
 
-/// Orders of owners under way at this host.
+/// The relay of this host: the sessions of owners, and their pending orders.
 #[derive(Debug, Default)]
 pub(crate) struct Relay {
     sessions: BTreeMap<ConnectionId, Session>,
-    /// By the ticket of this host: whose they are, and their tickets there.
+    /// Pending orders: by this host's ticket, the owner's connection and ticket.
     orders: HashMap<u64, (ConnectionId, u64)>,
     answers: Vec<Answer>,
     is_leaving: bool,
 }
 
 impl Relay {
-    /// Takes in orders of an owner.
+    /// Handles a frame of an owner.
     pub(crate) fn handle_frame(
         &mut self,
         conn: ConnectionId,
@@ -76,41 +76,41 @@
         let frame = match OrdersFrame::decode(bytes) {
             Ok(frame) => frame,
             Err(error) => {
-                // What follows on this link can't be trusted.
+                // The rest of this connection can't be decoded either.
                 actions.push(Action::Note(Note::new(
                     Code::LinkRefused,
                     "relayed orders",
                     format!("step=decode why={error}"),
                 )));
                 actions.push(Action::CloseConnection { conn });
-                self.lose(conn);
+                self.handle_lost(conn);
                 return;
             }
         };
         let session = self.sessions.entry(conn).or_default();
         session.token = frame.token;
-        session.heard_ms = now_ms;
+        session.last_received_ms = now_ms;
         self.answers.extend(frame.answers.iter().map(answer));
-        if frame.forgets_texts {
+        if frame.clears_texts {
             session.texts.clear();
         }
         for worker in frame.workers {
-            let name = Name {
+            let identity = WorkerIdentity {
                 address: worker.address.into(),
                 id: worker.id.into(),
                 failure_domain: worker.failure_domain.into(),
             };
-            session.workers.insert(worker.number, name);
+            session.workers.insert(worker.number, identity);
         }
         for text in frame.texts {
             session.texts.insert(JobId(text.job), text.text.into());
         }
         for row in &frame.orders {
-            self.handle_order_outcome(conn, frame.token, row, evacuations, tickets, actions);
+            self.handle_order(conn, frame.token, row, evacuations, tickets, actions);
         }
     }
 
-    fn handle_order_outcome(
+    fn handle_order(
         &mut self,
         conn: ConnectionId,
         token: u64,
@@ -123,17 +123,18 @@
             return;
         };
         let call = order_call(row, |job| session.texts.get(&job).cloned());
-        let name = session.workers.get(&row.worker);
-        let (Some(call), Some(name)) = (call, name) else {
-            // The owner will order it by itself.
+        let identity = session.workers.get(&row.worker);
+        let (Some(call), Some(identity)) = (call, identity) else {
+            // The owner sends the order itself.
             session
                 .outcomes
                 .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
             return;
         };
-        // The order may have waited on the way here, and the owner have sent it by older rules.
+        // The order may have been delayed on its way, and the owner may have sent it under older
+        // rules.
         let is_start = matches!(call, WorkerCall::Start { .. });
-        if is_start && evacuations.covers(&name.failure_domain) {
+        if is_start && evacuations.covers(&identity.failure_domain) {
             session
                 .outcomes
                 .push(outcome_row(row.ticket, &OrderOutcome::NotSent));
@@ -143,72 +144,72 @@
         self.orders.insert(*tickets, (conn, row.ticket));
         actions.push(Action::Order {
             ticket: *tickets,
-            address: name.address.clone(),
-            worker: name.id.clone(),
+            address: identity.address.clone(),
+            worker: identity.id.clone(),
             token,
             call,
             timeout_ms: u64::from(row.timeout_ms),
         });
     }
 
-    /// Takes in the end of an order, and tells whether it was one of an owner.
+    /// Handles the outcome of an order, and returns whether an owner had sent the order.
     pub(crate) fn handle_outcome(&mut self, ticket: u64, outcome: &OrderOutcome) -> bool {
-        let Some((conn, ordered)) = self.orders.remove(&ticket) else {
+        let Some((conn, owner_ticket)) = self.orders.remove(&ticket) else {
             return false;
         };
         if let Some(session) = self.sessions.get_mut(&conn) {
-            session.outcomes.push(outcome_row(ordered, outcome));
+            session.outcomes.push(outcome_row(owner_ticket, outcome));
         }
         true
     }
 
-    /// Gives the connection of the owner that lives, if one does as far as its host is heard. An
-    /// owner with an older token than the given one has a successor.
+    /// Returns the connection of the live owner, or `None` if no owner's frames arrive. An owner
+    /// whose token is lower than the given one has been replaced.
     pub(crate) fn owner_connection(&self, token: u64, now_ms: u64) -> Option<ConnectionId> {
         let mut found: Option<(u64, ConnectionId)> = None;
         for (conn, session) in &self.sessions {
-            let is_heard = now_ms <= session.heard_ms + SILENCE_MS;
+            let is_recent = now_ms <= session.last_received_ms + OWNER_SILENCE_MS;
             let is_newer = found.is_none_or(|(newest, _)| session.token > newest);
-            if is_heard && session.token >= token && is_newer {
+            if is_recent && session.token >= token && is_newer {
                 found = Some((session.token, *conn));
             }
         }
         found.map(|(_, conn)| conn)
     }
 
-    /// Asks an owner.
-    pub(crate) fn ask(&mut self, conn: ConnectionId, ticket: u64, subject: Subject) {
+    /// Sends a query to an owner with the next frame.
+    pub(crate) fn send_query(&mut self, conn: ConnectionId, ticket: u64, subject: QuerySubject) {
         if let Some(session) = self.sessions.get_mut(&conn) {
-            session.questions.push(question_row(ticket, subject));
+            session.queries.push(query_row(ticket, subject));
         }
     }
 
-    /// Takes what owners have answered.
-    pub(crate) fn take_answers(&mut self) -> Vec<Answer> {
+    /// Removes and returns the answers of owners.
+    pub(crate) fn drain_answers(&mut self) -> Vec<Answer> {
         std::mem::take(&mut self.answers)
     }
 
-    /// Wants no further orders, as this host is about to stop.
-    pub(crate) fn leave(&mut self) {
+    /// Accepts no further orders, as this host is about to stop.
+    pub(crate) fn begin_shutdown(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Forgets an owner whose link is gone. What it ordered goes on.
-    pub(crate) fn lose(&mut self, conn: ConnectionId) {
+    /// Drops the session of an owner whose connection was lost. Its pending orders continue.
+    pub(crate) fn handle_lost(&mut self, conn: ConnectionId) {
         self.sessions.remove(&conn);
     }
 
-    /// Tells owners what came of their orders, and asks them.
+    /// Sends outcomes of orders and queries to the owners.
     pub(crate) fn flush(&mut self, actions: &mut Vec<Action>) {
         for (conn, session) in &mut self.sessions {
-            let has_news = self.is_leaving && !session.was_told_leaving;
-            if session.outcomes.is_empty() && session.questions.is_empty() && !has_news {
+            let must_send_shutdown = self.is_leaving && !session.is_shutdown_sent;
+            if session.outcomes.is_empty() && session.queries.is_empty() && !must_send_shutdown {
                 continue;
             }
-            session.was_told_leaving = self.is_leaving;
+            session.is_shutdown_sent = self.is_leaving;
             let frame = OutcomesFrame {
                 outcomes: std::mem::take(&mut session.outcomes),
-                questions: std::mem::take(&mut session.questions),
+                queries: std::mem::take(&mut session.queries),
                 is_leaving: self.is_leaving,
             };
             actions.push(Action::SendFrame {
--- a/crates/dispatch/src/relay/sessions.rs
+++ b/crates/dispatch/src/relay/sessions.rs
@@ -1,4 +1,4 @@
-//! The owner's connections to relays, and the orders under way over them.
+//! The owner's side of the connections to relays, and the pending orders over them.
 
 use crate::event::Action;
 use crate::event::ConnectionId;
@@ -8,12 +8,12 @@
 use crate::record::HostRecord;
 use crate::relay::Selection;
 use crate::relay::frames::OutcomesFrame;
-use crate::relay::inquiry::Asker;
-use crate::relay::inquiry::Inquiry;
-use crate::relay::inquiry::answer_row;
-use crate::relay::inquiry::inquiry;
 use crate::relay::peer::Peer;
 use crate::relay::peer::Phase;
+use crate::relay::queries::RemoteQuery;
+use crate::relay::queries::RemoteRequester;
+use crate::relay::queries::answer_row;
+use crate::relay::queries::remote_query;
 use crate::relay::rows::order_outcome;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -29,21 +29,21 @@
     struct RelayKey;
 }
 
-/// Time that an order may take over a relay beyond what the worker's answer may: two hops, and
-/// the turn of a busy host.
-const HOPS_MS: u64 = 150;
-/// Pause before a relay that could not be reached, or gave no answer, is tried again. Hosts that
-/// start together are there within a moment. It doubles so many times while it stays away, up to
-/// 8 s: hosts that are gone for good stay on record.
+/// Time that an order may take over a relay beyond the timeout of the worker's answer: two hops,
+/// and one turn of a busy host.
+const RELAY_OVERHEAD_MS: u64 = 150;
+/// Delay before the owner connects again to a relay that could not be reached or gave no answer.
+/// Hosts that start together are reachable within a moment. The delay doubles with each failure, up
+/// to 8 s: hosts that are gone forever stay on record.
 const RETRY_MS: u64 = 250;
 const MAX_DOUBLINGS: u32 = 5;
-/// Pause after which a host to which nothing was to be said gets a sign of life.
-pub(super) const HEARTBEAT_GAP_MS: u64 = 1_000;
-/// Part of an owner's descriptors, one in so many, that its connections to other hosts may take.
-/// The rest is for workers that it calls by itself, callers and the store.
-const DESCRIPTORS_SHARE: u64 = 2;
+/// Time without a frame to a host after which it gets a heartbeat.
+pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
+/// Divisor for the part of an owner's descriptors that its connections to other hosts may take. The
+/// rest is for workers that it calls directly, for callers and for the store.
+const DESCRIPTORS_DIVISOR: u64 = 2;
 
-/// An order to be carried by a relay.
+/// An order for a relay to carry.
 #[derive(Debug)]
 pub(crate) struct RelayedOrder<'a> {
     pub(crate) ticket: u64,
@@ -52,11 +52,11 @@
     pub(crate) failure_domain: &'a str,
     pub(crate) call: &'a WorkerCall,
     pub(crate) timeout_ms: u64,
-    /// Which of the worker's relays is to carry it.
-    pub(crate) place: usize,
+    /// Position, among the worker's relays, of the relay that is to carry the order.
+    pub(crate) relay_index: usize,
 }
 
-/// How an order has ended.
+/// Outcome of a relayed order.
 #[derive(Debug)]
 pub(crate) struct RelayedOutcome {
     /// Number by which the owner knows the order.
@@ -64,7 +64,7 @@
     pub(crate) outcome: OrderOutcome,
 }
 
-/// An order under way.
+/// A pending order.
 #[derive(Debug, Clone, Copy)]
 struct Flight {
     relay: RelayKey,
@@ -80,36 +80,36 @@
     keys: HashMap<Box<str>, RelayKey>,
     conns: HashMap<ConnectionId, RelayKey>,
     flights: BTreeMap<u64, Flight>,
-    /// When which of them is overdue.
-    due: BTreeSet<(u64, u64)>,
-    /// Relays of each worker that an order was for, as of the relays that are there.
+    /// Deadlines of pending orders, with their tickets.
+    deadlines: BTreeSet<(u64, u64)>,
+    /// Selected relays of each worker that an order was for, among the relays that are usable now.
     selections: HashMap<Box<str>, Selection<RelayKey>>,
-    /// Relays that take orders.
-    usable: usize,
-    /// How often the relays of a worker were selected anew.
-    selected: u64,
-    /// What other hosts have asked.
-    inquiries: Vec<Inquiry>,
+    /// Number of relays that accept orders.
+    usable_count: usize,
+    /// Number of times that the relays of a worker were selected anew.
+    selection_count: u64,
+    /// Queries of other hosts.
+    remote_queries: Vec<RemoteQuery>,
 }
 
 impl Sessions {
-    /// Makes the sessions of an owner with so many descriptors.
+    /// Creates the sessions of an owner with this number of descriptors.
     pub(crate) fn new(descriptors: u64) -> Self {
         Self {
-            max_peers: (descriptors / DESCRIPTORS_SHARE) as usize,
+            max_peers: (descriptors / DESCRIPTORS_DIVISOR) as usize,
             peers: SlotMap::with_key(),
             keys: HashMap::new(),
             conns: HashMap::new(),
             flights: BTreeMap::new(),
-            due: BTreeSet::new(),
+            deadlines: BTreeSet::new(),
             selections: HashMap::new(),
-            usable: 0,
-            selected: 0,
-            inquiries: Vec::new(),
+            usable_count: 0,
+            selection_count: 0,
+            remote_queries: Vec::new(),
         }
     }
 
-    /// Takes in which hosts there are.
+    /// Updates the hosts that may be relays.
     pub(crate) fn update_hosts(&mut self, own: &str, hosts: &HashMap<Box<str>, HostRecord>) {
         let mut new = Vec::new();
         for (name, host) in hosts {
@@ -121,12 +121,12 @@
                 continue;
             };
             let peer = &mut self.peers[*key];
-            // A host that was replaced has another address; its old connection ends by itself.
+            // A host that was replaced has another address. Its old connection closes by itself.
             if *peer.address != *host.relay_address {
                 peer.address = host.relay_address.as_str().into();
             }
         }
-        // In the same order at each run, so that tests in virtual time repeat.
+        // The order is the same in each run, so that tests in virtual time are reproducible.
         new.sort_unstable();
         for (name, address) in new {
             if self.peers.len() < self.max_peers {
@@ -148,7 +148,7 @@
             *tickets += 1;
             let conn = ConnectionId(*tickets);
             peer.phase = Phase::Open { conn };
-            peer.heard_ms = now_ms;
+            peer.last_received_ms = now_ms;
             self.conns.insert(conn, key);
             actions.push(Action::OpenConnection {
                 conn,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Notes that a connection was made.
+    /// Handles a connection that was established.
     pub(crate) fn handle_opened(&mut self, conn: ConnectionId, now_ms: u64) {
         let Some(key) = self.conns.get(&conn).copied() else {
             return;
@@ -168,76 +168,77 @@
         }
         peer.is_connected = true;
         peer.failures = 0;
-        peer.heard_ms = now_ms;
-        self.take_in(key);
+        peer.last_received_ms = now_ms;
+        self.add_usable(key);
     }
 
-    /// Tells whether connections to relays are being made and none takes orders yet.
+    /// Returns whether connections to relays are being opened and no relay accepts orders yet.
     pub(crate) fn are_all_opening(&self) -> bool {
-        !self.conns.is_empty() && self.usable == 0
+        !self.conns.is_empty() && self.usable_count == 0
     }
 
-    /// Tells how many relays take orders.
-    pub(crate) fn usable(&self) -> usize {
-        self.usable
+    /// Returns the number of relays that accept orders.
+    pub(crate) fn usable_count(&self) -> usize {
+        self.usable_count
     }
 
-    /// Tells how often the relays of a worker were selected anew.
-    pub(crate) fn selected(&self) -> u64 {
-        self.selected
+    /// Returns the number of times that the relays of a worker were selected anew.
+    pub(crate) fn selection_count(&self) -> u64 {
+        self.selection_count
     }
 
-    /// Forgets a worker that is gone.
+    /// Drops the selection of a removed worker.
     pub(crate) fn forget_worker(&mut self, worker: &str) {
         self.selections.remove(worker);
     }
 
-    /// Has a relay that has connected take orders.
-    fn take_in(&mut self, key: RelayKey) {
-        self.usable += 1;
+    /// Adds a relay that has connected to the usable ones, and to the selections of workers.
+    fn add_usable(&mut self, key: RelayKey) {
+        self.usable_count += 1;
         let name = &self.peers[key].name;
         for selection in self.selections.values_mut() {
             selection.add(key, name);
         }
     }
 
-    /// Has a relay that took orders take none any more. Its workers select anew.
-    fn leave_out(&mut self, key: RelayKey) {
+    /// Removes a relay from the usable ones. The relays of its workers are selected anew.
+    fn remove_usable(&mut self, key: RelayKey) {
         if !self.peers[key].is_usable() {
             return;
         }
-        self.usable -= 1;
+        self.usable_count -= 1;
         self.selections
             .retain(|_, selection| !selection.contains(key));
     }
 
-    /// Gives an order to a relay of its worker, and gives the bytes that it takes; `None` if
-    /// there is no relay, so that the order must go out directly.
-    pub(crate) fn relay(&mut self, order: &RelayedOrder<'_>, now_ms: u64) -> Option<u64> {
-        let key = self.choose(order)?;
+    /// Enqueues an order at a relay of its worker, and returns its size in bytes. Returns `None` if
+    /// there is no relay, so that the order must be sent directly.
+    pub(crate) fn enqueue(&mut self, order: &RelayedOrder<'_>, now_ms: u64) -> Option<u64> {
+        let key = self.choose_relay(order)?;
         let flight = Flight {
             relay: key,
             sent_ms: now_ms,
-            due_ms: now_ms + order.timeout_ms + HOPS_MS,
+            due_ms: now_ms + order.timeout_ms + RELAY_OVERHEAD_MS,
         };
         self.flights.insert(order.ticket, flight);
-        self.due.insert((flight.due_ms, order.ticket));
-        Some(self.peers[key].add(order) as u64)
+        self.deadlines.insert((flight.due_ms, order.ticket));
+        Some(self.peers[key].add_order(order) as u64)
     }
 
-    /// Chooses the relay of an order: the one in its place, but for a start one that has the
-    /// text already, unless the first one has just missed its worker.
-    fn choose(&mut self, order: &RelayedOrder<'_>) -> Option<RelayKey> {
+    /// Chooses the relay of an order: the one at its position. An order to start goes to a selected
+    /// relay that has the text of the job already, unless the worker's first relay has just failed
+    /// to reach the worker.
+    fn choose_relay(&mut self, order: &RelayedOrder<'_>) -> Option<RelayKey> {
         if !self.selections.contains_key(order.worker) {
             let usable = self.peers.iter().filter(|(_, peer)| peer.is_usable());
             let names = usable.map(|(key, peer)| (key, &*peer.name));
             let selection = Selection::new(order.worker, names);
-            self.selected += 1;
+            self.selection_count += 1;
             self.selections.insert(order.worker.into(), selection);
         }
         let selection = &self.selections[order.worker];
         if let WorkerCall::Start { task, .. } = order.call
-            && order.place == 0
+            && order.relay_index == 0
         {
             for key in selection.iter() {
                 if self.peers[key].texts.contains(&task.job) {
@@ -245,33 +246,33 @@
                 }
             }
         }
-        selection.get(order.place)
+        selection.get(order.relay_index)
     }
 
-    /// Takes what other hosts have asked.
-    pub(crate) fn take_inquiries(&mut self) -> Vec<Inquiry> {
-        std::mem::take(&mut self.inquiries)
+    /// Removes and returns the queries of other hosts.
+    pub(crate) fn drain_queries(&mut self) -> Vec<RemoteQuery> {
+        std::mem::take(&mut self.remote_queries)
     }
 
-    /// Answers a host, if its connection is still there.
-    pub(crate) fn answer(&mut self, asker: Asker, reply: &Reply) {
-        if let Some(key) = self.conns.get(&asker.conn) {
-            let row = answer_row(asker.ticket, reply);
+    /// Answers a host, if its connection still exists.
+    pub(crate) fn answer(&mut self, requester: RemoteRequester, reply: &Reply) {
+        if let Some(key) = self.conns.get(&requester.conn) {
+            let row = answer_row(requester.ticket, reply);
             self.peers[*key].frame.answers.push(row);
         }
     }
 
-    /// Sends what is to be said in this turn, and signs of life where nothing was for a while.
+    /// Sends the frames of this turn, and heartbeats to hosts that got no frame for a while.
     pub(crate) fn flush(&mut self, token: u64, now_ms: u64, actions: &mut Vec<Action>) {
         for peer in self.peers.values_mut() {
             let Phase::Open { conn } = peer.phase else {
                 continue;
             };
-            let is_quiet = !peer.is_connected || now_ms < peer.told_ms + HEARTBEAT_GAP_MS;
+            let is_quiet = !peer.is_connected || now_ms < peer.last_sent_ms + HEARTBEAT_INTERVAL_MS;
             if peer.frame.is_empty() && is_quiet {
                 continue;
             }
-            peer.told_ms = now_ms;
+            peer.last_sent_ms = now_ms;
             peer.frame.token = token;
             let frame = std::mem::take(&mut peer.frame);
             actions.push(Action::SendFrame {
@@ -281,7 +282,8 @@
         }
     }
 
-    /// Takes in what came of orders, if the link is one of these.
+    /// Handles a frame of a relay and returns the outcomes in it. Returns none if the connection is
+    /// not to a relay.
     pub(crate) fn handle_frame(
         &mut self,
         conn: ConnectionId,
@@ -298,22 +300,22 @@
                 let detail = format!("step=decode why={error}");
                 let name = &*self.peers[key].name;
                 actions.push(Action::Note(Note::new(Code::LinkRefused, name, detail)));
-                return self.drop_peer(key, now_ms, actions);
+                return self.disconnect_peer(key, now_ms, actions);
             }
         };
         let peer = &mut self.peers[key];
-        peer.heard_ms = now_ms;
+        peer.last_received_ms = now_ms;
         if frame.is_leaving && !peer.is_leaving {
-            self.leave_out(key);
+            self.remove_usable(key);
             self.peers[key].is_leaving = true;
         }
-        for row in frame.questions {
-            self.inquiries.push(inquiry(conn, row));
+        for row in frame.queries {
+            self.remote_queries.push(remote_query(conn, row));
         }
         let mut outcomes = Vec::with_capacity(frame.outcomes.len());
         for row in frame.outcomes {
-            // An order that was given up already has had its end.
-            if self.end_flight(row.ticket).is_some() {
+            // The outcome of an order that has timed out was returned already.
+            if self.remove_flight(row.ticket).is_some() {
                 outcomes.push(RelayedOutcome {
                     ticket: row.ticket,
                     outcome: order_outcome(row),
@@ -323,61 +325,61 @@
         outcomes
     }
 
-    /// Gives the ends of orders that went with a connection.
-    pub(crate) fn lose(
+    /// Drops a lost connection and returns the outcomes of its pending orders.
+    pub(crate) fn handle_lost(
         &mut self,
         conn: ConnectionId,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) -> Vec<RelayedOutcome> {
         match self.conns.get(&conn).copied() {
-            Some(key) => self.drop_peer(key, now_ms, actions),
+            Some(key) => self.disconnect_peer(key, now_ms, actions),
             None => Vec::new(),
         }
     }
 
-    /// Gives up orders that are overdue. A relay that has said nothing since one of them went
-    /// out stands still or is cut off: the others that it has are given up with it, so that
-    /// their workers are asked over other relays at once.
+    /// Times out orders that are overdue. A relay that has sent nothing since one of them was sent
+    /// hangs or is partitioned: all its other orders time out as well, so that their workers are
+    /// called over other relays at once.
     pub(crate) fn expire(&mut self, now_ms: u64, actions: &mut Vec<Action>) -> Vec<RelayedOutcome> {
         let mut outcomes = Vec::new();
         let mut silent = BTreeSet::new();
-        while let Some((due_ms, ticket)) = self.due.first().copied()
+        while let Some((due_ms, ticket)) = self.deadlines.first().copied()
             && due_ms <= now_ms
         {
-            let Some(flight) = self.end_flight(ticket) else {
+            let Some(flight) = self.remove_flight(ticket) else {
                 break;
             };
             outcomes.push(RelayedOutcome {
                 ticket,
                 outcome: OrderOutcome::Unknown,
             });
-            if self.peers[flight.relay].heard_ms <= flight.sent_ms {
+            if self.peers[flight.relay].last_received_ms <= flight.sent_ms {
                 silent.insert(flight.relay);
             }
         }
         for key in silent {
-            outcomes.extend(self.drop_peer(key, now_ms, actions));
+            outcomes.extend(self.disconnect_peer(key, now_ms, actions));
         }
         outcomes
     }
 
-    fn end_flight(&mut self, ticket: u64) -> Option<Flight> {
+    fn remove_flight(&mut self, ticket: u64) -> Option<Flight> {
         let flight = self.flights.remove(&ticket)?;
-        self.due.remove(&(flight.due_ms, ticket));
+        self.deadlines.remove(&(flight.due_ms, ticket));
         Some(flight)
     }
 
-    fn drop_peer(
+    fn disconnect_peer(
         &mut self,
         key: RelayKey,
         now_ms: u64,
         actions: &mut Vec<Action>,
     ) -> Vec<RelayedOutcome> {
-        self.leave_out(key);
+        self.remove_usable(key);
         let peer = &mut self.peers[key];
         let was_connected = peer.is_connected;
-        let silent_ms = now_ms.saturating_sub(peer.heard_ms);
+        let silent_ms = now_ms.saturating_sub(peer.last_received_ms);
         let unsent: HashSet<u64> = peer.frame.orders.iter().map(|row| row.ticket).collect();
         let retry_ms = RETRY_MS << peer.failures.min(MAX_DOUBLINGS);
         peer.failures += u32::from(!was_connected);
@@ -400,7 +402,7 @@
             });
         }
         for outcome in &outcomes {
-            self.end_flight(outcome.ticket);
+            self.remove_flight(outcome.ticket);
         }
         if was_connected {
             actions.push(Action::Note(Note::new(
@@ -421,8 +423,8 @@
         }
         self.conns.clear();
         self.flights.clear();
-        self.due.clear();
+        self.deadlines.clear();
         self.selections.clear();
-        self.usable = 0;
+        self.usable_count = 0;
     }
 }
--- a/tests/dispatch_loading.rs
+++ b/tests/dispatch_loading.rs
@@ -1,4 +1,4 @@
-//! Hosts that have just started and read what the store holds, event by event.
+//! Hosts that have just started and load the store, event by event.
 
 use crate::fleet::decode_config;
 use crate::fleet::decode_evacuation;
@@ -17,44 +17,44 @@
 use googletest::prelude::*;
 use std::collections::VecDeque;
 
-/// What comes of the load of one part of the jobs, while all else has been loaded.
+/// Outcome of the load of one partition of the jobs, while all other streams are loaded.
 struct Case {
     name: &'static str,
-    end: Option<PartEnd>,
+    slow_outcome: Option<SlowOutcome>,
     is_ready: bool,
     missing: Option<&'static str>,
 }
 
-/// How the load of that part ends.
-enum PartEnd {
+/// Outcome of the load of that partition.
+enum SlowOutcome {
     Page { has_more: bool },
     Failed,
 }
 
-const SLOW: Stream = Stream::Jobs(2);
+const SLOW_STREAM: Stream = Stream::Jobs(2);
 
 const CASES: &[Case] = &[
     Case {
         name: "the first page is still on its way",
-        end: None,
+        slow_outcome: None,
         is_ready: false,
         missing: Some("missing=Jobs(2) records=0 age_ms=1100"),
     },
     Case {
-        name: "the first of several pages has come",
-        end: Some(PartEnd::Page { has_more: true }),
+        name: "the first of several pages has arrived",
+        slow_outcome: Some(SlowOutcome::Page { has_more: true }),
         is_ready: false,
         missing: Some("missing=Jobs(2) records=1 age_ms=1100"),
     },
     Case {
-        name: "the part is away",
-        end: Some(PartEnd::Failed),
+        name: "the partition is unavailable",
+        slow_outcome: Some(SlowOutcome::Failed),
         is_ready: true,
         missing: Some("missing=Jobs(2) records=0 age_ms=1100"),
     },
     Case {
         name: "all is read",
-        end: Some(PartEnd::Page { has_more: false }),
+        slow_outcome: Some(SlowOutcome::Page { has_more: false }),
         is_ready: true,
         missing: None,
     },
@@ -72,7 +72,7 @@
     if stream == Stream::Rules {
         records.push(record("config", &[1]));
     }
-    if stream == SLOW {
+    if stream == SLOW_STREAM {
         records.push(record("unknown", &[]));
     }
     Page {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Makes a host and answers its first loads, that of the slow part as the case says.
+/// Creates a host and answers its first loads, that of the slow partition by the case.
 fn start(case: &Case) -> (Entry, Vec<Action>) {
     let decoders = Decoders {
         config: decode_config,
@@ -106,15 +106,15 @@
             actions.push(action);
             continue;
         };
-        // Of a stream that has more, the first page is all that comes.
-        if stream == SLOW && answered.contains(&stream) {
+        // Of a stream with more pages, only the first page arrives.
+        if stream == SLOW_STREAM && answered.contains(&stream) {
             continue;
         }
         answered.push(stream);
-        let outcome = match (&case.end, stream) {
-            (None, SLOW) => continue,
-            (Some(PartEnd::Failed), SLOW) => Err(ReadFault::NoAnswer),
-            (Some(PartEnd::Page { has_more }), SLOW) => Ok(page(stream, *has_more)),
+        let outcome = match (&case.slow_outcome, stream) {
+            (None, SLOW_STREAM) => continue,
+            (Some(SlowOutcome::Failed), SLOW_STREAM) => Err(ReadFault::NoAnswer),
+            (Some(SlowOutcome::Page { has_more }), SLOW_STREAM) => Ok(page(stream, *has_more)),
             _ => Ok(page(stream, false)),
         };
         due.extend(entry.handle(at(10), Event::Loaded { ticket, outcome }));
@@ -122,33 +122,32 @@
     (entry, actions)
 }
 
-/// Tells whether an action says that all was read, and that this took no longer than it did.
+/// Returns whether an action logs that everything was loaded, with the right duration.
 fn is_loaded_at_once(action: &Action) -> bool {
     matches!(action, Action::Note(note)
         if note.code == Code::StreamsLoaded && note.detail.contains("age_ms=10"))
 }
 
-/// Symptom: after all hosts were started at once, callers are told to come again for jobs
-/// that were accepted, until their time is over. Sequence: hosts on thin links still read
-/// what the store holds, say that they are ready, and get callers. Cause: one part of the
-/// jobs was enough to be ready, and nothing told what was missing.
+/// After all hosts had started at once, callers were told to retry queries for accepted jobs until
+/// they timed out. Hosts on slow links were ready, and got callers, while they still loaded the
+/// store: one partition of the jobs was enough to be ready, and no log line named what was missing.
 #[gtest]
-fn a_host_is_ready_once_all_has_come_that_the_store_gives() {
+fn a_host_is_ready_once_all_available_streams_are_loaded() {
     for case in CASES {
         let (mut entry, mut actions) = start(case);
         expect_that!(entry.is_ready(), eq(case.is_ready), "{}", case.name);
         actions.extend(entry.handle(at(1_100), Event::Tick));
-        let mut told = None;
+        let mut reported = None;
         let mut is_loaded = false;
         for action in &actions {
             if let Action::Note(note) = action
                 && note.code == Code::StreamsLoading
             {
-                told = Some(note.detail.clone());
+                reported = Some(note.detail.clone());
             }
             is_loaded |= is_loaded_at_once(action);
         }
         expect_that!(is_loaded, eq(case.missing.is_none()), "{}", case.name);
-        expect_that!(told.as_deref(), eq(case.missing), "{}", case.name);
+        expect_that!(reported.as_deref(), eq(case.missing), "{}", case.name);
     }
 }
--- a/tests/dispatch_outages.rs
+++ b/tests/dispatch_outages.rs
@@ -1,4 +1,4 @@
-//! Parts of the store that are away while the others are there.
+//! Outages of the store, or of some of its streams.
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
@@ -26,14 +26,14 @@
     ],
 ];
 
-/// Symptom: all that runs ends by its lease. Sequence: part of the store is away, and the
-/// owner stops as planned; its successors claim one after the other and never begin. Cause:
-/// they waited for the list of workers, or the newest jobs, for longer than leases last.
+/// While part of the store was unavailable, the owner stopped as planned, and its successors
+/// claimed one after the other without ever starting to own, until all leases expired. They waited
+/// for the list of workers, or the newest jobs, for longer than leases last.
 #[gtest]
-fn a_new_owner_begins_while_part_of_the_store_is_away() {
+fn a_new_owner_starts_while_part_of_the_store_is_unavailable() {
     for away in CASES {
         let mut fleet = Fleet::new(3, 4);
-        let lasting = Step {
+        let long_running = Step {
             is_long_running: true,
             ..step(6, 1_000, &[])
         };
@@ -44,7 +44,7 @@
                 &job(vec![step(2, 300, &[])]),
             );
         }
-        fleet.submit(0, 0x1, &job(vec![lasting]));
+        fleet.submit(0, 0x1, &job(vec![long_running]));
         fleet.run(1_000);
         fleet.submit(0, JOB, &job(vec![step(6, 9_000, &[]), step(2, 200, &[0])]));
         fleet.run(300);
@@ -63,16 +63,16 @@
             some(eq(JobState::Completed)),
             "{away:?}"
         );
-        // Only the second step, and what the new owner had not read yet, starts anew.
-        let again = fleet.promises.starts.len() - starts;
-        expect_that!(again, eq(2), "{away:?}");
+        // Only the second step, and jobs that the new owner had not read yet, are started.
+        let restarts = fleet.promises.starts.len() - starts;
+        expect_that!(restarts, eq(2), "{away:?}");
     }
 }
 
-/// Symptom: all submissions are refused while a part of the store is away. Cause: they all
-/// went to that part.
+/// All submissions were refused while a partition was unavailable, as all of them went to that
+/// partition.
 #[gtest]
-fn submissions_use_the_parts_that_are_there() {
+fn submissions_use_available_partitions() {
     let mut fleet = Fleet::new(3, 4);
     fleet.store.away = vec![Stream::Jobs(0), Stream::Jobs(2)];
     let mut requests = Vec::new();
@@ -87,12 +87,11 @@
     }
 }
 
-/// Symptom: one host after the other claims and none owns for longer than a second, as soon
-/// as no jobs come in. Sequence: the owner dies; the host that claims reads while its long
-/// polls wait. Cause: more calls were under way than there were connections to the store, so
-/// the reads waited for two seconds behind long polls.
+/// When no jobs were submitted, one host after the other claimed, and none owned for longer than a
+/// second. More calls were pending than there were connections to the store, so the reads of a
+/// claiming host waited behind long polls for two seconds.
 #[gtest]
-fn calls_to_the_store_never_wait_for_one_another() {
+fn concurrent_calls_to_the_store_stay_within_the_limit() {
     let mut fleet = Fleet::new(4, 4);
     for round in 0..3 {
         for number in 0..30 {
@@ -113,45 +112,44 @@
     expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
 }
 
-/// Time in which an owner that reaches the store knows of what other hosts have stored.
-const HEARD_MS: u64 = 1_200;
+/// Time in which an owner that reaches the store reads what other hosts have stored.
+const READ_WITHIN_MS: u64 = 1_200;
 
-/// Symptom: jobs taken in by other hosts do not begin for seconds, and tasks of cancelled ones
-/// go on being started, though the owner reaches store and workers. Sequence: the owner's
-/// connections to the store go silent, as when the store drops what was sent into an outage;
-/// then a job is stored, and one is cancelled. Cause: the owner hears of both by reads that
-/// the store holds back, and awaited the lost ones to their end.
+/// Jobs that other hosts had accepted did not start for seconds, and tasks of cancelled jobs were
+/// still started, though the owner reached the store and the workers. The owner's connections to
+/// the store had gone silent, as when the store drops what was sent during an outage. The owner
+/// learns of jobs and cancellations by long polls, and awaited the lost ones until their timeout.
 #[gtest]
-fn an_owner_hears_of_jobs_soon_after_its_reads_were_lost() {
-    for moment in 0..8 {
+fn an_owner_reads_new_jobs_soon_after_its_reads_were_lost() {
+    for offset in 0..8 {
         let mut fleet = Fleet::new(3, 4);
-        let lasting = Step {
+        let long_running = Step {
             is_long_running: true,
             ..step(4, 1_000, &[])
         };
         let other = (owner(&fleet) + 1) % 3;
-        fleet.submit(other, 0x1, &job(vec![lasting]));
-        fleet.run(2_000 + 150 * moment);
+        fleet.submit(other, 0x1, &job(vec![long_running]));
+        fleet.run(2_000 + 150 * offset);
         expect_that!(fleet.promises.starts.len(), eq(4));
         fleet.lose_calls(owner(&fleet));
         fleet.run(50);
         fleet.submit(other, JOB, &job(vec![step(2, 500, &[])]));
         fleet.cancel(other, 0x1);
-        fleet.run(HEARD_MS);
-        expect_that!(fleet.promises.starts.len(), eq(6), "moment {moment}");
-        let mut lasting_runs = 0;
+        fleet.run(READ_WITHIN_MS);
+        expect_that!(fleet.promises.starts.len(), eq(6), "offset {offset}");
+        let mut long_running_runs = 0;
         for (_, task, _) in fleet.promises.starts.clone() {
-            lasting_runs += u32::from(task.job.0 == 0x1 && fleet.running(task) > 0);
+            long_running_runs += u32::from(task.job.0 == 0x1 && fleet.running(task) > 0);
         }
-        expect_that!(lasting_runs, eq(0), "moment {moment}");
-        expect_that!(fleet.owners(), eq(1), "moment {moment}");
+        expect_that!(long_running_runs, eq(0), "offset {offset}");
+        expect_that!(fleet.owners(), eq(1), "offset {offset}");
     }
 }
 
-/// The same beside a store that answers nothing: all calls are awaited to their end then, and
-/// the first ones after its return must not wait for them.
+/// The same with a store that answers nothing: all calls are then pending until their timeout, and
+/// the first calls after its return must not wait for them.
 #[gtest]
-fn calls_into_an_outage_leave_connections_for_those_after_it() {
+fn calls_during_an_outage_stay_within_the_limit() {
     let mut fleet = Fleet::new(4, 4);
     for round in 0..3 {
         for number in 0..100 {
@@ -169,11 +167,11 @@
     expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
 }
 
-/// Symptom: callers who ask about a job that a host does not know wait for 0.9 s before they
-/// are told to come again, while the store is known to be away. Cause: the host awaited reads
-/// that could bring nothing.
+/// Callers with queries for a job that a host does not know waited for 0.9 s before they were told
+/// to retry, while the store was known to be unavailable: the host awaited reads that could not
+/// succeed.
 #[gtest]
-fn questions_are_put_off_at_once_while_the_store_is_away() {
+fn queries_are_deferred_at_once_while_the_store_is_unavailable() {
     let mut fleet = Fleet::new(3, 4);
     fleet.submit(0, JOB, &job(vec![step(1, 20_000, &[])]));
     // Hosts that do not own read jobs every six seconds.
@@ -193,24 +191,24 @@
     }
 }
 
-/// Calls of a host that does not own into an outage: those that notice the store's return, and
-/// those for rules, which a store that refuses at once answers four times a second.
+/// Calls per second of a host that does not own during an outage: those that detect the store's
+/// return, and those for rules, which a store that refuses at once answers four times a second.
 const PROBES_PER_S: usize = 9;
-/// Time after the store's return by which every host takes callers again.
-const BACK_MS: u64 = 250;
+/// Time after the store's return by which every host is ready again.
+const RECOVERY_MS: u64 = 250;
 
-/// Symptom: hosts refuse what the store would take for half a second and more after it is back.
-/// Cause: reads of all streams went on into the outage, each was awaited for half a second and
-/// more, and the next one went out a while after one had failed.
+/// Hosts refused callers for half a second and more after the store's return. They continued to
+/// read all streams during the outage, awaited each read for half a second and more, and sent the
+/// next one a while after one had failed.
 #[gtest]
-fn hosts_press_an_away_store_little_and_are_back_soon() {
+fn hosts_call_an_unavailable_store_rarely_and_recover_soon() {
     const HOSTS: usize = 8;
-    for (mode, moment) in [Mode::Silent, Mode::Refuses]
+    for (mode, offset) in [Mode::Silent, Mode::Refuses]
         .into_iter()
-        .flat_map(|mode| (0..8).map(move |moment| (mode, moment)))
+        .flat_map(|mode| (0..8).map(move |offset| (mode, offset)))
     {
         let mut fleet = Fleet::new(HOSTS, 4);
-        fleet.run(500 + 90 * moment);
+        fleet.run(500 + 90 * offset);
         fleet.store.mode = mode;
         fleet.run(4_000);
         let owner = owner(&fleet);
@@ -218,25 +216,24 @@
         let before = fleet.store_calls_made;
         fleet.run(2_000);
         let calls = fleet.store_calls_made - before;
-        let most = 2 * PROBES_PER_S * (HOSTS - 1);
-        expect_that!(calls, le(most), "{mode:?}, moment {moment}");
+        let max_calls = 2 * PROBES_PER_S * (HOSTS - 1);
+        expect_that!(calls, le(max_calls), "{mode:?}, offset {offset}");
         fleet.resume(owner);
         fleet.store.mode = Mode::Up;
-        fleet.run(BACK_MS);
+        fleet.run(RECOVERY_MS);
         for host in 0..HOSTS {
             let is_ready = fleet.is_ready(host);
-            expect_true!(is_ready, "{mode:?}, moment {moment}, host {host}");
+            expect_true!(is_ready, "{mode:?}, offset {offset}, host {host}");
         }
     }
 }
 
-/// Symptom: tasks that had ended well run a second time, all those of a job at once. Sequence:
-/// part of the store goes away just after a job was stored there; the owner stops, and its
-/// successor begins without that part; tasks of the job end meanwhile, and their ends are passed
-/// over, as nothing is known of the job; its caller submits it again, and it is stored in a part
-/// that is there. Cause: the successor took the job in, with the runs that were on record, and
-/// did not look again at the ends that it had passed over: it took these runs for lost. From the
-/// log of such a day:
+/// Completed tasks ran a second time, all those of a job at once. A job was stored in a partition
+/// that then became unavailable; the owner stopped, and its successor started without that
+/// partition. Tasks of the job exited, and the exits were ignored, as the job was unknown. The
+/// caller submitted the job again, and it was stored in an available partition. The successor
+/// adopted the job with the runs on record, did not check the ignored exits again, and took the
+/// runs for lost. From the log of such a day:
 ///
 /// ```text
 /// 30.435 JobStored what=submit           32.409 OwnerSuspected leaving=true
@@ -244,25 +241,25 @@
 /// 35.166 RunOrdered run=2                of a task whose run 1 was done at 32.786
 /// ```
 #[gtest]
-fn ends_of_a_job_that_was_not_read_count_once_it_is_submitted_again() {
-    let all_parts: Vec<Stream> = (0..4).map(Stream::Jobs).collect();
-    for part in 0..4 {
+fn exits_of_an_unread_job_count_after_it_is_submitted_again() {
+    let all_partitions: Vec<Stream> = (0..4).map(Stream::Jobs).collect();
+    for partition in 0..4 {
         let mut fleet = Fleet::new(3, 4);
         let owner = owner(&fleet);
         let other = (owner + 1) % 3;
         let submission = job(vec![step(6, 1_200, &[])]);
-        // Appends take the parts in turn, so one of these goes to the part that stays.
-        for number in 0..part {
+        // Appends use the partitions in turn, so one of these goes to the partition that remains.
+        for number in 0..partition {
             fleet.submit(owner, 0x10 + number, &job(vec![step(1, 50, &[])]));
             fleet.run(20);
         }
         fleet.submit(owner, JOB, &submission);
         fleet.run(60);
         let starts = fleet.promises.starts.len();
-        fleet.store.away = all_parts.clone();
+        fleet.store.away = all_partitions.clone();
         fleet.kill(owner);
         fleet.run(3_000);
-        expect_that!(fleet.owners(), eq(1), "part {part}");
+        expect_that!(fleet.owners(), eq(1), "partition {partition}");
         fleet.store.away.truncate(3);
         let mut stored = fleet.submit(other, JOB, &submission);
         for _ in 0..20 {
@@ -273,23 +270,35 @@
             stored = fleet.submit(other, JOB, &submission);
         }
         fleet.run(2_000);
-        expect_that!(fleet.promises.starts.len(), eq(starts), "part {part}");
+        expect_that!(
+            fleet.promises.starts.len(),
+            eq(starts),
+            "partition {partition}"
+        );
         fleet.store.away.clear();
         fleet.run(4_000);
-        expect_that!(fleet.promises.starts.len(), eq(starts), "part {part}");
+        expect_that!(
+            fleet.promises.starts.len(),
+            eq(starts),
+            "partition {partition}"
+        );
         let state = fleet.state(other, JOB);
-        expect_that!(state, some(eq(JobState::Completed)), "part {part}");
-        expect_that!(fleet.promises.broken, is_empty(), "part {part}");
+        expect_that!(
+            state,
+            some(eq(JobState::Completed)),
+            "partition {partition}"
+        );
+        expect_that!(fleet.promises.broken, is_empty(), "partition {partition}");
     }
 }
 
-/// Symptom: while the store is away for some hosts, callers there wait for their whole time and learn
-/// nothing. Cause: a host that hears the owner asks the store for nothing but rules, and took seconds
-/// to notice that it is away.
+/// While the store was unavailable for some hosts, their callers waited until their timeout without
+/// an answer. A host that is connected to the owner reads only rules from the store, and took
+/// seconds to detect the outage.
 #[gtest]
-fn a_host_that_hears_the_owner_notices_soon_that_the_store_is_away() {
-    /// A late append, and the doubt that it raises.
-    const NOTICED_MS: u64 = 1_000;
+fn a_host_connected_to_the_owner_detects_an_outage_soon() {
+    /// Time until an append is late, and for which the store must then be in doubt.
+    const DETECTION_MS: u64 = 1_000;
     for mode in [Mode::Silent, Mode::Refuses] {
         let mut fleet = Fleet::with_relays(12, 12);
         fleet.run(4_000);
@@ -298,7 +307,7 @@
         fleet.store.mode = mode;
         fleet.run(50);
         fleet.submit(host, JOB, &job(vec![step(1, 100, &[])]));
-        fleet.run(NOTICED_MS);
+        fleet.run(DETECTION_MS);
         let request = fleet.submit(host, JOB + 1, &job(vec![step(1, 100, &[])]));
         fleet.run(10);
         let refused = Reply::NotDone {
@@ -306,7 +315,7 @@
         };
         expect_that!(fleet.replies.get(&request), some(eq(&refused)), "{mode:?}");
         fleet.store.mode = Mode::Up;
-        fleet.run(BACK_MS);
+        fleet.run(RECOVERY_MS);
         expect_true!(fleet.is_ready(host));
     }
 }
