--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -363,7 +363,7 @@
             is_excused,
             is_long_running,
         };
-        let is_to_blame = state.suspicion.count(&crash) && !state.is_done;
+        let is_to_blame = state.suspicion.record_crash(&crash) && !state.is_done;
         let Suspicion {
             crashes, confirmed, ..
         } = state.suspicion;
@@ -435,7 +435,7 @@
     /// Tells whether a task must not be started any more.
     pub(super) fn is_used_up(&self, task: TaskId) -> bool {
         let state = self.task(self.unit(task));
-        state.is_some_and(|state| state.suspicion.is_used_up())
+        state.is_some_and(|state| state.suspicion.is_exhausted())
     }
 
     /// Gives until when a task waits for what became of its workers, if it does.
--- a/crates/dispatch/src/owner/ends.rs
+++ b/crates/dispatch/src/owner/ends.rs
@@ -77,7 +77,7 @@
                 step.ended_ms += took_ms;
                 let speed = Speed {
                     projected_ms: took_ms,
-                    usual_ms: step.ended_ms / u64::from(step.ended),
+                    sibling_ms: step.ended_ms / u64::from(step.ended),
                 };
                 self.workers[key].record_speed(speed, now.steady_ms);
             }
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -420,9 +420,9 @@
     fn update_link_stats(&mut self) {
         self.stats.evaluated = self.workers.evaluated();
         self.stats.workers_refreshed = self.workers.workers_refreshed();
-        self.stats.answer_ms = self.answers.usual_ms();
-        self.stats.link_out_ms = self.link.out_ms();
-        self.stats.link_in_ms = self.link.in_ms();
+        self.stats.answer_ms = self.answers.typical_delay_ms();
+        self.stats.link_out_ms = self.link.outbound_ms();
+        self.stats.link_in_ms = self.link.inbound_ms();
         for (priority, count) in self.link.deferred() {
             self.stats.deferred[priority as usize] = count;
         }
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -193,7 +193,7 @@
                 continue;
             }
             let failed_on = task.failed_on;
-            if task.suspicion.is_used_up() {
+            if task.suspicion.is_exhausted() {
                 self.give_up(key, id, now, actions);
                 return false;
             }
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -8,7 +8,7 @@
 use crate::event::WorkerCall;
 use crate::owner::Owner;
 use crate::owner::worker::WorkerKey;
-use crate::policy::relaying::Means;
+use crate::policy::relaying::OwnerCapacity;
 use crate::policy::relaying::needs_relays;
 use crate::record::HostRecord;
 use crate::relay::Asker;
@@ -41,13 +41,13 @@
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        let means = Means {
+        let capacity = OwnerCapacity {
             link_bytes_per_s: self.bounds.link_bytes_per_s,
             cpu_permille: self.bounds.cpu_permille,
         };
         // Connections stay when a few workers go: opening them anew costs more.
         if !self.uses_relays {
-            self.uses_relays = needs_relays(self.workers.len(), means);
+            self.uses_relays = needs_relays(self.workers.len(), capacity);
             self.relays_due_ms = now.steady_ms + CONNECTING_MS;
         }
         if !self.uses_relays {
--- a/crates/dispatch/src/owner/shares.rs
+++ b/crates/dispatch/src/owner/shares.rs
@@ -20,7 +20,7 @@
 use crate::policy::interference::InterferenceModel;
 use crate::policy::interference::add_usage;
 use crate::policy::interference::headroom;
-use crate::policy::shares::ColocatedService;
+use crate::policy::shares::ColocatedTask;
 use crate::policy::shares::HEALTHY_HEADROOM;
 use crate::policy::shares::SuspendDelays;
 use crate::policy::shares::choose_share;
@@ -237,12 +237,12 @@
         let cores = run.cpu_milli as f64 / 1_000.0;
         let services = served
             .iter()
-            .map(|(serving, headroom, over_ms)| ColocatedService {
+            .map(|(serving, headroom, over_ms)| ColocatedTask {
                 headroom: *headroom,
                 over_ms: *over_ms,
                 headroom_loss: interference.coefficient(*serving, run.image) * cores,
             });
-        let services: Vec<ColocatedService> = services.collect();
+        let services: Vec<ColocatedTask> = services.collect();
         run.target_share_percent = choose_share(
             before,
             &services,
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -185,7 +185,7 @@
             if let Some(projected_ms) = projected_ms.filter(|_| expected.is_known) {
                 speeds.entry(suspect.worker).or_default().push(Speed {
                     projected_ms,
-                    usual_ms: expected.whole_ms,
+                    sibling_ms: expected.whole_ms,
                 });
             }
         }
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -126,7 +126,7 @@
 
     /// Tells whether it may have crashed a worker.
     pub(crate) fn is_suspect(&self) -> bool {
-        self.suspicion.is_open() || self.lost_runs.iter().any(LostRun::may_be_cause)
+        self.suspicion.needs_isolation() || self.lost_runs.iter().any(LostRun::may_be_cause)
     }
 
     /// Starts or continues to wait for a worker without other suspects, as there is none at
@@ -163,7 +163,11 @@
     /// Gives until when it waits to know whether its workers crashed, if it does.
     pub(crate) fn undecided_until_ms(&self, now_ms: u64) -> Option<u64> {
         let until_ms = self.lost_ms + MAX_UNDECIDED_MS;
-        (self.suspicion.awaits(self.unresolved_crashes()) && now_ms < until_ms).then_some(until_ms)
+        (self
+            .suspicion
+            .must_await_resolution(self.unresolved_crashes())
+            && now_ms < until_ms)
+            .then_some(until_ms)
     }
 
     /// Removes and gives the runs that were lost with a worker.
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -491,7 +491,7 @@
         if run.is_best_effort {
             self.best_effort_milli = self.best_effort_milli.saturating_sub(run.cpu_milli);
             self.window
-                .record_end(run.image, run.gauge as f64 / 1_000.0);
+                .record_exit(run.image, run.gauge as f64 / 1_000.0);
         }
         if run.is_long_running {
             self.long_running_milli = self.long_running_milli.saturating_sub(run.cpu_milli);
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -117,8 +117,8 @@
             self.fill_states(now_ms);
         }
         let before = actions.len();
-        let link_ms = self.link.carries_in_ms(self.writer.progress.last_bytes);
-        let slow_ms = SLOW_FACTOR * (self.answers.usual_ms() + link_ms);
+        let link_ms = self.link.transfer_ms(self.writer.progress.last_bytes);
+        let slow_ms = SLOW_FACTOR * (self.answers.typical_delay_ms() + link_ms);
         let Writer {
             progress, states, ..
         } = &mut self.writer;
--- a/crates/dispatch/src/policy/images.rs
+++ b/crates/dispatch/src/policy/images.rs
@@ -35,7 +35,9 @@
 
     /// Gives the name of an image.
     pub fn name(&self, key: ImageKey) -> &str {
-        let at = usize::from(key.0).checked_sub(1);
-        at.and_then(|at| self.names.get(at)).map_or("", |name| name)
+        let index = usize::from(key.0).checked_sub(1);
+        index
+            .and_then(|index| self.names.get(index))
+            .map_or("", |name| name)
     }
 }
--- a/crates/dispatch/src/policy/interference.rs
+++ b/crates/dispatch/src/policy/interference.rs
@@ -1,13 +1,13 @@
 //! How much fillers disturb the tasks that serve beside them, learned from looks.
 //!
-//! Which images get on with which is not known beforehand and differs by pair. A served
+//! Which images get on with which is not known beforehand and differs by ordered_pair. A served
 //! task behaves like a queue: its tail hardly moves with the first filler that presses it
 //! and grows without bound as the pressure nears what it can bear. The inverse of the tail
 //! falls in proportion, so that is what is learned: the *ease* of a task is its target
 //! over its tail, below 1 where the target is missed, and
 //!
 //! ```text
-//! ease = ease alone - sum over fillers (press of the pair x cores in use)
+//! ease = ease alone - sum over fillers (press of the ordered_pair x cores in use)
 //! ```
 //!
 //! The ease alone swings with the task's own load, by more than a filler presses, and each
@@ -15,7 +15,7 @@
 //! a task's ease and the fillers beside it were of late, and the presses on a serving image
 //! are those that explain the departures from that best, by least squares with no press
 //! below 0. Levels over all looks were tried first: a filler that happened to come while
-//! loads were high was taken for one that presses, and was never tried there again.
+//! loads were high was loss for one that presses, and was never tried there again.
 
 use crate::policy::images::ImageKey;
 use crate::policy::images::Images;
@@ -27,18 +27,18 @@
 
 /// Weight that a sample keeps with each later one of its image: at 30 to 50 samples a
 /// second for an image, a minute counts.
-const KEPT: f64 = 0.9995;
-/// Part of a window for which a filler that ended within it was there, on average.
-const ENDED_PART: f64 = 0.5;
+const SAMPLE_DECAY: f64 = 0.9995;
+/// Part of a window for which a filler that exited within it was there, on average.
+const EXITED_FRACTION: f64 = 0.5;
 /// Weight of the newest sample in a baseline. Tails are told anew twice a second, and a
 /// load swings within ten; a baseline of a second follows it and is less rough than one look.
 const BASELINE_WEIGHT: f64 = 0.5;
 /// Weight of a sample in the mean ease alone of an image, of hundreds of samples.
 const SOLO_WEIGHT: f64 = 0.005;
-/// Press of a pair of which nothing is known: enough to spread unknown fillers, too little
+/// Press of a ordered_pair of which nothing is known: enough to spread unknown fillers, too little
 /// to keep them from being tried.
 const UNKNOWN_COEFFICIENT: f64 = 0.06;
-/// Weight of that assumption, in samples of a filler that uses one core.
+/// Weight of that assumption, in samples of a filler that usage one core.
 const UNKNOWN_WEIGHT: f64 = 4.0;
 /// Weight of what a former owner has learned: it counts until a second or two of looks
 /// say otherwise.
@@ -55,37 +55,37 @@
 #[derive(Debug, Clone, Default)]
 pub struct Baseline {
     headroom: f64,
-    uses: Vec<ImageUsage>,
+    usage: Vec<ImageUsage>,
     has_sample: bool,
 }
 
 /// How far a look departs from the baseline.
 #[derive(Debug, Default)]
-struct Departure {
+struct Deviation {
     headroom: f64,
-    uses: Vec<ImageUsage>,
+    usage: Vec<ImageUsage>,
 }
 
 impl Baseline {
     /// Gives how far a sample departs from what was of late, and takes it in.
-    fn take(&mut self, headroom: f64, best_effort_uses: &[ImageUsage]) -> Option<Departure> {
-        let mut departure = Departure {
+    fn update(&mut self, headroom: f64, best_effort_usage: &[ImageUsage]) -> Option<Deviation> {
+        let mut deviation = Deviation {
             headroom: headroom - self.headroom,
-            uses: best_effort_uses.to_vec(),
+            usage: best_effort_usage.to_vec(),
         };
-        for (image, cores) in &self.uses {
-            add_usage(&mut departure.uses, *image, -cores);
+        for (image, cores) in &self.usage {
+            add_usage(&mut deviation.usage, *image, -cores);
         }
         let weight = if self.has_sample {
             BASELINE_WEIGHT
         } else {
             1.0
         };
-        self.headroom += departure.headroom * weight;
-        for (image, cores) in &departure.uses {
-            add_usage(&mut self.uses, *image, cores * weight);
+        self.headroom += deviation.headroom * weight;
+        for (image, cores) in &deviation.usage {
+            add_usage(&mut self.usage, *image, cores * weight);
         }
-        std::mem::replace(&mut self.has_sample, true).then_some(departure)
+        std::mem::replace(&mut self.has_sample, true).then_some(deviation)
     }
 }
 
@@ -96,28 +96,28 @@
 /// and twice as many tasks were let in as a service can bear.
 #[derive(Debug, Default)]
 pub struct UsageWindow {
-    ended: Vec<ImageUsage>,
+    exited: Vec<ImageUsage>,
 }
 
 impl UsageWindow {
-    /// Notes that a filler has ended which used so much of late.
-    pub fn record_end(&mut self, image: ImageKey, cores: f64) {
-        add_usage(&mut self.ended, image, cores * ENDED_PART);
+    /// Notes that a filler has exited which used so much of late.
+    pub fn record_exit(&mut self, image: ImageKey, cores: f64) {
+        add_usage(&mut self.exited, image, cores * EXITED_FRACTION);
     }
 
-    /// Adds what has ended to what is listed with new figures, and begins the next window.
-    pub fn close(&mut self, uses: &mut Vec<ImageUsage>) {
-        for (image, cores) in self.ended.drain(..) {
-            add_usage(uses, image, cores);
+    /// Adds what has exited to what is listed with new figures, and begins the next window.
+    pub fn close(&mut self, usage: &mut Vec<ImageUsage>) {
+        for (image, cores) in self.exited.drain(..) {
+            add_usage(usage, image, cores);
         }
     }
 }
 
 /// Adds to the use of an image in a list that names each image once.
-pub fn add_usage(uses: &mut Vec<ImageUsage>, image: ImageKey, cores: f64) {
-    match uses.iter_mut().find(|(other, _)| *other == image) {
+pub fn add_usage(usage: &mut Vec<ImageUsage>, image: ImageKey, cores: f64) {
+    match usage.iter_mut().find(|(other, _)| *other == image) {
         Some((_, sum)) => *sum += cores,
-        None => uses.push((image, cores)),
+        None => usage.push((image, cores)),
     }
 }
 
@@ -125,8 +125,8 @@
 #[derive(Debug)]
 struct Fit {
     solo_headroom: f64,
-    coefficient: BTreeMap<ImageKey, Coefficient>,
-    /// Sums of products of the uses of two fillers, the lower number first.
+    pair_coefficients: BTreeMap<ImageKey, Coefficient>,
+    /// Sums of products of the usage of two fillers, the lower number first.
     products: HashMap<(ImageKey, ImageKey), f64>,
 }
 
@@ -139,7 +139,7 @@
     assumed_weight: f64,
     square_sum: f64,
     /// Sum of products of what it used more, and what the ease was less.
-    use_loss_sum: f64,
+    usage_loss_sum: f64,
 }
 
 impl Default for Coefficient {
@@ -149,7 +149,7 @@
             assumed: UNKNOWN_COEFFICIENT,
             assumed_weight: UNKNOWN_WEIGHT,
             square_sum: 0.0,
-            use_loss_sum: 0.0,
+            usage_loss_sum: 0.0,
         }
     }
 }
@@ -158,7 +158,7 @@
     fn default() -> Self {
         Self {
             solo_headroom: UNKNOWN_HEADROOM,
-            coefficient: BTreeMap::new(),
+            pair_coefficients: BTreeMap::new(),
             products: HashMap::new(),
         }
     }
@@ -170,7 +170,7 @@
     fits: HashMap<ImageKey, Fit>,
     /// Presses by served image and filler, which placement reads many times for each
     /// that is learned.
-    table: Vec<Vec<f64>>,
+    coefficient_table: Vec<Vec<f64>>,
 }
 
 /// Gives the ease of a task with this tail.
@@ -180,32 +180,37 @@
 
 impl InterferenceModel {
     /// Learns from the ease of a serving task and what fillers beside it used meanwhile.
-    /// `best_effort_uses` names each image once.
+    /// `best_effort_usage` names each image once.
     pub fn learn(
         &mut self,
         serving: ImageKey,
         baseline: &mut Baseline,
         headroom: f64,
-        best_effort_uses: &[ImageUsage],
+        best_effort_usage: &[ImageUsage],
     ) {
         let fit = self.fits.entry(serving).or_default();
-        let mut taken = 0.0;
-        for (best_effort_image, cores) in best_effort_uses {
-            taken += fit.coefficient.entry(*best_effort_image).or_default().value * cores;
+        let mut loss = 0.0;
+        for (best_effort_image, cores) in best_effort_usage {
+            loss += fit
+                .pair_coefficients
+                .entry(*best_effort_image)
+                .or_default()
+                .value
+                * cores;
         }
-        fit.solo_headroom += (headroom + taken - fit.solo_headroom) * SOLO_WEIGHT;
-        let Some(departure) = baseline.take(headroom, best_effort_uses) else {
+        fit.solo_headroom += (headroom + loss - fit.solo_headroom) * SOLO_WEIGHT;
+        let Some(deviation) = baseline.update(headroom, best_effort_usage) else {
             return;
         };
-        fit.fade();
-        fit.add(&departure);
-        fit.solve(&departure.uses);
-        let row = row(&mut self.table, serving);
-        for (best_effort_image, _) in &departure.uses {
-            set(
+        fit.decay();
+        fit.add(&deviation);
+        fit.solve(&deviation.usage);
+        let row = row(&mut self.coefficient_table, serving);
+        for (best_effort_image, _) in &deviation.usage {
+            set_coefficient(
                 row,
                 *best_effort_image,
-                fit.coefficient[best_effort_image].value,
+                fit.pair_coefficients[best_effort_image].value,
             );
         }
     }
@@ -215,20 +220,20 @@
         for image in &learned.images {
             let fit = self.fits.entry(images.key(&image.image)).or_default();
             fit.solo_headroom = image.solo_headroom;
-            for pair in &image.coefficients {
+            for ordered_pair in &image.coefficients {
                 let coefficient = Coefficient {
-                    value: pair.coefficient,
-                    assumed: pair.coefficient,
+                    value: ordered_pair.coefficient,
+                    assumed: ordered_pair.coefficient,
                     assumed_weight: LEARNED_WEIGHT,
                     ..Coefficient::default()
                 };
-                let best_effort_image = images.key(&pair.best_effort_image);
-                set(
-                    row(&mut self.table, images.key(&image.image)),
+                let best_effort_image = images.key(&ordered_pair.best_effort_image);
+                set_coefficient(
+                    row(&mut self.coefficient_table, images.key(&image.image)),
                     best_effort_image,
-                    pair.coefficient,
+                    ordered_pair.coefficient,
                 );
-                fit.coefficient.insert(best_effort_image, coefficient);
+                fit.pair_coefficients.insert(best_effort_image, coefficient);
             }
         }
     }
@@ -238,7 +243,7 @@
         let mut list = Vec::new();
         for (serving, fit) in &self.fits {
             let mut coefficients = Vec::new();
-            for (best_effort_image, coefficient) in &fit.coefficient {
+            for (best_effort_image, coefficient) in &fit.pair_coefficients {
                 coefficients.push(LearnedCoefficient {
                     best_effort_image: images.name(*best_effort_image).into(),
                     coefficient: coefficient.value,
@@ -260,9 +265,9 @@
             .map_or(UNKNOWN_HEADROOM, |fit| fit.solo_headroom)
     }
 
-    /// Gives the press of a pair for each core that the filler uses.
+    /// Gives the press of a ordered_pair for each core that the filler usage.
     pub fn coefficient(&self, serving: ImageKey, best_effort_image: ImageKey) -> f64 {
-        self.table
+        self.coefficient_table
             .get(usize::from(serving.0))
             .and_then(|row| row.get(usize::from(best_effort_image.0)))
             .copied()
@@ -270,55 +275,58 @@
     }
 
     /// Gives by how much fillers lower the ease of a serving task.
-    pub fn headroom_loss(&self, serving: ImageKey, best_effort_uses: &[ImageUsage]) -> f64 {
+    pub fn headroom_loss(&self, serving: ImageKey, best_effort_usage: &[ImageUsage]) -> f64 {
         let mut sum = 0.0;
-        for (best_effort_image, cores) in best_effort_uses {
+        for (best_effort_image, cores) in best_effort_usage {
             sum += self.coefficient(serving, *best_effort_image) * cores;
         }
         sum
     }
 }
 
-fn row(table: &mut Vec<Vec<f64>>, serving: ImageKey) -> &mut Vec<f64> {
-    let at = usize::from(serving.0);
-    if table.len() <= at {
-        table.resize(at + 1, Vec::new());
+fn row(coefficient_table: &mut Vec<Vec<f64>>, serving: ImageKey) -> &mut Vec<f64> {
+    let index = usize::from(serving.0);
+    if coefficient_table.len() <= index {
+        coefficient_table.resize(index + 1, Vec::new());
     }
-    &mut table[at]
+    &mut coefficient_table[index]
 }
 
-fn set(row: &mut Vec<f64>, best_effort_image: ImageKey, coefficient: f64) {
-    let at = usize::from(best_effort_image.0);
-    if row.len() <= at {
-        row.resize(at + 1, UNKNOWN_COEFFICIENT);
+fn set_coefficient(row: &mut Vec<f64>, best_effort_image: ImageKey, coefficient: f64) {
+    let index = usize::from(best_effort_image.0);
+    if row.len() <= index {
+        row.resize(index + 1, UNKNOWN_COEFFICIENT);
     }
-    row[at] = coefficient;
+    row[index] = coefficient;
 }
 
-fn pair(left: ImageKey, right: ImageKey) -> (ImageKey, ImageKey) {
+fn ordered_pair(left: ImageKey, right: ImageKey) -> (ImageKey, ImageKey) {
     (left.min(right), left.max(right))
 }
 
 impl Fit {
-    fn fade(&mut self) {
-        for coefficient in self.coefficient.values_mut() {
-            coefficient.square_sum *= KEPT;
-            coefficient.use_loss_sum *= KEPT;
+    fn decay(&mut self) {
+        for coefficient in self.pair_coefficients.values_mut() {
+            coefficient.square_sum *= SAMPLE_DECAY;
+            coefficient.usage_loss_sum *= SAMPLE_DECAY;
         }
         for product in self.products.values_mut() {
-            *product *= KEPT;
+            *product *= SAMPLE_DECAY;
         }
     }
 
-    fn add(&mut self, departure: &Departure) {
-        for (number, (best_effort_image, cores)) in departure.uses.iter().enumerate() {
-            let coefficient = self.coefficient.entry(*best_effort_image).or_default();
+    fn add(&mut self, deviation: &Deviation) {
+        for (number, (best_effort_image, cores)) in deviation.usage.iter().enumerate() {
+            let coefficient = self
+                .pair_coefficients
+                .entry(*best_effort_image)
+                .or_default();
             coefficient.square_sum += cores * cores;
-            coefficient.use_loss_sum -= cores * departure.headroom;
-            for (other, other_cores) in &departure.uses[number + 1..] {
+            coefficient.usage_loss_sum -= cores * deviation.headroom;
+            for (other, other_cores) in &deviation.usage[number + 1..] {
                 *self
                     .products
-                    .entry(pair(*best_effort_image, *other))
+                    .entry(ordered_pair(*best_effort_image, *other))
                     .or_default() += cores * other_cores;
             }
         }
@@ -326,19 +334,19 @@
 
     /// Improves the presses of the given fillers, one after the other, with all else as it
     /// is. The sums change little from look to look, so one pass each time is enough.
-    fn solve(&mut self, best_effort_uses: &[ImageUsage]) {
-        for (best_effort_image, _) in best_effort_uses {
-            let mut by_others = 0.0;
-            for (other, coefficient) in &self.coefficient {
+    fn solve(&mut self, best_effort_usage: &[ImageUsage]) {
+        for (best_effort_image, _) in best_effort_usage {
+            let mut explained_by_others = 0.0;
+            for (other, coefficient) in &self.pair_coefficients {
                 if other != best_effort_image {
-                    let product = self.products.get(&pair(*best_effort_image, *other));
-                    by_others += coefficient.value * product.copied().unwrap_or(0.0);
+                    let product = self.products.get(&ordered_pair(*best_effort_image, *other));
+                    explained_by_others += coefficient.value * product.copied().unwrap_or(0.0);
                 }
             }
-            let Some(coefficient) = self.coefficient.get_mut(best_effort_image) else {
+            let Some(coefficient) = self.pair_coefficients.get_mut(best_effort_image) else {
                 continue;
             };
-            let loss = coefficient.use_loss_sum - by_others;
+            let loss = coefficient.usage_loss_sum - explained_by_others;
             let weight = coefficient.square_sum + coefficient.assumed_weight;
             coefficient.value =
                 ((loss + coefficient.assumed_weight * coefficient.assumed) / weight).max(0.0);
--- a/crates/dispatch/src/policy/link.rs
+++ b/crates/dispatch/src/policy/link.rs
@@ -2,7 +2,7 @@
 //!
 //! Load: a burst of orders to start is several times what a link of 2 Mbit/s carries in a
 //! second. What is sent all the same waits in the network, first come first served, and
-//! renewals of leases wait behind orders that could wait: leases run out, followers miss the
+//! renewals of leases wait behind orders that could wait: leases run outbound, followers miss the
 //! owner's signs of life and claim. One notices by answers that take as long as the queue.
 //! So the owner sends no more than its link carries, and each rank leaves room for the more
 //! important ones. What has no room is decided on again a little later, by what is known then.
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Gives the part of what may be under way at once, in percent, that calls of this rank
-    /// leave to more important ones. Leases go out whatever is under way: a few hundred bytes
+    /// Gives the part of what may be under direction at once, in percent, that calls of this rank
+    /// leave to more important ones. Leases go outbound whatever is under direction: a few hundred bytes
     /// each, and work is lost without them.
     fn reserved_percent(self) -> i64 {
         match self {
@@ -55,8 +55,8 @@
     }
 }
 
-/// Time that the link takes for what may be under way at once.
-const UNDER_WAY_MS: u64 = 80;
+/// Time that the link takes for what may be under direction at once.
+const IN_FLIGHT_MS: u64 = 80;
 /// Part of the link that is used, in percent. Acknowledgements and the answers to callers take
 /// the rest.
 const USED_PERCENT: u64 = 92;
@@ -81,52 +81,52 @@
     fitting_ms.clamp(MIN_LIST_PAUSE_MS, MAX_LIST_PAUSE_MS)
 }
 
-/// One way of a link.
+/// One direction of a link.
 #[derive(Debug, Clone, Copy)]
-struct Way {
+struct Direction {
     bytes_per_s: u64,
-    /// Bytes that may still go under way; negative while more are under way than should be.
-    left_bytes: i64,
+    /// Bytes that may still go under direction; negative while more are under direction than should be.
+    available_bytes: i64,
     refilled_ms: u64,
 }
 
-impl Way {
+impl Direction {
     fn new(bytes_per_s: u64) -> Self {
-        let mut way = Self {
+        let mut direction = Self {
             bytes_per_s,
-            left_bytes: 0,
+            available_bytes: 0,
             refilled_ms: 0,
         };
-        way.left_bytes = way.max_bytes();
-        way
+        direction.available_bytes = direction.max_bytes();
+        direction
     }
 
     fn max_bytes(&self) -> i64 {
-        (self.bytes_per_s * UNDER_WAY_MS / 1_000) as i64
+        (self.bytes_per_s * IN_FLIGHT_MS / 1_000) as i64
     }
 
     fn refill(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.refilled_ms);
         self.refilled_ms = now_ms;
-        let came_bytes = (self.bytes_per_s * passed_ms / 1_000) as i64;
-        self.left_bytes = (self.left_bytes + came_bytes).min(self.max_bytes());
+        let refilled_bytes = (self.bytes_per_s * passed_ms / 1_000) as i64;
+        self.available_bytes = (self.available_bytes + refilled_bytes).min(self.max_bytes());
     }
 
-    fn under_way_ms(&self) -> u64 {
-        let bytes = (self.max_bytes() - self.left_bytes).max(0) as u64;
+    fn in_flight_ms(&self) -> u64 {
+        let bytes = (self.max_bytes() - self.available_bytes).max(0) as u64;
         bytes * 1_000 / self.bytes_per_s.max(1)
     }
 
     fn has_room(&self, priority: CallPriority) -> bool {
-        self.left_bytes > self.max_bytes() * priority.reserved_percent() / 100
+        self.available_bytes > self.max_bytes() * priority.reserved_percent() / 100
     }
 }
 
 /// Both ways of a link.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkBudget {
-    out: Way,
-    into: Way,
+    outbound: Direction,
+    inbound: Direction,
     deferred: [u64; CallPriority::ALL.len()],
 }
 
@@ -135,31 +135,31 @@
     pub fn new(bytes_per_s: u64) -> Self {
         let used = bytes_per_s.max(1) * USED_PERCENT / 100;
         Self {
-            out: Way::new(used),
-            into: Way::new(used),
+            outbound: Direction::new(used),
+            inbound: Direction::new(used),
             deferred: [0; CallPriority::ALL.len()],
         }
     }
 
-    /// Lets time pass, in which the link carries what is under way.
+    /// Lets time pass, in which the link carries what is under direction.
     pub fn refill(&mut self, now_ms: u64) {
-        self.out.refill(now_ms);
-        self.into.refill(now_ms);
+        self.outbound.refill(now_ms);
+        self.inbound.refill(now_ms);
     }
 
-    /// Tells whether a call of this rank may go out now, and counts it if not.
+    /// Tells whether a call of this rank may go outbound now, and counts it if not.
     pub fn admits(&mut self, priority: CallPriority) -> bool {
         let has_room = self.has_room(priority);
         self.deferred[priority as usize] += u64::from(!has_room);
         has_room
     }
 
-    /// Tells whether a call of this rank may go out now.
+    /// Tells whether a call of this rank may go outbound now.
     pub fn has_room(&self, priority: CallPriority) -> bool {
-        self.out.has_room(priority) && self.into.has_room(priority)
+        self.outbound.has_room(priority) && self.inbound.has_room(priority)
     }
 
-    /// Notes a message that goes out, and one that comes in or will come in answer.
+    /// Notes a message that goes outbound, and one that comes in or will come in answer.
     pub fn charge(&mut self, out_bytes: u64, in_bytes: u64) {
         let packet_bytes = |bytes: u64| if bytes > 0 { PACKET_BYTES } else { 0 };
         self.charge_shared(
@@ -170,36 +170,36 @@
 
     /// The same for a part of a message.
     pub fn charge_shared(&mut self, out_bytes: u64, in_bytes: u64) {
-        self.out.left_bytes -= out_bytes as i64;
-        self.into.left_bytes -= in_bytes as i64;
+        self.outbound.available_bytes -= out_bytes as i64;
+        self.inbound.available_bytes -= in_bytes as i64;
     }
 
     /// Gives the pause between looks at one of so many workers that keeps them within their
     /// part of the link, if each takes so many bytes.
     pub fn polls_gap_ms(&self, workers: u64, poll_bytes: u64) -> u64 {
-        let max_per_s = self.out.bytes_per_s * POLLS_PERCENT / 100;
+        let max_per_s = self.outbound.bytes_per_s * POLLS_PERCENT / 100;
         workers * poll_bytes * 1_000 / max_per_s.max(1)
     }
 
     /// Gives the pause after an append of records that keeps them within their part.
     pub fn records_gap_ms(&self, bytes: u64) -> u64 {
-        let max_per_s = self.out.bytes_per_s * RECORDS_PERCENT / 100;
+        let max_per_s = self.outbound.bytes_per_s * RECORDS_PERCENT / 100;
         bytes * 1_000 / max_per_s.max(1)
     }
 
     /// Gives how long the link takes for so many bytes.
-    pub fn carries_in_ms(&self, bytes: u64) -> u64 {
-        bytes * 1_000 / self.out.bytes_per_s.max(1)
+    pub fn transfer_ms(&self, bytes: u64) -> u64 {
+        bytes * 1_000 / self.outbound.bytes_per_s.max(1)
     }
 
-    /// Gives how long the link still takes for what goes out.
-    pub fn out_ms(&self) -> u64 {
-        self.out.under_way_ms()
+    /// Gives how long the link still takes for what goes outbound.
+    pub fn outbound_ms(&self) -> u64 {
+        self.outbound.in_flight_ms()
     }
 
     /// Gives how long the link still takes for what comes in.
-    pub fn in_ms(&self) -> u64 {
-        self.into.under_way_ms()
+    pub fn inbound_ms(&self) -> u64 {
+        self.inbound.in_flight_ms()
     }
 
     /// Gives how many times calls of each rank were put off.
--- a/crates/dispatch/src/policy/placing.rs
+++ b/crates/dispatch/src/policy/placing.rs
@@ -12,14 +12,14 @@
 const MIN_GAP_MS: u64 = 10;
 const MAX_GAP_MS: u64 = 2_000;
 /// What weighing one worker for one step takes.
-const WEIGHING_NS: u64 = 40;
+const EVALUATION_NS: u64 = 40;
 /// Part of the owner's processor, in percent, that weighing may take.
-const PERCENT: u64 = 25;
+const CPU_PERCENT: u64 = 25;
 
 /// Gives the pause after a try in which workers were weighed so often, on a host with so many
 /// thousandths of a core.
 pub fn placing_gap_ms(evaluated: u64, cpu_permille: u64) -> u64 {
-    let ns_per_ms = (cpu_permille * 1_000 * PERCENT / 100).max(1);
-    let gap_ms = evaluated * WEIGHING_NS / ns_per_ms;
+    let ns_per_ms = (cpu_permille * 1_000 * CPU_PERCENT / 100).max(1);
+    let gap_ms = evaluated * EVALUATION_NS / ns_per_ms;
     gap_ms.clamp(MIN_GAP_MS, MAX_GAP_MS)
 }
--- a/crates/dispatch/src/policy/polls.rs
+++ b/crates/dispatch/src/policy/polls.rs
@@ -23,17 +23,17 @@
 /// What a look takes of the owner's processor.
 const POLL_US: u64 = 40;
 /// Part of the owner's processor, in percent, that looks at workers at rest may take.
-const IDLE_PERCENT: u64 = 10;
+const IDLE_CPU_PERCENT: u64 = 10;
 /// The same while a new owner looks at them for the first time. Nothing new starts on those that it
 /// has not heard.
-const FIRST_PERCENT: u64 = 30;
+const FIRST_CPU_PERCENT: u64 = 30;
 /// Longest pause while the workers are what confirms the owner: most of them must have answered
 /// within two seconds.
 const MAX_CONFIRMING_GAP_MS: u64 = 1_000;
 
 /// Gives the time, in microseconds, between the first looks of a new owner at workers at rest.
 pub fn first_gap_us(cpu_permille: u64) -> u64 {
-    POLL_US * 1_000 * 100 / (cpu_permille * FIRST_PERCENT).max(1)
+    POLL_US * 1_000 * 100 / (cpu_permille * FIRST_CPU_PERCENT).max(1)
 }
 
 /// What a worker is about, as far as looks go.
@@ -70,7 +70,7 @@
 
     fn idle_gap_ms(&self) -> u64 {
         // A thousandth of a core is as many microseconds a millisecond.
-        let us_per_s = (self.cpu_permille * 1_000 * IDLE_PERCENT / 100).max(1);
+        let us_per_s = (self.cpu_permille * 1_000 * IDLE_CPU_PERCENT / 100).max(1);
         let gap_ms = self.idle_workers * POLL_US * 1_000 / us_per_s;
         let max_ms = match self.are_confirming {
             true => MAX_CONFIRMING_GAP_MS,
--- a/crates/dispatch/src/policy/relaying.rs
+++ b/crates/dispatch/src/policy/relaying.rs
@@ -16,11 +16,11 @@
 const WORKER_CPU_MILLIONTHS: u64 = 290;
 /// Part of the link or of the processor, in percent, above which orders are relayed. The rest is
 /// for peaks, records and callers.
-const OWN_PERCENT: u64 = 40;
+const MAX_DIRECT_PERCENT: u64 = 40;
 
 /// What an owner has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Means {
+pub struct OwnerCapacity {
     /// What its link carries each way.
     pub link_bytes_per_s: u64,
     /// Its share of a core, in thousandths.
@@ -28,10 +28,10 @@
 }
 
 /// Tells whether an owner of so many workers is to have its orders relayed.
-pub fn needs_relays(workers: usize, means: Means) -> bool {
+pub fn needs_relays(workers: usize, capacity: OwnerCapacity) -> bool {
     let workers = workers as u64;
     let bytes_per_s = workers * WORKER_BYTES_PER_S;
     let cpu_permille = workers * WORKER_CPU_MILLIONTHS / 1_000;
-    bytes_per_s * 100 > means.link_bytes_per_s * OWN_PERCENT
-        || cpu_permille * 100 > means.cpu_permille * OWN_PERCENT
+    bytes_per_s * 100 > capacity.link_bytes_per_s * MAX_DIRECT_PERCENT
+        || cpu_permille * 100 > capacity.cpu_permille * MAX_DIRECT_PERCENT
 }
--- a/crates/dispatch/src/policy/shares.rs
+++ b/crates/dispatch/src/policy/shares.rs
@@ -4,7 +4,7 @@
 //! amounts that are learned and by others that are not, and the service's own load swings.
 //!
 //! **Without it** users of the service wait until it has been over its target for so long that all
-//! best-effort tasks beside it are suspended. It shows as services over their target with
+//! best-effort tasks beside it are suspended. It shows as colocated_tasks over their target with
 //! best-effort tasks at full share beside them.
 //!
 //! **Limits:** what a task is known to press decides whether it is slowed, and whether the service
@@ -12,7 +12,7 @@
 //! best-effort task beside it suspended, whatever was learned.
 
 /// Ease below which best-effort tasks that press a service are slowed; at 1 its target is missed.
-const CUT_HEADROOM: f64 = 1.05;
+const THROTTLE_HEADROOM: f64 = 1.05;
 /// Ease at which a service that was over its target is taken for well again. What looks tell is
 /// rough by a tenth and more, so one figure just below the target proves nothing.
 pub const HEALTHY_HEADROOM: f64 = 1.08;
@@ -54,7 +54,7 @@
 
 /// How a service stands, and what a best-effort task does to it.
 #[derive(Debug, Clone, Copy)]
-pub struct ColocatedService {
+pub struct ColocatedTask {
     /// The service's target over the tail of its latency.
     pub headroom: f64,
     /// Time for which it has been over its target; 0 if it is not.
@@ -63,52 +63,57 @@
     pub headroom_loss: f64,
 }
 
-/// What a service wishes for a best-effort task beside it; the strictest wish counts.
+/// What a service changes for a best-effort task beside it; the strictest preferred_change counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Wish {
+enum PreferredChange {
     Suspend,
-    Cut,
+    Throttle,
     Keep,
     Raise,
 }
 
-fn wish(service: &ColocatedService, suspend_delays: SuspendDelays) -> Wish {
-    let ColocatedService {
+fn preferred_change(
+    colocated_task: &ColocatedTask,
+    suspend_delays: SuspendDelays,
+) -> PreferredChange {
+    let ColocatedTask {
         headroom,
         over_ms,
         headroom_loss,
-    } = *service;
+    } = *colocated_task;
     let may_be_cause =
         over_ms >= suspend_delays.suspects_ms && headroom_loss >= SUSPECT_HEADROOM_LOSS;
     if may_be_cause || over_ms >= suspend_delays.all_ms {
-        Wish::Suspend
-    } else if headroom < CUT_HEADROOM && headroom_loss >= CAUSE_HEADROOM_LOSS {
-        Wish::Cut
+        PreferredChange::Suspend
+    } else if headroom < THROTTLE_HEADROOM && headroom_loss >= CAUSE_HEADROOM_LOSS {
+        PreferredChange::Throttle
     } else if headroom < RAISE_HEADROOM && headroom_loss >= CAUSE_HEADROOM_LOSS {
-        Wish::Keep
+        PreferredChange::Keep
     } else {
-        Wish::Raise
+        PreferredChange::Raise
     }
 }
 
-/// Chooses the share of a best-effort task that works at `before` percent beside these services.
+/// Chooses the share of a best-effort task that works at `current_percent` percent beside these colocated_tasks.
 /// A halt waits for nothing, since the time after which a wait counts as harm runs on; all other
-/// changes wait until `may_shift`.
+/// changes wait until `may_change`.
 pub fn choose_share(
-    before: u32,
-    services: &[ColocatedService],
+    current_percent: u32,
+    colocated_tasks: &[ColocatedTask],
     suspend_delays: SuspendDelays,
-    may_shift: bool,
+    may_change: bool,
     throttles_best_effort: bool,
 ) -> u32 {
-    let wishes = services.iter().map(|service| wish(service, suspend_delays));
-    match wishes.min().unwrap_or(Wish::Raise) {
-        Wish::Suspend => 0,
-        _ if !may_shift => before,
+    let changes = colocated_tasks
+        .iter()
+        .map(|colocated_task| preferred_change(colocated_task, suspend_delays));
+    match changes.min().unwrap_or(PreferredChange::Raise) {
+        PreferredChange::Suspend => 0,
+        _ if !may_change => current_percent,
         _ if !throttles_best_effort => 100,
-        Wish::Cut if before / 2 < SUSPEND_BELOW_PERCENT => 0,
-        Wish::Cut => before / 2,
-        Wish::Keep => before,
-        Wish::Raise => (before + RAISE_STEP_PERCENT).min(100),
+        PreferredChange::Throttle if current_percent / 2 < SUSPEND_BELOW_PERCENT => 0,
+        PreferredChange::Throttle => current_percent / 2,
+        PreferredChange::Keep => current_percent,
+        PreferredChange::Raise => (current_percent + RAISE_STEP_PERCENT).min(100),
     }
 }
--- a/crates/dispatch/src/policy/stragglers.rs
+++ b/crates/dispatch/src/policy/stragglers.rs
@@ -10,12 +10,12 @@
 //! nothing fails, and work that is done twice.
 //!
 //! **Limits:** whatever slows a worker slows all that runs there, so a worker is judged by the
-//! median of its runs. One run alone tells little: siblings differ by a factor of two and more.
+//! median of its runs. One run single tells little: siblings differ by a factor of two and more.
 
 /// How much slower than their siblings the runs of a slow worker are, in percent.
 const SLOW_PERCENT: u64 = 180;
 /// The same where only one run there can be compared.
-const SLOW_ALONE_PERCENT: u64 = 400;
+const SLOW_SINGLE_PERCENT: u64 = 400;
 
 /// How long a run takes at its pace so far, and how long its siblings take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,13 +23,13 @@
     /// Time that the whole run takes at this pace.
     pub projected_ms: u64,
     /// Time that its siblings take.
-    pub usual_ms: u64,
+    pub sibling_ms: u64,
 }
 
 impl Speed {
     /// Gives the time that it takes in percent of that of its siblings.
     fn percent(self) -> u64 {
-        self.projected_ms * 100 / self.usual_ms.max(1)
+        self.projected_ms * 100 / self.sibling_ms.max(1)
     }
 }
 
@@ -39,7 +39,7 @@
     percents.sort_unstable();
     match *percents {
         [] => false,
-        [alone] => alone >= SLOW_ALONE_PERCENT,
+        [single] => single >= SLOW_SINGLE_PERCENT,
         _ => percents[(percents.len() - 1) / 2] >= SLOW_PERCENT,
     }
 }
--- a/crates/dispatch/src/policy/suspicion.rs
+++ b/crates/dispatch/src/policy/suspicion.rs
@@ -32,12 +32,12 @@
 const MAX_CRASHES_ALONE_SAME_HOST: u32 = 3;
 /// Crashes, whatever the cause, after which the starts of a task are counted, and starts that it has
 /// left then unless a run of it is sound.
-const PROBATION_AT: u32 = 3;
-const STARTS_MORE: u32 = 2;
+const PROBATION_CRASHES: u32 = 3;
+const PROBATION_STARTS: u32 = 2;
 /// Workers that may crash under a task, whatever the cause.
 const MAX_CRASHES: u32 = 5;
 /// Crashes, whatever the cause, from which on a task is kept apart from others.
-const MIN_UNLUCKY: u32 = 2;
+const ISOLATION_CRASHES: u32 = 2;
 
 /// A worker that has crashed, as it concerns one task.
 #[derive(Debug, Clone, Copy)]
@@ -79,8 +79,8 @@
 impl Suspicion {
     /// Tells whether its next run is to be kept apart from others: it is suspected, or has more bad
     /// luck than most.
-    pub fn is_open(&self) -> bool {
-        self.confirmed > 0 || self.crashes >= MIN_UNLUCKY
+    pub fn needs_isolation(&self) -> bool {
+        self.confirmed > 0 || self.crashes >= ISOLATION_CRASHES
     }
 
     /// Tells whether a crash under this run is counted already. Older ones are not: what became of
@@ -93,7 +93,7 @@
     /// whether they were crashes. They count here as if they were: workers that crash may be back
     /// only long after their tasks run elsewhere.
     pub fn record_start(&mut self, unresolved_crashes: u32) {
-        self.starts += u32::from(self.crashes + unresolved_crashes >= PROBATION_AT);
+        self.starts += u32::from(self.crashes + unresolved_crashes >= PROBATION_CRASHES);
     }
 
     /// Takes in that a start was refused.
@@ -103,32 +103,32 @@
 
     /// Tells whether it must not be started any more: it has had its last starts, and no run of it
     /// was sound.
-    pub fn is_used_up(&self) -> bool {
-        self.starts >= STARTS_MORE && self.crashes >= PROBATION_AT
+    pub fn is_exhausted(&self) -> bool {
+        self.starts >= PROBATION_STARTS && self.crashes >= PROBATION_CRASHES
     }
 
     /// Tells whether it should not be started before it is known what became of the workers that it
     /// was lost with: if they have crashed, it has had its last starts.
-    pub fn awaits(&self, unresolved_crashes: u32) -> bool {
-        let may_be_used_up =
-            self.starts >= STARTS_MORE && self.crashes + unresolved_crashes >= PROBATION_AT;
-        may_be_used_up && !self.is_used_up()
+    pub fn must_await_resolution(&self, unresolved_crashes: u32) -> bool {
+        let may_be_exhausted = self.starts >= PROBATION_STARTS
+            && self.crashes + unresolved_crashes >= PROBATION_CRASHES;
+        may_be_exhausted && !self.is_exhausted()
     }
 
     /// Counts a crash, and tells whether the task is to blame for good.
-    pub fn count(&mut self, crash: &Crash<'_>) -> bool {
+    pub fn record_crash(&mut self, crash: &Crash<'_>) -> bool {
         if self.is_counted(crash.run) {
             return false;
         }
         self.run = self.run.max(crash.run);
         self.crashes += u32::from(crash.is_suspect || !crash.is_long_running);
-        let is_beyond_luck = self.crashes >= MAX_CRASHES || self.is_used_up();
-        is_beyond_luck || self.convicts(crash)
+        let is_beyond_chance = self.crashes >= MAX_CRASHES || self.is_exhausted();
+        is_beyond_chance || self.record_confirmed(crash)
     }
 
     /// Counts a crash that the task may have caused for certain, and tells whether nothing else can
     /// explain it any more.
-    fn convicts(&mut self, crash: &Crash<'_>) -> bool {
+    fn record_confirmed(&mut self, crash: &Crash<'_>) -> bool {
         if !crash.is_suspect || !crash.is_confirmed || crash.is_excused {
             return false;
         }
--- a/tests/policy_interference.rs
+++ b/tests/policy_interference.rs
@@ -152,7 +152,7 @@
             uses.push((FILLER, listed));
         }
         if ended > 0.0 {
-            window.record_end(FILLER, ended);
+            window.record_exit(FILLER, ended);
         }
         window.close(&mut uses);
         let tail_ms = tail_beside(listed + ended / 2.0);
--- a/tests/policy_stragglers.rs
+++ b/tests/policy_stragglers.rs
@@ -51,7 +51,7 @@
     for case in CASES {
         let speeds = case.takes_ms.iter().map(|projected_ms| Speed {
             projected_ms: *projected_ms,
-            usual_ms: 1_000,
+            sibling_ms: 1_000,
         });
         let speeds: Vec<Speed> = speeds.collect();
         expect_that!(is_slow(&speeds), eq(case.is_slow), "{}", case.name);
--- a/tests/policy_suspicion.rs
+++ b/tests/policy_suspicion.rs
@@ -195,14 +195,20 @@
 #[gtest]
 fn a_crash_that_is_known_late_counts_too() {
     let mut suspicion = Suspicion::default();
-    expect_that!(suspicion.count(&Crash { run: 2, ..ALONE }), eq(false));
+    expect_that!(
+        suspicion.record_crash(&Crash { run: 2, ..ALONE }),
+        eq(false)
+    );
     let late = Crash {
         run: 1,
         address: "10.0.0.2:80",
         ..ALONE
     };
-    expect_that!(suspicion.count(&late), eq(true));
-    expect_that!(suspicion.count(&Crash { run: 2, ..ALONE }), eq(false));
+    expect_that!(suspicion.record_crash(&late), eq(true));
+    expect_that!(
+        suspicion.record_crash(&Crash { run: 2, ..ALONE }),
+        eq(false)
+    );
     expect_that!(suspicion.crashes, eq(2));
 }
 
@@ -217,20 +223,20 @@
             run: number,
             ..SHARED
         };
-        expect_that!(suspicion.count(&crash), eq(false), "crash {number}");
+        expect_that!(suspicion.record_crash(&crash), eq(false), "crash {number}");
     }
     suspicion.record_start(0);
-    expect_that!(suspicion.is_used_up(), eq(false));
+    expect_that!(suspicion.is_exhausted(), eq(false));
     let mut sound = suspicion.clone();
     // A start that the worker refused was none.
     suspicion.record_start(0);
     suspicion.undo_start();
-    expect_that!(suspicion.is_used_up(), eq(false));
+    expect_that!(suspicion.is_exhausted(), eq(false));
     suspicion.record_start(0);
-    expect_that!(suspicion.is_used_up(), eq(true));
+    expect_that!(suspicion.is_exhausted(), eq(true));
     sound.clear(false);
     sound.record_start(0);
-    expect_that!(sound.is_used_up(), eq(false));
+    expect_that!(sound.is_exhausted(), eq(false));
 }
 
 /// Symptom: a task goes on crashing workers, or is given up for what it did not do.
@@ -258,7 +264,7 @@
                 ..*crash
             };
             suspicion.record_start(0);
-            if suspicion.count(&crash) && to_blame_at == 0 {
+            if suspicion.record_crash(&crash) && to_blame_at == 0 {
                 to_blame_at = number + 1;
             }
         }
@@ -274,18 +280,25 @@
     let mut suspicion = Suspicion::default();
     for unresolved_crashes in 0..4 {
         expect_that!(
-            suspicion.awaits(unresolved_crashes),
+            suspicion.must_await_resolution(unresolved_crashes),
             eq(false),
             "{unresolved_crashes} lost"
         );
         suspicion.record_start(unresolved_crashes);
     }
     suspicion.record_start(4);
-    expect_that!(suspicion.awaits(5), eq(true));
-    expect_that!(suspicion.is_used_up(), eq(false));
-    expect_that!(suspicion.awaits(2), eq(false), "the others were cut off");
+    expect_that!(suspicion.must_await_resolution(5), eq(true));
+    expect_that!(suspicion.is_exhausted(), eq(false));
+    expect_that!(
+        suspicion.must_await_resolution(2),
+        eq(false),
+        "the others were cut off"
+    );
     for run in 1..=2 {
-        expect_that!(suspicion.count(&Crash { run, ..SHARED }), eq(false));
+        expect_that!(suspicion.record_crash(&Crash { run, ..SHARED }), eq(false));
     }
-    expect_that!(suspicion.count(&Crash { run: 3, ..SHARED }), eq(true));
+    expect_that!(
+        suspicion.record_crash(&Crash { run: 3, ..SHARED }),
+        eq(true)
+    );
 }
