--- a/crates/dispatch/src/policy/answer_timeouts.rs
+++ b/crates/dispatch/src/policy/answer_timeouts.rs
@@ -1,48 +1,50 @@
-//! How long answers of workers are awaited, and what a missing one means.
+//! How long answers of workers are awaited, and what a missing answer indicates.
 //!
-//! Load: a host whose link or processor is full gets all answers late. With a fixed time every
-//! answer would then be thrown away, asked for again, and the link be fuller still: index 2 Mbit/s
-//! 48 of 85 workers that were alive were given up within a minute. One notices by answers that
-//! come late from all workers alike. So what is awaited follows what answers take, and while
-//! most of them are late or missing, a missing one speaks against this host's own link.
+//! **Load pattern:** the link or the processor of a host is saturated, so all answers reach it
+//! late.
 //!
-//! Limits: a worker that died must be noticed well before its lease is over, so a few late
-//! answers change nothing, and no answer is awaited for longer than the lease bears.
+//! **Without it** a fixed timeout discards these answers, and the repeated calls load the link even
+//! more: at 2 Mbit/s 48 of 85 workers that were alive were removed within a minute. It shows as
+//! answers that are late from all workers alike. Therefore the timeout follows recent delays, and
+//! while most answers are late or missing, a missing answer is attributed to this host's own link.
+//!
+//! **Limits:** a dead worker must be detected well before its lease expires. Therefore a few late
+//! answers do not change the timeout, and it never exceeds what the lease allows.
 
 use std::collections::VecDeque;
 
-/// Time in which workers answer that are well: milliseconds, or tens of them where they are
-/// seven times slower.
+/// Timeout in milliseconds if no delay is known. Responsive workers answer within milliseconds, or
+/// within tens of milliseconds where they are seven times slower.
 const BASE_TIMEOUT_MS: u64 = 350;
-/// How many times what answers take of late is added to that.
+/// Factor by which the typical delay is added to the base timeout.
 const DELAY_FACTOR: u64 = 3;
-/// How many times more is awaited while most answers are missing: what they take is not known
-/// then, as the late ones were given up.
+/// Factor applied to the base timeout while most answers are missing. The true delay is unknown
+/// then, as late answers are discarded at the timeout.
 const MISSING_FACTOR: u64 = 4;
-/// Longest time. Two such looks fit in a lease.
+/// Upper bound of the timeout. Two polls with this timeout fit into one lease.
 const MAX_TIMEOUT_MS: u64 = 2_000;
-/// Outcomes by which the time is judged, and how old they may be.
+/// Largest number of outcomes that are evaluated, and their largest age.
 const MAX_OUTCOMES: usize = 256;
 const MAX_OUTCOME_AGE_MS: u64 = 1_500;
-/// Outcomes below which nothing is concluded from missing answers.
+/// Smallest number of outcomes from which missing answers are evaluated.
 const MIN_OUTCOMES: usize = 8;
-/// Outcomes between two judgements.
+/// Number of outcomes between two updates of the timeout.
 const OUTCOMES_PER_UPDATE: usize = 16;
-/// Of the answers, the part in percent that must come faster than what counts as usual. Workers
-/// that are slow themselves are fewer than the rest.
+/// Percentile of the delays that counts as typical. Workers that are slow themselves are fewer than
+/// the rest.
 const TYPICAL_PERCENTILE: usize = 75;
-/// What answers take usually, above which the link of this host is suspected.
+/// Typical delay above which the link of this host is suspected.
 const SUSPECT_DELAY_MS: u64 = 150;
 
-/// What one call came to.
+/// Outcome of one call to a worker.
 #[derive(Debug, Clone, Copy)]
 struct Outcome {
     at_ms: u64,
-    /// How late its answer was; `None` if none came.
+    /// Delay of its answer; `None` if no answer arrived.
     delay_ms: Option<u64>,
 }
 
-/// What calls to workers came to of late.
+/// Recent outcomes of calls to workers.
 #[derive(Debug, Default)]
 pub struct AnswerLatencies {
     outcomes: VecDeque<Outcome>,
@@ -52,12 +54,12 @@
 }
 
 impl AnswerLatencies {
-    /// Notes an answer that came so long after the worker could have given it.
+    /// Records an answer that arrived `delay_ms` after the worker could have sent it.
     pub fn record_answer(&mut self, delay_ms: u64, now_ms: u64) {
         self.add(Some(delay_ms), now_ms);
     }
 
-    /// Notes that an answer was given up.
+    /// Records that no answer arrived before the timeout.
     pub fn record_missing(&mut self, now_ms: u64) {
         self.add(None, now_ms);
     }
@@ -94,7 +96,7 @@
         self.typical_delay_ms = *delays_ms.select_nth_unstable(index).1;
     }
 
-    /// Gives how long an answer is awaited that a worker could give index once.
+    /// Returns the timeout in milliseconds for a call that a worker can answer at once.
     pub fn answer_timeout_ms(&self) -> u64 {
         let factor = if self.is_mostly_missing {
             MISSING_FACTOR
@@ -104,13 +106,13 @@
         (BASE_TIMEOUT_MS * factor + DELAY_FACTOR * self.typical_delay_ms).min(MAX_TIMEOUT_MS)
     }
 
-    /// Tells whether answers are late or missing from most workers, so that the cause is
-    /// likely here.
+    /// Returns whether answers are late or missing from most workers, which makes this host's own
+    /// link the likely cause.
     pub fn is_link_suspect(&self) -> bool {
         self.is_mostly_missing || self.typical_delay_ms > SUSPECT_DELAY_MS
     }
 
-    /// Gives what answers take usually.
+    /// Returns the typical delay of recent answers, in milliseconds.
     pub fn typical_delay_ms(&self) -> u64 {
         self.typical_delay_ms
     }
--- a/crates/dispatch/src/policy/images.rs
+++ b/crates/dispatch/src/policy/images.rs
@@ -1,12 +1,12 @@
-//! What tasks run, numbered.
+//! Compact numbers for the images that tasks run.
 
 use std::collections::HashMap;
 
-/// An image, as this owner numbers it.
+/// Number of an image, valid for one owner only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ImageKey(pub u16);
 
-/// All images that this owner has met. Number 0 is the one without a name.
+/// Image names that this owner has encountered. Number 0 stands for the empty name.
 #[derive(Debug, Default)]
 pub struct Images {
     keys: HashMap<Box<str>, ImageKey>,
@@ -14,7 +14,7 @@
 }
 
 impl Images {
-    /// Gives the number of an image.
+    /// Returns the number of an image, and assigns one if the image is new.
     pub fn key(&mut self, name: &str) -> ImageKey {
         if name.is_empty() {
             return ImageKey::default();
@@ -28,12 +28,12 @@
         key
     }
 
-    /// Gives the number of an image; that of the one without a name if it was not met.
+    /// Returns the number of an image; 0 if the image is unknown.
     pub fn find(&self, name: &str) -> ImageKey {
         self.keys.get(name).copied().unwrap_or_default()
     }
 
-    /// Gives the name of an image.
+    /// Returns the name of an image; empty for number 0.
     pub fn name(&self, key: ImageKey) -> &str {
         let index = usize::from(key.0).checked_sub(1);
         index
--- a/crates/dispatch/src/policy/interference.rs
+++ b/crates/dispatch/src/policy/interference.rs
@@ -1,21 +1,24 @@
-//! How much fillers disturb the tasks that serve beside them, learned from looks.
+//! Model of how much best-effort tasks disturb latency-critical tasks on the same worker, learned
+//! from polls.
 //!
-//! Which images get on with which is not known beforehand and differs by ordered_pair. A served
-//! task behaves like a queue: its tail hardly moves with the first filler that presses it
-//! and grows without bound as the pressure nears what it can bear. The inverse of the tail
-//! falls in proportion, so that is what is learned: the *ease* of a task is its target
-//! over its tail, below 1 where the target is missed, and
+//! Which images tolerate each other is not known in advance and differs by pair. A latency-critical
+//! task behaves like a queue: its tail latency hardly rises with the first best-effort task that
+//! interferes and grows without bound as the total interference approaches its spare capacity. The
+//! inverse of the tail latency falls in proportion to the interference, so this inverse is learned.
+//! The *headroom* of a task is its latency target divided by its tail latency, below 1 where the
+//! target is missed, and
 //!
 //! ```text
-//! ease = ease alone - sum over fillers (press of the ordered_pair x cores in use)
+//! headroom = solo headroom - sum over best-effort images (coefficient of the pair x cores in use)
 //! ```
 //!
-//! The ease alone swings with the task's own load, by more than a filler presses, and each
-//! task has a swing of its own. So changes are compared, not levels: [`Baseline`] keeps what
-//! a task's ease and the fillers beside it were of late, and the presses on a serving image
-//! are those that explain the departures from that best, by least squares with no press
-//! below 0. Levels over all looks were tried first: a filler that happened to come while
-//! loads were high was loss for one that presses, and was never tried there again.
+//! The solo headroom varies with the task's own load by more than a best-effort task takes from it,
+//! and independently for each task. Therefore changes are compared instead of levels: [`Baseline`]
+//! keeps the recent headroom of a task and the recent usage of the best-effort tasks beside it. The
+//! coefficients of a latency-critical image are the ones that best explain the deviations from this
+//! baseline, by least squares with no coefficient below 0. With levels over all polls instead, a
+//! best-effort image that happened to start while loads were high was taken for one that
+//! interferes, and was never placed there again.
 
 use crate::policy::images::ImageKey;
 use crate::policy::images::Images;
@@ -25,33 +28,35 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// Weight that a sample keeps with each later one of its image: at 30 to 50 samples a
-/// second for an image, a minute counts.
+/// Factor by which the weight of a sample decays with each later one of its image. At 30 to 50
+/// samples a second for an image, the last minute counts.
 const SAMPLE_DECAY: f64 = 0.9995;
-/// Part of a window for which a filler that exited within it was there, on average.
+/// Average part of a usage window for which a best-effort task ran that exited within it.
 const EXITED_FRACTION: f64 = 0.5;
-/// Weight of the newest sample in a baseline. Tails are told anew twice a second, and a
-/// load swings within ten; a baseline of a second follows it and is less rough than one look.
+/// Weight of the newest sample in a baseline. Tail latencies are reported twice a second, and load
+/// swings within ten seconds. A baseline over one second follows these swings and is smoother than
+/// a single poll.
 const BASELINE_WEIGHT: f64 = 0.5;
-/// Weight of a sample in the mean ease alone of an image, of hundreds of samples.
+/// Weight of a sample in the moving average of an image's solo headroom, which covers hundreds of
+/// samples.
 const SOLO_WEIGHT: f64 = 0.005;
-/// Press of a ordered_pair of which nothing is known: enough to spread unknown fillers, too little
-/// to keep them from being tried.
+/// Coefficient of a pair that has no samples: enough to spread unknown best-effort images, too
+/// little to keep them from being tried.
 const UNKNOWN_COEFFICIENT: f64 = 0.06;
-/// Weight of that assumption, in samples of a filler that usage one core.
+/// Weight of [`UNKNOWN_COEFFICIENT`], in samples of a best-effort task that uses one core.
 const UNKNOWN_WEIGHT: f64 = 4.0;
-/// Weight of what a former owner has learned: it counts until a second or two of looks
-/// say otherwise.
+/// Weight of what the previous owner has learned, in samples. One or two seconds of polls outweigh
+/// it.
 const LEARNED_WEIGHT: f64 = 60.0;
-/// An ease above this says no more than that the task is well.
+/// Upper bound of the headroom. A higher value carries no further information.
 const MAX_HEADROOM: f64 = 4.0;
-/// Ease of an image of which nothing is known.
+/// Solo headroom of an image that has no samples.
 const UNKNOWN_HEADROOM: f64 = 2.2;
 
-/// Processor time in use by a filler, in cores.
+/// CPU usage of a best-effort image, in cores.
 pub type ImageUsage = (ImageKey, f64);
 
-/// What a task's ease, and the use of fillers beside it, were of late.
+/// Recent headroom of a latency-critical task, and recent usage of the best-effort tasks beside it.
 #[derive(Debug, Clone, Default)]
 pub struct Baseline {
     headroom: f64,
@@ -59,7 +64,7 @@
     has_sample: bool,
 }
 
-/// How far a look departs from the baseline.
+/// Deviation of a poll's figures from the baseline.
 #[derive(Debug, Default)]
 struct Deviation {
     headroom: f64,
@@ -67,7 +72,8 @@
 }
 
 impl Baseline {
-    /// Gives how far a sample departs from what was of late, and takes it in.
+    /// Adds a sample to the baseline. Returns its deviation from the baseline before, or `None` for
+    /// the first sample.
     fn update(&mut self, headroom: f64, best_effort_usage: &[ImageUsage]) -> Option<Deviation> {
         let mut deviation = Deviation {
             headroom: headroom - self.headroom,
@@ -89,23 +95,25 @@
     }
 }
 
-/// The half second that the figures of a look tell of.
+/// Half-second interval that the figures of a poll cover.
 ///
-/// A filler that ends within it has disturbed those beside it and is no longer listed. Left
-/// out, its effect was put down to chance: presses were learned at half of what they are,
-/// and twice as many tasks were let in as a service can bear.
+/// A best-effort task that exits within the interval has disturbed the tasks beside it but is no
+/// longer reported. If it is ignored, its effect is attributed to chance: coefficients were then
+/// learned at half of their true value, and twice as many best-effort tasks were placed as a
+/// latency-critical task tolerates.
 #[derive(Debug, Default)]
 pub struct UsageWindow {
     exited: Vec<ImageUsage>,
 }
 
 impl UsageWindow {
-    /// Notes that a filler has exited which used so much of late.
+    /// Records that a best-effort task has exited which recently used `cores`.
     pub fn record_exit(&mut self, image: ImageKey, cores: f64) {
         add_usage(&mut self.exited, image, cores * EXITED_FRACTION);
     }
 
-    /// Adds what has exited to what is listed with new figures, and begins the next window.
+    /// Adds the usage of tasks that have exited to the usage that is reported with new figures, and
+    /// starts the next interval.
     pub fn close(&mut self, usage: &mut Vec<ImageUsage>) {
         for (image, cores) in self.exited.drain(..) {
             add_usage(usage, image, cores);
@@ -113,7 +121,7 @@
     }
 }
 
-/// Adds to the use of an image in a list that names each image once.
+/// Adds to the usage of an image in a list that contains each image at most once.
 pub fn add_usage(usage: &mut Vec<ImageUsage>, image: ImageKey, cores: f64) {
     match usage.iter_mut().find(|(other, _)| *other == image) {
         Some((_, sum)) => *sum += cores,
@@ -121,24 +129,25 @@
     }
 }
 
-/// Sums over the looks at one serving image, and what follows from them.
+/// Least-squares fit for one latency-critical image.
 #[derive(Debug)]
 struct Fit {
     solo_headroom: f64,
     pair_coefficients: BTreeMap<ImageKey, Coefficient>,
-    /// Sums of products of the usage of two fillers, the lower number first.
+    /// Sums of products of the usage of two best-effort images, the lower number first.
     products: HashMap<(ImageKey, ImageKey), f64>,
 }
 
-/// Sums over the looks at which a filler was beside a serving image.
+/// Coefficient of one best-effort image beside a latency-critical image, with the sums over its
+/// samples.
 #[derive(Debug)]
 struct Coefficient {
     value: f64,
-    /// What was assumed before any sample, and its weight in samples of one core.
+    /// Value that is assumed before the first sample, and its weight in samples of one core.
     assumed: f64,
     assumed_weight: f64,
     square_sum: f64,
-    /// Sum of products of what it used more, and what the ease was less.
+    /// Sum of products of additional usage and lost headroom.
     usage_loss_sum: f64,
 }
 
@@ -164,23 +173,24 @@
     }
 }
 
-/// What was learned.
+/// Learned interference of all pairs of images.
 #[derive(Debug, Default)]
 pub struct InterferenceModel {
     fits: HashMap<ImageKey, Fit>,
-    /// Presses by served image and filler, which placement reads many times for each
-    /// that is learned.
+    /// Coefficients by latency-critical image and best-effort image. Placement reads them many
+    /// times for each update.
     coefficient_table: Vec<Vec<f64>>,
 }
 
-/// Gives the ease of a task with this tail.
+/// Returns the headroom of a task: its latency target divided by its tail latency, both in
+/// milliseconds.
 pub fn headroom(target_ms: u64, tail_ms: u64) -> f64 {
     (target_ms as f64 / tail_ms.max(1) as f64).min(MAX_HEADROOM)
 }
 
 impl InterferenceModel {
-    /// Learns from the ease of a serving task and what fillers beside it used meanwhile.
-    /// `best_effort_usage` names each image once.
+    /// Learns from the headroom of a latency-critical task and the usage of best-effort tasks
+    /// beside it in the same interval. `best_effort_usage` contains each image at most once.
     pub fn learn(
         &mut self,
         serving: ImageKey,
@@ -215,7 +225,7 @@
         }
     }
 
-    /// Takes over what a former owner has learned.
+    /// Restores what the previous owner has learned.
     pub(crate) fn resume(&mut self, learned: &Learned, images: &mut Images) {
         for image in &learned.images {
             let fit = self.fits.entry(images.key(&image.image)).or_default();
@@ -238,7 +248,7 @@
         }
     }
 
-    /// Gives what was learned, for a successor.
+    /// Returns what was learned, to be stored for the next owner.
     pub(crate) fn learned(&self, images: &Images) -> Vec<LearnedImage> {
         let mut list = Vec::new();
         for (serving, fit) in &self.fits {
@@ -258,14 +268,15 @@
         list
     }
 
-    /// Gives the ease that a serving image has by itself.
+    /// Returns the headroom of a latency-critical image without best-effort tasks beside it.
     pub fn solo_headroom(&self, serving: ImageKey) -> f64 {
         self.fits
             .get(&serving)
             .map_or(UNKNOWN_HEADROOM, |fit| fit.solo_headroom)
     }
 
-    /// Gives the press of a ordered_pair for each core that the filler usage.
+    /// Returns the headroom that a latency-critical image loses for each core that a best-effort
+    /// image uses.
     pub fn coefficient(&self, serving: ImageKey, best_effort_image: ImageKey) -> f64 {
         self.coefficient_table
             .get(usize::from(serving.0))
@@ -274,7 +285,7 @@
             .unwrap_or(UNKNOWN_COEFFICIENT)
     }
 
-    /// Gives by how much fillers lower the ease of a serving task.
+    /// Returns by how much best-effort tasks lower the headroom of a latency-critical image.
     pub fn headroom_loss(&self, serving: ImageKey, best_effort_usage: &[ImageUsage]) -> f64 {
         let mut sum = 0.0;
         for (best_effort_image, cores) in best_effort_usage {
@@ -332,8 +343,8 @@
         }
     }
 
-    /// Improves the presses of the given fillers, one after the other, with all else as it
-    /// is. The sums change little from look to look, so one pass each time is enough.
+    /// Improves the coefficients of the given best-effort images one after the other, with all
+    /// others fixed. The sums change little between polls, so one pass for each is enough.
     fn solve(&mut self, best_effort_usage: &[ImageUsage]) {
         for (best_effort_image, _) in best_effort_usage {
             let mut explained_by_others = 0.0;
--- a/crates/dispatch/src/policy/link.rs
+++ b/crates/dispatch/src/policy/link.rs
@@ -1,30 +1,32 @@
-//! What the owner puts on its link, and what waits.
+//! Which calls the owner sends over its link now, and which are deferred.
 //!
-//! Load: a burst of orders to start is several times what a link of 2 Mbit/s carries in a
-//! second. What is sent all the same waits in the network, first come first served, and
-//! renewals of leases wait behind orders that could wait: leases run outbound, followers miss the
-//! owner's signs of life and claim. One notices by answers that take as long as the queue.
-//! So the owner sends no more than its link carries, and each rank leaves room for the more
-//! important ones. What has no room is decided on again a little later, by what is known then.
+//! **Load pattern:** a burst of start orders is several times what a link of 2 Mbit/s carries in a
+//! second.
 //!
-//! Limits: the link's width is a setting. At most 80 ms of it are sent at once, so that nothing
-//! waits for longer than that behind our own bytes.
+//! **Without it** all of them are sent and queue in the network in order of arrival. Lease renewals
+//! wait behind orders that could wait: leases expire, and followers miss the owner's heartbeats and
+//! claim. It shows as answers that take as long as the queue. Therefore the owner sends no more
+//! than its link carries, and each priority leaves room for more important calls. A deferred call
+//! is decided on again a little later, by what is known then.
+//!
+//! **Limits:** the capacity of the link is a setting. At most 80 ms of it are sent at once, so that
+//! no call waits longer than that behind the owner's own bytes.
 
-/// What a call is for, the most important first.
+/// Purpose of a call, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
-    /// It keeps a lease that is half over, or the claim to own.
+    /// Renews a lease that is half over, or the claim to be the owner.
     Lease,
-    /// It stops a run, or changes its share.
+    /// Stops a run, or changes its CPU share.
     Control,
-    /// It asks what runs at a worker and what has ended there.
+    /// Asks a worker for its runs and the exits of runs.
     Poll,
-    /// It starts a run.
+    /// Starts a run.
     Start,
 }
 
 impl CallPriority {
-    /// All ranks.
+    /// All priorities, the most important first.
     pub const ALL: [CallPriority; 4] = [
         CallPriority::Lease,
         CallPriority::Control,
@@ -32,7 +34,7 @@
         CallPriority::Start,
     ];
 
-    /// Gives its name in logs.
+    /// Returns the name of the priority in logs.
     pub fn name(self) -> &'static str {
         match self {
             CallPriority::Lease => "lease",
@@ -42,9 +44,9 @@
         }
     }
 
-    /// Gives the part of what may be under direction at once, in percent, that calls of this rank
-    /// leave to more important ones. Leases go outbound whatever is under direction: a few hundred bytes
-    /// each, and work is lost without them.
+    /// Returns the percentage of the bytes in flight that calls of this priority leave to more
+    /// important ones. Lease renewals are sent regardless of what is in flight: they take a few
+    /// hundred bytes each, and running tasks are lost without them.
     fn reserved_percent(self) -> i64 {
         match self {
             CallPriority::Lease => -100,
@@ -55,37 +57,37 @@
     }
 }
 
-/// Time that the link takes for what may be under direction at once.
+/// Transfer time of the bytes that may be in flight at once.
 const IN_FLIGHT_MS: u64 = 80;
-/// Part of the link that is used, in percent. Acknowledgements and the answers to callers take
-/// the rest.
+/// Percentage of the link that is used. Acknowledgements and answers to callers take the rest.
 const USED_PERCENT: u64 = 92;
-/// Bytes that each message takes beside its own.
+/// Overhead of each message in bytes, beside its content.
 pub(crate) const PACKET_BYTES: u64 = 60;
-/// Part of the link, in percent, that looks at all workers in turn may take.
+/// Percentage of the link that regular polls of all workers may take.
 const POLLS_PERCENT: u64 = 25;
-/// Part of the link, in percent, that records of progress may take.
+/// Percentage of the link that records of progress may take.
 const RECORDS_PERCENT: u64 = 45;
 
-/// Longest and shortest pause between two reads of the list of workers.
+/// Largest and smallest interval between two reads of the list of workers.
 pub(crate) const MAX_LIST_PAUSE_MS: u64 = 400;
 const MIN_LIST_PAUSE_MS: u64 = 100;
-/// Time that the link may take for what one such read brings, as all else waits behind it.
+/// Transfer time that the answer to one such read may take, as all other messages wait behind it.
 const LIST_BURST_MS: u64 = 20;
 
-/// Gives the pause before the next read of the list of workers, by what the latest one brought after
-/// its pause. Reports of thousands of workers come all the time; read seldom, they come at once.
+/// Returns the interval in milliseconds before the next read of the list of workers, by the bytes
+/// that the latest read returned after `pause_ms`. Thousands of workers report all the time; if the
+/// list is read rarely, their reports arrive in one burst.
 pub fn list_pause_ms(pause_ms: u64, bytes: u64, link_bytes_per_s: u64) -> u64 {
     let burst_bytes = link_bytes_per_s * LIST_BURST_MS / 1_000;
     let fitting_ms = pause_ms * burst_bytes / bytes.max(1);
     fitting_ms.clamp(MIN_LIST_PAUSE_MS, MAX_LIST_PAUSE_MS)
 }
 
-/// One direction of a link.
+/// Budget of one direction of a link.
 #[derive(Debug, Clone, Copy)]
 struct Direction {
     bytes_per_s: u64,
-    /// Bytes that may still go under direction; negative while more are under direction than should be.
+    /// Bytes that may still be sent; negative while more are in flight than allowed.
     available_bytes: i64,
     refilled_ms: u64,
 }
@@ -122,7 +124,7 @@
     }
 }
 
-/// Both ways of a link.
+/// Budget of both directions of a link.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkBudget {
     outbound: Direction,
@@ -131,7 +133,7 @@
 }
 
 impl LinkBudget {
-    /// Makes the budget of a link of which nothing is in use.
+    /// Creates the budget of an unused link that carries `bytes_per_s` in each direction.
     pub fn new(bytes_per_s: u64) -> Self {
         let used = bytes_per_s.max(1) * USED_PERCENT / 100;
         Self {
@@ -141,25 +143,26 @@
         }
     }
 
-    /// Lets time pass, in which the link carries what is under direction.
+    /// Returns to the budget what the link has carried until `now_ms`.
     pub fn refill(&mut self, now_ms: u64) {
         self.outbound.refill(now_ms);
         self.inbound.refill(now_ms);
     }
 
-    /// Tells whether a call of this rank may go outbound now, and counts it if not.
+    /// Returns whether a call of this priority may be sent now, and counts it as deferred if not.
     pub fn admits(&mut self, priority: CallPriority) -> bool {
         let has_room = self.has_room(priority);
         self.deferred[priority as usize] += u64::from(!has_room);
         has_room
     }
 
-    /// Tells whether a call of this rank may go outbound now.
+    /// Returns whether a call of this priority may be sent now.
     pub fn has_room(&self, priority: CallPriority) -> bool {
         self.outbound.has_room(priority) && self.inbound.has_room(priority)
     }
 
-    /// Notes a message that goes outbound, and one that comes in or will come in answer.
+    /// Charges an outgoing message and an incoming one, each with its overhead. A length of 0
+    /// stands for no message.
     pub fn charge(&mut self, out_bytes: u64, in_bytes: u64) {
         let packet_bytes = |bytes: u64| if bytes > 0 { PACKET_BYTES } else { 0 };
         self.charge_shared(
@@ -168,41 +171,42 @@
         );
     }
 
-    /// The same for a part of a message.
+    /// Charges bytes that are part of a larger message, without the overhead of a message.
     pub fn charge_shared(&mut self, out_bytes: u64, in_bytes: u64) {
         self.outbound.available_bytes -= out_bytes as i64;
         self.inbound.available_bytes -= in_bytes as i64;
     }
 
-    /// Gives the pause between looks at one of so many workers that keeps them within their
-    /// part of the link, if each takes so many bytes.
+    /// Returns the interval in milliseconds between two polls of the same worker that keeps polls
+    /// of `workers` workers within their part of the link, at `poll_bytes` for each poll.
     pub fn polls_gap_ms(&self, workers: u64, poll_bytes: u64) -> u64 {
         let max_per_s = self.outbound.bytes_per_s * POLLS_PERCENT / 100;
         workers * poll_bytes * 1_000 / max_per_s.max(1)
     }
 
-    /// Gives the pause after an append of records that keeps them within their part.
+    /// Returns the interval in milliseconds after an append of `bytes` that keeps records within
+    /// their part of the link.
     pub fn records_gap_ms(&self, bytes: u64) -> u64 {
         let max_per_s = self.outbound.bytes_per_s * RECORDS_PERCENT / 100;
         bytes * 1_000 / max_per_s.max(1)
     }
 
-    /// Gives how long the link takes for so many bytes.
+    /// Returns the time in milliseconds that the link takes to transfer `bytes`.
     pub fn transfer_ms(&self, bytes: u64) -> u64 {
         bytes * 1_000 / self.outbound.bytes_per_s.max(1)
     }
 
-    /// Gives how long the link still takes for what goes outbound.
+    /// Returns the time in milliseconds until the link has sent the outgoing bytes in flight.
     pub fn outbound_ms(&self) -> u64 {
         self.outbound.in_flight_ms()
     }
 
-    /// Gives how long the link still takes for what comes in.
+    /// Returns the time in milliseconds until the link has received the incoming bytes in flight.
     pub fn inbound_ms(&self) -> u64 {
         self.inbound.in_flight_ms()
     }
 
-    /// Gives how many times calls of each rank were put off.
+    /// Returns how many calls of each priority were deferred.
     pub fn deferred(&self) -> impl Iterator<Item = (CallPriority, u64)> + use<> {
         CallPriority::ALL.into_iter().zip(self.deferred)
     }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,20 +1,19 @@
-//! The decisions about service under load, each by itself: plain structs and functions over
-//! what is known, without orders, records or clocks of their own. The owner gathers what
-//! they need, asks, and carries out what they say.
+//! Scheduling decisions of the owner, as plain structs and functions without I/O, records or clocks
+//! of their own. The owner collects their inputs and carries out the results.
 //!
 //! | Module | Decides |
 //! | --- | --- |
-//! | [`interference`] | how much best-effort tasks slow down long-running ones beside them |
-//! | [`link`] | what the owner puts on its link, and what waits |
-//! | [`polls`] | how often the owner looks at each worker |
-//! | [`ordering`] | which job gets what is free |
-//! | [`shares`] | at which share best-effort tasks work beside a service |
+//! | [`interference`] | how much best-effort tasks slow down latency-critical tasks beside them |
+//! | [`link`] | which calls the owner sends over its link now, and which are deferred |
+//! | [`polls`] | how often the owner polls each worker |
+//! | [`ordering`] | which waiting job gets free resources first |
+//! | [`shares`] | which CPU share best-effort tasks get beside latency-critical tasks |
 //! | [`answer_timeouts`] | how long answers of workers are awaited, and what a missing one means |
-//! | [`placing`] | how often what waits is placed |
-//! | [`relaying`] | whether other hosts carry the owner's orders to the workers |
+//! | [`placing`] | how often the owner tries to place waiting steps |
+//! | [`relaying`] | whether other hosts relay the owner's orders to the workers |
 //! | [`size`] | how large a job may be |
-//! | [`stragglers`] | which workers slow down what runs there |
-//! | [`suspicion`] | which task is to blame when a worker has crashed |
+//! | [`stragglers`] | which workers slow down the tasks that run there |
+//! | [`suspicion`] | which task is the cause when a worker has crashed |
 
 pub mod answer_timeouts;
 pub mod images;
--- a/crates/dispatch/src/policy/ordering.rs
+++ b/crates/dispatch/src/policy/ordering.rs
@@ -1,42 +1,40 @@
-//! In which order jobs get what is free.
+//! Order in which waiting jobs get free resources.
 //!
-//! **Load pattern:** for seconds or for the whole day more work comes than fits, in all or of
-//! one kind that few workers can take.
+//! **Load pattern:** for seconds or for the whole day more work arrives than fits, either in total
+//! or of one kind that few workers can run.
 //!
-//! **Without it** jobs went by the time at which they were due. Under overload every job then
-//! starts when it can only just end in time, and ends late: all are served, and hardly any
-//! in time. It shows as a queue whose oldest job is past its objective and whose jobs all
-//! end a little late.
+//! **Without it** jobs are ordered by their objective. Under overload every job then starts when it
+//! can only just finish in time, and finishes late: all jobs are served, and hardly any in time. It
+//! shows as a queue whose oldest job is past its objective and whose jobs all finish a little late.
 //!
-//! **Limits:** a job counts as late when its longest chain of steps, as its caller has
-//! estimated it, no longer fits before its objective; it then waits for those that can still
-//! make it. Among these, one that has begun goes first: what it has done is worth something
-//! only with the rest.
+//! **Limits:** a job counts as late when its longest chain of steps, as estimated by its caller, no
+//! longer fits before its objective. It then waits for jobs that can still meet theirs. Among
+//! these, a started job goes first: its completed work has a value only together with the rest.
 
 use crate::policy::Policy;
 
-/// What is known of a job that waits.
+/// Properties of a waiting job that decide its place in the order.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingJob {
-    /// Priority of its queue; 0 comes first.
+    /// Priority of its queue; 0 goes first.
     pub priority: u32,
-    /// It has tasks that last until it is cancelled.
+    /// Whether it has tasks that run until it is cancelled.
     pub is_long_running: bool,
-    /// Some task of it has started.
+    /// Whether at least one of its tasks has started.
     pub has_started: bool,
-    /// Time by which its caller would like it done.
+    /// Objective: time by which its caller wants it finished, in milliseconds.
     pub due_ms: u64,
-    /// Time after which its end is worth nothing to its caller.
+    /// Time after which its result has no value to its caller.
     pub no_value_after_ms: u64,
-    /// Time that the longest chain of its steps still takes, undisturbed.
+    /// Estimated time that its longest chain of remaining steps takes without disturbance.
     pub remaining_ms: u64,
 }
 
-/// A job's place in the order; the least comes first.
+/// Position of a job in the order; the smallest goes first.
 ///
-/// What is worth nothing any more comes last. Tasks that last come first among their equals:
-/// a quick task takes room for a second, and an endless row of them would keep a lasting one
-/// from ever running again.
+/// Jobs whose result no longer has a value go last. Long-running tasks go first among their equals:
+/// a short task occupies resources for a second, and an endless sequence of short tasks would keep
+/// a long-running one from ever starting again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
     has_no_value: bool,
@@ -48,7 +46,7 @@
 }
 
 impl Urgency {
-    /// Gives the place of a job that waits at `now_ms`.
+    /// Returns the position of a job that waits at `now_ms`.
     pub fn new(job: &WaitingJob, policy: &Policy, now_ms: u64) -> Self {
         let fits = now_ms + job.remaining_ms <= job.due_ms;
         Self {
--- a/crates/dispatch/src/policy/placing.rs
+++ b/crates/dispatch/src/policy/placing.rs
@@ -1,23 +1,27 @@
-//! How often the owner tries to place what waits.
+//! How often the owner tries to place waiting steps.
 //!
-//! Load: a fleet is full, or its new owner has heard few workers yet, and hundreds of steps wait. Each
-//! try weighs each worker for each of them, and each end or answer is a reason to try again: jobs
-//! times workers, many times a second, and leases and signs of life wait behind it. One notices by an
-//! owner whose turns take a second, and by others that claim meanwhile. So a try that has weighed
-//! much is followed by a pause in which the owner does all else.
+//! **Load pattern:** a fleet is full, or its new owner has polled few workers yet, and hundreds of
+//! steps wait. Each attempt evaluates every worker for every step, and each exit or answer triggers
+//! a new attempt.
 //!
-//! Limits: whoever waits is tried again within a few seconds, whatever is there.
+//! **Without it** the cost is jobs times workers, many times a second, and lease renewals and
+//! heartbeats wait behind it. It shows as an owner whose turns take a second, and as other hosts
+//! that claim ownership meanwhile. Therefore an attempt with many evaluations is followed by a
+//! pause in which the owner does its other work.
+//!
+//! **Limits:** every waiting step is tried again within a few seconds, whatever the load.
 
-/// Shortest pause between two tries, half of that between appends.
+/// Smallest and largest pause between two attempts. The smallest is half of the pause between
+/// appends.
 const MIN_GAP_MS: u64 = 10;
 const MAX_GAP_MS: u64 = 2_000;
-/// What weighing one worker for one step takes.
+/// Processor time to evaluate one worker for one step.
 const EVALUATION_NS: u64 = 40;
-/// Part of the owner's processor, in percent, that weighing may take.
+/// Percentage of the owner's processor time that evaluations may take.
 const CPU_PERCENT: u64 = 25;
 
-/// Gives the pause after a try in which workers were weighed so often, on a host with so many
-/// thousandths of a core.
+/// Returns the pause in milliseconds after an attempt with `evaluated` evaluations, on a host with
+/// `cpu_permille` thousandths of a core.
 pub fn placing_gap_ms(evaluated: u64, cpu_permille: u64) -> u64 {
     let ns_per_ms = (cpu_permille * 1_000 * CPU_PERCENT / 100).max(1);
     let gap_ms = evaluated * EVALUATION_NS / ns_per_ms;
--- a/crates/dispatch/src/policy/shares.rs
+++ b/crates/dispatch/src/policy/shares.rs
@@ -1,49 +1,52 @@
-//! At which share best-effort tasks work beside a service.
+//! Which CPU share best-effort tasks get beside latency-critical tasks.
 //!
-//! **Load pattern:** best-effort tasks slow the service beside them by more than its users bear, by
-//! amounts that are learned and by others that are not, and the service's own load swings.
+//! **Load pattern:** best-effort tasks slow down the latency-critical tasks beside them by more
+//! than users tolerate, by amounts that are partly learned and partly unknown, and the load of the
+//! latency-critical tasks themselves varies.
 //!
-//! **Without it** users of the service wait until it has been over its target for so long that all
-//! best-effort tasks beside it are suspended. It shows as colocated_tasks over their target with
-//! best-effort tasks at full share beside them.
+//! **Without it** users wait until a latency-critical task has been over its target for so long
+//! that all best-effort tasks beside it are suspended. It shows as latency-critical tasks over
+//! their target with best-effort tasks at full share beside them.
 //!
-//! **Limits:** what a task is known to press decides whether it is slowed, and whether the service
-//! would bear it at a greater share. A task that stays over its target all the same has every
-//! best-effort task beside it suspended, whatever was learned.
+//! **Limits:** the learned headroom loss decides whether a best-effort task is throttled, and
+//! whether it may get a greater share. If a latency-critical task stays over its target
+//! nevertheless, every best-effort task beside it is suspended, whatever was learned.
 
-/// Ease below which best-effort tasks that press a service are slowed; at 1 its target is missed.
+/// Headroom below which best-effort tasks that are a cause are throttled; at 1 the latency target
+/// is missed.
 const THROTTLE_HEADROOM: f64 = 1.05;
-/// Ease at which a service that was over its target is taken for well again. What looks tell is
-/// rough by a tenth and more, so one figure just below the target proves nothing.
+/// Headroom from which a latency-critical task that was over its target counts as recovered. Polled
+/// figures vary by a tenth and more, so a single one just below the target proves nothing.
 pub const HEALTHY_HEADROOM: f64 = 1.08;
-/// Ease below which such tasks get nothing back.
+/// Headroom below which throttled tasks get no greater share.
 const RAISE_HEADROOM: f64 = 1.43;
-/// Part of the time after which a wait counts as harm, in percent, after which tasks that may be a
-/// cause are suspended. Of the rest, a tail that is half a second old, the pause between looks, an
-/// order and its effect take 1.5 s.
+/// Percentage of the time over target that counts as harm after which best-effort tasks that may be
+/// a cause are suspended. Of the rest, a tail latency that is half a second old, the interval
+/// between polls, an order and its effect take 1.5 s.
 const SUSPECTS_SUSPEND_PERCENT: u64 = 30;
-/// The same for every best-effort task: several that press by less than can be told apart may do
-/// so together.
+/// The same for every best-effort task. Several tasks may cause harm together although the headroom
+/// loss of each is too small to be measured.
 const ALL_SUSPEND_PERCENT: u64 = 45;
-/// What slowed tasks get more after each pause.
+/// Step in percent by which the share of throttled tasks is raised after each pause.
 const RAISE_STEP_PERCENT: u32 = 25;
-/// Below this share a task is suspended, so that it does no harm at all.
+/// Share below which a task is suspended instead, so that it causes no interference at all.
 const SUSPEND_BELOW_PERCENT: u32 = 20;
-/// Pressure of one task at its full share that makes it a cause, or a suspect.
+/// Headroom loss by one task at its full share from which it counts as a cause, or as a suspect.
 const CAUSE_HEADROOM_LOSS: f64 = 0.12;
 const SUSPECT_HEADROOM_LOSS: f64 = 0.04;
 
-/// Times over its target after which best-effort tasks beside a service are suspended.
+/// Times over target after which best-effort tasks beside a latency-critical task are suspended, in
+/// milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct SuspendDelays {
-    /// For those that may be a cause.
+    /// For tasks that may be a cause.
     pub suspects_ms: u64,
-    /// For all of them.
+    /// For all tasks.
     pub all_ms: u64,
 }
 
 impl SuspendDelays {
-    /// Divides the time after which a wait counts as harm.
+    /// Derives the delays from the time over target that counts as harm, in milliseconds.
     pub fn new(harm_ms: u64) -> Self {
         Self {
             suspects_ms: harm_ms * SUSPECTS_SUSPEND_PERCENT / 100,
@@ -52,18 +55,19 @@
     }
 }
 
-/// How a service stands, and what a best-effort task does to it.
+/// State of a latency-critical task, and the effect of a best-effort task on it.
 #[derive(Debug, Clone, Copy)]
 pub struct ColocatedTask {
-    /// The service's target over the tail of its latency.
+    /// Its latency target divided by its tail latency.
     pub headroom: f64,
-    /// Time for which it has been over its target; 0 if it is not.
+    /// Time in milliseconds for which it has been over its target; 0 if it is not.
     pub over_ms: u64,
-    /// What the task takes of its ease at full share, as learned.
+    /// Headroom that it loses to the best-effort task at full share, as learned.
     pub headroom_loss: f64,
 }
 
-/// What a service changes for a best-effort task beside it; the strictest preferred_change counts.
+/// Change of a best-effort task's share that one latency-critical task beside it requires; the
+/// strictest one applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PreferredChange {
     Suspend,
@@ -94,9 +98,9 @@
     }
 }
 
-/// Chooses the share of a best-effort task that works at `current_percent` percent beside these colocated_tasks.
-/// A halt waits for nothing, since the time after which a wait counts as harm runs on; all other
-/// changes wait until `may_change`.
+/// Returns the new share in percent of a best-effort task that has `current_percent` beside these
+/// latency-critical tasks. A suspension takes effect at once, since the time that counts as harm
+/// continues to run; all other changes wait until `may_change`.
 pub fn choose_share(
     current_percent: u32,
     colocated_tasks: &[ColocatedTask],
--- a/crates/dispatch/src/policy/switches.rs
+++ b/crates/dispatch/src/policy/switches.rs
@@ -1,24 +1,26 @@
-//! Which mechanisms are in use.
+//! Switches of the scheduling mechanisms.
 
-/// Mechanisms that an operator may switch off, to find out what each is worth on a
-/// deployment. All are on unless said otherwise; rules are kept without them, too.
+/// Mechanisms that an operator may switch off, to measure the effect of each on a deployment. All
+/// are on by default. The operator's rules apply whether or not they are on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// How much best-effort tasks disturb long-running ones is learned from looks.
+    /// The interference of best-effort tasks with long-running ones is learned from polls.
     pub learns_interference: bool,
-    /// A new owner takes over what the former one has learned.
+    /// A new owner restores what the previous one has learned.
     pub inherits_interference: bool,
-    /// Best-effort tasks beside a service over its target work at a smaller share. They are suspended all the same when that lasts.
+    /// Best-effort tasks beside a latency-critical task over its target get a smaller CPU share. If
+    /// the task stays over its target, they are suspended even without this.
     pub throttles_best_effort: bool,
-    /// Long-running tasks of one image are placed beside one another.
+    /// Latency-critical tasks of the same image are placed on the same workers.
     pub keeps_images_together: bool,
-    /// Tasks that stand still or crawl are started elsewhere.
+    /// Tasks that make no or little progress are stopped and started again, or get a copy, on
+    /// another worker.
     pub replaces_stragglers: bool,
-    /// Workers that fail what they start get nothing new for a while.
+    /// Workers on which tasks fail repeatedly get no new tasks for a while.
     pub avoids_failing_workers: bool,
-    /// Jobs that can still make their objective go before those that can not.
+    /// Jobs that can still meet their objective go before those that cannot.
     pub feasible_first: bool,
-    /// Jobs that have begun go before others.
+    /// Jobs that have started go before others.
     pub begun_first: bool,
 }
 
