--- a/crates/dispatch/src/policy/interference.rs
+++ b/crates/dispatch/src/policy/interference.rs
@@ -193,12 +193,12 @@
     /// beside it in the same interval. `best_effort_usage` contains each image at most once.
     pub fn learn(
         &mut self,
-        serving: ImageKey,
+        serving_image: ImageKey,
         baseline: &mut Baseline,
         headroom: f64,
         best_effort_usage: &[ImageUsage],
     ) {
-        let fit = self.fits.entry(serving).or_default();
+        let fit = self.fits.entry(serving_image).or_default();
         let mut loss = 0.0;
         for (best_effort_image, cores) in best_effort_usage {
             loss += fit
@@ -215,7 +215,7 @@
         fit.decay();
         fit.add(&deviation);
         fit.solve(&deviation.usage);
-        let row = row(&mut self.coefficient_table, serving);
+        let row = row(&mut self.coefficient_table, serving_image);
         for (best_effort_image, _) in &deviation.usage {
             set_coefficient(
                 row,
@@ -251,7 +251,7 @@
     /// Returns what was learned, to be stored for the next owner.
     pub(crate) fn learned(&self, images: &Images) -> Vec<LearnedImage> {
         let mut list = Vec::new();
-        for (serving, fit) in &self.fits {
+        for (serving_image, fit) in &self.fits {
             let mut coefficients = Vec::new();
             for (best_effort_image, coefficient) in &fit.pair_coefficients {
                 coefficients.push(LearnedCoefficient {
@@ -260,7 +260,7 @@
                 });
             }
             list.push(LearnedImage {
-                image: images.name(*serving).into(),
+                image: images.name(*serving_image).into(),
                 solo_headroom: fit.solo_headroom,
                 coefficients,
             });
@@ -269,34 +269,34 @@
     }
 
     /// Returns the headroom of a latency-critical image without best-effort tasks beside it.
-    pub fn solo_headroom(&self, serving: ImageKey) -> f64 {
+    pub fn solo_headroom(&self, serving_image: ImageKey) -> f64 {
         self.fits
-            .get(&serving)
+            .get(&serving_image)
             .map_or(UNKNOWN_HEADROOM, |fit| fit.solo_headroom)
     }
 
     /// Returns the headroom that a latency-critical image loses for each core that a best-effort
     /// image uses.
-    pub fn coefficient(&self, serving: ImageKey, best_effort_image: ImageKey) -> f64 {
+    pub fn coefficient(&self, serving_image: ImageKey, best_effort_image: ImageKey) -> f64 {
         self.coefficient_table
-            .get(usize::from(serving.0))
+            .get(usize::from(serving_image.0))
             .and_then(|row| row.get(usize::from(best_effort_image.0)))
             .copied()
             .unwrap_or(UNKNOWN_COEFFICIENT)
     }
 
     /// Returns by how much best-effort tasks lower the headroom of a latency-critical image.
-    pub fn headroom_loss(&self, serving: ImageKey, best_effort_usage: &[ImageUsage]) -> f64 {
+    pub fn headroom_loss(&self, serving_image: ImageKey, best_effort_usage: &[ImageUsage]) -> f64 {
         let mut sum = 0.0;
         for (best_effort_image, cores) in best_effort_usage {
-            sum += self.coefficient(serving, *best_effort_image) * cores;
+            sum += self.coefficient(serving_image, *best_effort_image) * cores;
         }
         sum
     }
 }
 
-fn row(coefficient_table: &mut Vec<Vec<f64>>, serving: ImageKey) -> &mut Vec<f64> {
-    let index = usize::from(serving.0);
+fn row(coefficient_table: &mut Vec<Vec<f64>>, serving_image: ImageKey) -> &mut Vec<f64> {
+    let index = usize::from(serving_image.0);
     if coefficient_table.len() <= index {
         coefficient_table.resize(index + 1, Vec::new());
     }
