--- a/tests/policy_answer_timeouts.rs
+++ b/tests/policy_answer_timeouts.rs
@@ -70,37 +70,37 @@
 /// of all workers take longer than the time for which they are awaited. Cause: that time was
 /// fixed, and a missing answer was held against the worker.
 #[gtest]
-fn what_is_awaited_follows_what_answers_take() {
+fn timeout_follows_answer_delays() {
     for case in CASES {
-        let mut times = AnswerLatencies::default();
+        let mut latencies = AnswerLatencies::default();
         // Outcomes come mixed, as they do from many workers.
-        let mut left: Vec<(usize, Option<u64>)> = Vec::new();
-        for (count, late_ms) in case.answers {
-            left.push((*count, Some(*late_ms)));
+        let mut remaining: Vec<(usize, Option<u64>)> = Vec::new();
+        for (count, delay_ms) in case.answers {
+            remaining.push((*count, Some(*delay_ms)));
         }
-        left.push((case.missing, None));
+        remaining.push((case.missing, None));
         let mut now_ms = 1_000;
-        while left.iter().any(|(count, _)| *count > 0) {
-            for (count, late_ms) in &mut left {
+        while remaining.iter().any(|(count, _)| *count > 0) {
+            for (count, delay_ms) in &mut remaining {
                 if *count == 0 {
                     continue;
                 }
                 *count -= 1;
                 now_ms += 1;
-                match late_ms {
-                    Some(late_ms) => times.record_answer(*late_ms, now_ms),
-                    None => times.record_missing(now_ms),
+                match delay_ms {
+                    Some(delay_ms) => latencies.record_answer(*delay_ms, now_ms),
+                    None => latencies.record_missing(now_ms),
                 }
             }
         }
         expect_that!(
-            times.answer_timeout_ms(),
+            latencies.answer_timeout_ms(),
             eq(case.answer_timeout_ms),
             "{}",
             case.name
         );
         expect_that!(
-            times.is_link_suspect(),
+            latencies.is_link_suspect(),
             eq(case.is_suspect),
             "{}",
             case.name
@@ -111,15 +111,15 @@
 /// Symptom: dead workers are noticed late though the link is free again. Cause: answers that
 /// were late are remembered for good.
 #[gtest]
-fn late_answers_are_forgotten() {
-    let mut times = AnswerLatencies::default();
+fn late_answers_expire() {
+    let mut latencies = AnswerLatencies::default();
     for at_ms in 0..40 {
-        times.record_answer(800, at_ms);
+        latencies.record_answer(800, at_ms);
     }
-    expect_that!(times.is_link_suspect(), eq(true));
+    expect_that!(latencies.is_link_suspect(), eq(true));
     for at_ms in 2_000..2_016 {
-        times.record_answer(3, at_ms);
+        latencies.record_answer(3, at_ms);
     }
-    expect_that!(times.is_link_suspect(), eq(false));
-    expect_that!(times.answer_timeout_ms(), eq(359));
+    expect_that!(latencies.is_link_suspect(), eq(false));
+    expect_that!(latencies.answer_timeout_ms(), eq(359));
 }
--- a/tests/policy_interference.rs
+++ b/tests/policy_interference.rs
@@ -10,23 +10,23 @@
 use googletest::prelude::*;
 use std::f64::consts::TAU;
 
-const SERVICE: ImageKey = ImageKey(1);
-const FILLER: ImageKey = ImageKey(2);
-const OTHER: ImageKey = ImageKey(3);
+const LATENCY_CRITICAL: ImageKey = ImageKey(1);
+const BEST_EFFORT: ImageKey = ImageKey(2);
+const OTHER_BEST_EFFORT: ImageKey = ImageKey(3);
 const TARGET_MS: u64 = 18;
 /// Tail of a service that has nothing to do.
 const IDLE_TAIL_MS: f64 = 4.0;
 /// Share of its capacity that a service uses by itself: on average, by how much that swings,
 /// and within what time, as measured on long-running services.
-const LOAD: f64 = 0.42;
-const SWING: f64 = 0.21;
-const SWING_MS: u64 = 10_000;
+const OWN_LOAD: f64 = 0.42;
+const LOAD_SWING: f64 = 0.21;
+const LOAD_SWING_MS: u64 = 10_000;
 /// Cores of one best-effort task, and how long it runs.
 const CORES: f64 = 3.5;
 const RUN_MS: u64 = 1_700;
-const LOOK_MS: u64 = 500;
+const POLL_MS: u64 = 500;
 /// When the only task of the pair begins.
-const BEGUN_MS: u64 = 1_500;
+const START_MS: u64 = 1_500;
 
 /// A load under which a pair of images is met.
 struct Case {
@@ -34,49 +34,49 @@
     /// Part of the swing at which the first task of the pair comes.
     first_phase: f64,
     /// Part of the service's capacity that each core of it takes.
-    taken_a_core: f64,
+    capacity_per_core: f64,
     /// How much of the ease a core is to be told to take.
-    told: [f64; 2],
+    expected: [f64; 2],
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "harmless, first met while the service's own load rises",
         first_phase: 0.0,
-        taken_a_core: 0.0,
-        told: [0.0, 0.15],
+        capacity_per_core: 0.0,
+        expected: [0.0, 0.15],
     },
     Case {
         name: "harmless, first met at the peak",
         first_phase: 0.25,
-        taken_a_core: 0.0,
-        told: [0.0, 0.15],
+        capacity_per_core: 0.0,
+        expected: [0.0, 0.15],
     },
     Case {
         name: "heavy, first met while the service's own load falls",
         first_phase: 0.5,
-        taken_a_core: 0.09,
-        told: [0.18, 0.6],
+        capacity_per_core: 0.09,
+        expected: [0.18, 0.6],
     },
 ];
 
 /// One service on a worker of its own, and a swing of its own.
-struct Service {
+struct ServingTask {
     phase: f64,
     baseline: Baseline,
 }
 
-impl Service {
+impl ServingTask {
     /// Gives the tail that a look tells, in whole milliseconds.
-    fn tail_ms(&self, now_ms: u64, taken: f64) -> u64 {
-        let turn = now_ms as f64 / SWING_MS as f64 + self.phase;
-        let load = LOAD + SWING * (turn * TAU).sin();
-        (IDLE_TAIL_MS / (1.0 - load - taken).max(0.02)).round() as u64
+    fn tail_ms(&self, now_ms: u64, used_capacity: f64) -> u64 {
+        let cycles = now_ms as f64 / LOAD_SWING_MS as f64 + self.phase;
+        let load = OWN_LOAD + LOAD_SWING * (cycles * TAU).sin();
+        (IDLE_TAIL_MS / (1.0 - load - used_capacity).max(0.02)).round() as u64
     }
 }
 
 fn cores(now_ms: u64) -> f64 {
-    match now_ms >= BEGUN_MS {
+    match now_ms >= START_MS {
         true => CORES,
         false => 0.0,
     }
@@ -88,77 +88,82 @@
 /// again. Cause: tails were compared with their mean over all time, and a service's own load
 /// moves them by more than a task beside it does.
 #[gtest]
-fn a_service_s_own_load_is_not_taken_for_interference() {
+fn own_load_is_not_attributed_to_best_effort_tasks() {
     for case in CASES {
         let mut interference = InterferenceModel::default();
-        let mut service = Service {
+        let mut serving_task = ServingTask {
             phase: case.first_phase,
             baseline: Baseline::default(),
         };
-        let mut bystander = Service {
+        let mut bystander = ServingTask {
             phase: case.first_phase + 0.4,
             baseline: Baseline::default(),
         };
-        for now_ms in (0..BEGUN_MS + RUN_MS).step_by(LOOK_MS as usize) {
+        for now_ms in (0..START_MS + RUN_MS).step_by(POLL_MS as usize) {
             let used = cores(now_ms);
-            let uses: &[ImageUsage] = &[(FILLER, used)];
-            let tail_ms = service.tail_ms(now_ms, case.taken_a_core * used);
-            let is_beside = if used > 0.0 { uses } else { &[] };
+            let uses: &[ImageUsage] = &[(BEST_EFFORT, used)];
+            let tail_ms = serving_task.tail_ms(now_ms, case.capacity_per_core * used);
+            let usage = if used > 0.0 { uses } else { &[] };
             interference.learn(
-                SERVICE,
-                &mut service.baseline,
+                LATENCY_CRITICAL,
+                &mut serving_task.baseline,
                 headroom(TARGET_MS, tail_ms),
-                is_beside,
+                usage,
             );
             let tail_ms = bystander.tail_ms(now_ms, 0.0);
-            let other = [(OTHER, 1.0)];
+            let other = [(OTHER_BEST_EFFORT, 1.0)];
             interference.learn(
-                SERVICE,
+                LATENCY_CRITICAL,
                 &mut bystander.baseline,
                 headroom(TARGET_MS, tail_ms),
                 &other,
             );
         }
-        let told = interference.coefficient(SERVICE, FILLER);
-        expect_that!(told, ge(case.told[0]), "{}", case.name);
-        expect_that!(told, le(case.told[1]), "{}", case.name);
+        let learned = interference.coefficient(LATENCY_CRITICAL, BEST_EFFORT);
+        expect_that!(learned, ge(case.expected[0]), "{}", case.name);
+        expect_that!(learned, le(case.expected[1]), "{}", case.name);
     }
 }
 
 /// Tail of a service beside which a task used so many cores on average.
-fn tail_beside(cores: f64) -> u64 {
-    let alone = 1.0 - LOAD;
-    (IDLE_TAIL_MS / (alone - TAKEN_A_CORE * cores)).round() as u64
+fn tail_ms_beside(cores: f64) -> u64 {
+    let alone = 1.0 - OWN_LOAD;
+    (IDLE_TAIL_MS / (alone - CAPACITY_PER_CORE * cores)).round() as u64
 }
 
 /// Part of the service's capacity that each core takes, and how much of its ease that is.
-const TAKEN_A_CORE: f64 = 0.06;
-const TRUE_PRESS: f64 = TAKEN_A_CORE * TARGET_MS as f64 / IDLE_TAIL_MS;
+const CAPACITY_PER_CORE: f64 = 0.06;
+const TRUE_COEFFICIENT: f64 = CAPACITY_PER_CORE * TARGET_MS as f64 / IDLE_TAIL_MS;
 
 /// Symptom: services are over their target by turns, though each task beside them was let in
 /// by what was learned. Sequence: short tasks come and go; a look comes as one ends, and its
 /// figures still tell of it. Cause: what such a task took was put down to nothing, so pairs
 /// were learned at half of what they are.
 #[gtest]
-fn tasks_that_ended_within_a_window_count() {
+fn usage_of_tasks_that_exited_within_a_window_counts() {
     let mut interference = InterferenceModel::default();
     let mut baseline = Baseline::default();
     let mut window = UsageWindow::default();
     for round in 0..120 {
         // Windows without a task, with a whole one, and with one that ends half way.
-        let (listed, ended) = [(0.0, 0.0), (CORES, 0.0), (0.0, CORES)][round % 3];
+        let (running, exited) = [(0.0, 0.0), (CORES, 0.0), (0.0, CORES)][round % 3];
         let mut uses: Vec<ImageUsage> = Vec::new();
-        if listed > 0.0 {
-            uses.push((FILLER, listed));
+        if running > 0.0 {
+            uses.push((BEST_EFFORT, running));
         }
-        if ended > 0.0 {
-            window.record_exit(FILLER, ended);
+        if exited > 0.0 {
+            window.record_exit(BEST_EFFORT, exited);
         }
         window.close(&mut uses);
-        let tail_ms = tail_beside(listed + ended / 2.0);
-        interference.learn(SERVICE, &mut baseline, headroom(TARGET_MS, tail_ms), &uses);
+        let tail_ms = tail_ms_beside(running + exited / 2.0);
+        interference.learn(
+            LATENCY_CRITICAL,
+            &mut baseline,
+            headroom(TARGET_MS, tail_ms),
+            &uses,
+        );
     }
-    let told = interference.coefficient(SERVICE, FILLER);
-    expect_that!(told, ge(TRUE_PRESS * 0.85));
-    expect_that!(told, le(TRUE_PRESS * 1.15));
+    let learned = interference.coefficient(LATENCY_CRITICAL, BEST_EFFORT);
+    expect_that!(learned, ge(TRUE_COEFFICIENT * 0.85));
+    expect_that!(learned, le(TRUE_COEFFICIENT * 1.15));
 }
--- a/tests/policy_link.rs
+++ b/tests/policy_link.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 
 /// Two megabits a second.
-const THIN_BYTES_PER_S: u64 = 250_000;
+const SLOW_LINK_BYTES_PER_S: u64 = 250_000;
 
 /// What is under way, and which ranks may go out beside it.
 struct Case {
@@ -51,9 +51,9 @@
 /// comes, its orders to start fill the link for a second, and renewals wait behind them.
 /// Cause: whatever was due was sent at once, in no order of importance.
 #[gtest]
-fn what_is_less_important_leaves_room() {
+fn lower_priorities_leave_capacity_to_higher_ones() {
     for case in CASES {
-        let mut link = LinkBudget::new(THIN_BYTES_PER_S);
+        let mut link = LinkBudget::new(SLOW_LINK_BYTES_PER_S);
         link.charge(case.out_bytes, case.in_bytes);
         for priority in CallPriority::ALL {
             let is_admitted = case.admitted.contains(&priority);
@@ -69,9 +69,9 @@
 
 /// What a link has carried makes room again, and no more than what it carries.
 #[gtest]
-fn no_more_goes_out_than_the_link_carries() {
+fn sent_bytes_stay_within_the_link_capacity() {
     const ORDER_BYTES: u64 = 700;
-    let mut link = LinkBudget::new(THIN_BYTES_PER_S);
+    let mut link = LinkBudget::new(SLOW_LINK_BYTES_PER_S);
     let mut sent_bytes = 0;
     for now_ms in 0..10_000 {
         link.refill(now_ms);
@@ -80,14 +80,14 @@
             sent_bytes += ORDER_BYTES;
         }
     }
-    let carried_bytes = 10 * THIN_BYTES_PER_S;
+    let carried_bytes = 10 * SLOW_LINK_BYTES_PER_S;
     expect_that!(sent_bytes, le(carried_bytes));
     expect_that!(sent_bytes, ge(carried_bytes * 8 / 10));
 }
 
 /// Links that are wide enough cost nothing: the pauses stay below those that there are anyway.
 #[gtest]
-fn wide_links_put_nothing_off() {
+fn fast_links_delay_neither_polls_nor_records() {
     let link = LinkBudget::new(25_000_000);
     expect_that!(link.polls_gap_ms(540, 215), le(60));
     expect_that!(link.records_gap_ms(20_000), le(20));
@@ -137,7 +137,7 @@
 /// Symptom: on a link of 20 Mbit/s starts and looks are put off for a quarter of the time. Cause: the
 /// reports of 6,000 workers came in one answer, which took the link for more than may be under way.
 #[gtest]
-fn the_list_of_workers_is_read_in_pieces_that_the_link_bears() {
+fn worker_list_reads_fit_the_link() {
     for case in LIST_CASES {
         let next_ms = list_pause_ms(case.pause_ms, case.bytes, case.link_bytes_per_s);
         expect_that!(next_ms, eq(case.next_ms), "{}", case.name);
--- a/tests/policy_ordering.rs
+++ b/tests/policy_ordering.rs
@@ -98,7 +98,7 @@
 /// waits until it can only just make it, and the ones behind it wait for it. Cause: a job
 /// that could no longer make it went before those that could.
 #[gtest]
-fn jobs_that_can_make_their_objective_go_first() {
+fn feasible_jobs_go_first() {
     let policy = Policy::default();
     for case in CASES {
         let first = Urgency::new(&case.first, &policy, NOW_MS);
@@ -108,21 +108,21 @@
 }
 
 /// The same over a day of overload: one worker, a job of two seconds each second, each of
-/// which is to end five seconds after it came. By due time alone the first three end in time.
+/// which is to end five seconds after it submitted. By due time alone the first three end in time.
 #[gtest]
-fn half_of_an_overload_of_two_ends_in_time() {
+fn half_of_the_jobs_finish_in_time_under_double_load() {
     const WORK_MS: u64 = 2_000;
     const ALLOWED_MS: u64 = 5_000;
     let mut waiting: Vec<WaitingJob> = Vec::new();
     let policy = Policy::default();
     let mut in_time = 0;
-    let mut came = 0;
+    let mut submitted = 0;
     for now_ms in (0_u64..60_000).step_by(WORK_MS as usize) {
-        for came_ms in [now_ms.saturating_sub(1_000), now_ms] {
-            came += 1;
+        for submitted_ms in [now_ms.saturating_sub(1_000), now_ms] {
+            submitted += 1;
             waiting.push(WaitingJob {
-                due_ms: came_ms + ALLOWED_MS,
-                no_value_after_ms: came_ms + 3 * ALLOWED_MS,
+                due_ms: submitted_ms + ALLOWED_MS,
+                no_value_after_ms: submitted_ms + 3 * ALLOWED_MS,
                 remaining_ms: WORK_MS,
                 ..JOB
             });
@@ -131,5 +131,5 @@
         let job = waiting.remove(0);
         in_time += u32::from(now_ms + WORK_MS <= job.due_ms);
     }
-    expect_that!(in_time, ge(came * 45 / 100));
+    expect_that!(in_time, ge(submitted * 45 / 100));
 }
--- a/tests/policy_placing.rs
+++ b/tests/policy_placing.rs
@@ -54,7 +54,7 @@
 /// Symptom: an owner of thousands of workers gives no sign of life for seconds while much waits, and
 /// others take its place in turn.
 #[gtest]
-fn placing_leaves_the_owner_time_for_all_else() {
+fn pause_grows_with_evaluations() {
     for case in CASES {
         let gap_ms = placing_gap_ms(case.steps * case.workers, case.cpu_permille);
         expect_that!(gap_ms, eq(case.gap_ms), "{}", case.name);
--- a/tests/policy_polls.rs
+++ b/tests/policy_polls.rs
@@ -79,15 +79,15 @@
 /// Symptom: short tasks are over for a second and a half before the owner knows, in a fleet of
 /// 6,000 workers.
 #[gtest]
-fn looks_follow_what_runs_at_a_worker() {
+fn poll_interval_follows_worker_activity() {
     for case in CASES {
-        let polls = PollIntervals {
+        let intervals = PollIntervals {
             idle_workers: case.idle_workers,
             cpu_permille: case.cpu_permille,
             are_confirming: case.are_confirming,
         };
         expect_that!(
-            polls.gap_ms(case.activity),
+            intervals.gap_ms(case.activity),
             eq(case.gap_ms),
             "{}",
             case.name
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -119,7 +119,7 @@
 
 /// Services stay over their target beside tasks at full share, or tasks are slowed for nothing.
 #[gtest]
-fn shares_follow_what_services_bear() {
+fn shares_follow_the_headroom_of_colocated_tasks() {
     for case in CASES {
         let suspend_delays = SuspendDelays::new(HARM_MS);
         let share = choose_share(
--- a/tests/policy_stragglers.rs
+++ b/tests/policy_stragglers.rs
@@ -7,39 +7,39 @@
 /// Runs of one worker, as the time that each takes beside its siblings' second.
 struct Case {
     name: &'static str,
-    takes_ms: &'static [u64],
+    projected_ms: &'static [u64],
     is_slow: bool,
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "nothing can be compared",
-        takes_ms: &[],
+        projected_ms: &[],
         is_slow: false,
     },
     Case {
         name: "one task that is longer than its siblings",
-        takes_ms: &[2_600],
+        projected_ms: &[2_600],
         is_slow: false,
     },
     Case {
         name: "one task that takes many times as long",
-        takes_ms: &[6_000],
+        projected_ms: &[6_000],
         is_slow: true,
     },
     Case {
         name: "a long task beside others that are as usual",
-        takes_ms: &[3_500, 900, 1_100],
+        projected_ms: &[3_500, 900, 1_100],
         is_slow: false,
     },
     Case {
         name: "a long task beside a short one",
-        takes_ms: &[5_000, 700],
+        projected_ms: &[5_000, 700],
         is_slow: false,
     },
     Case {
         name: "all tasks take several times as long",
-        takes_ms: &[5_200, 4_100, 7_500, 900],
+        projected_ms: &[5_200, 4_100, 7_500, 900],
         is_slow: true,
     },
 ];
@@ -47,10 +47,10 @@
 /// Tasks that are merely longer than their siblings are stopped on workers that are well, or those
 /// of a worker that slows all of them are left there.
 #[gtest]
-fn a_worker_is_judged_by_all_that_runs_there() {
+fn slow_worker_is_detected_by_the_median_of_its_runs() {
     for case in CASES {
-        let speeds = case.takes_ms.iter().map(|projected_ms| Speed {
-            projected_ms: *projected_ms,
+        let speeds = case.projected_ms.iter().map(|run_ms| Speed {
+            projected_ms: *run_ms,
             sibling_ms: 1_000,
         });
         let speeds: Vec<Speed> = speeds.collect();
--- a/tests/policy_suspicion.rs
+++ b/tests/policy_suspicion.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 
 /// A crash under a task that may be the cause, and nothing else.
-const ALONE: Crash<'_> = Crash {
+const SOLE_SUSPECT: Crash<'_> = Crash {
     run: 1,
     address: "10.0.0.1:80",
     is_suspect: true,
@@ -16,28 +16,28 @@
 };
 
 /// The same beside others that may be the cause.
-const SHARED: Crash<'_> = Crash {
+const ONE_OF_SUSPECTS: Crash<'_> = Crash {
     is_sole_suspect: false,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
 /// The same under a run of which the worker never said that it is there.
 const UNCONFIRMED: Crash<'_> = Crash {
     is_confirmed: false,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
 /// The same when other workers crashed, too.
 const EXCUSED: Crash<'_> = Crash {
     is_excused: true,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
 /// The same under a run that had been at work for a while.
-const SOUND: Crash<'_> = Crash {
+const STABLE: Crash<'_> = Crash {
     is_suspect: false,
     is_sole_suspect: false,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
 /// Crashes in a row, each of another host and a later run unless said otherwise.
@@ -46,48 +46,48 @@
     crashes: &'static [Crash<'static>],
     is_same_host: bool,
     is_same_run: bool,
-    /// A run is sound before the last crash.
+    /// A run is stable before the last crash.
     is_cleared: bool,
     is_long_running: bool,
     /// Crash at which the task is to blame; 0 for none of them.
-    to_blame_at: usize,
+    blamed_at: usize,
 }
 
 const CASE: Case = Case {
     name: "",
-    crashes: &[ALONE, ALONE],
+    crashes: &[SOLE_SUSPECT, SOLE_SUSPECT],
     is_same_host: false,
     is_same_run: false,
     is_cleared: false,
     is_long_running: false,
-    to_blame_at: 0,
+    blamed_at: 0,
 };
 
 const CASES: &[Case] = &[
     Case {
         name: "one crash",
-        crashes: &[ALONE],
+        crashes: &[SOLE_SUSPECT],
         ..CASE
     },
     Case {
         name: "alone twice",
-        to_blame_at: 2,
+        blamed_at: 2,
         ..CASE
     },
     Case {
         name: "beside others, then alone",
-        crashes: &[SHARED, ALONE],
-        to_blame_at: 2,
+        crashes: &[ONE_OF_SUSPECTS, SOLE_SUSPECT],
+        blamed_at: 2,
         ..CASE
     },
     Case {
         name: "beside others twice",
-        crashes: &[SHARED, SHARED],
+        crashes: &[ONE_OF_SUSPECTS, ONE_OF_SUSPECTS],
         ..CASE
     },
     Case {
         name: "alone, and there for certain only the last time",
-        crashes: &[UNCONFIRMED, ALONE],
+        crashes: &[UNCONFIRMED, SOLE_SUSPECT],
         ..CASE
     },
     Case {
@@ -104,7 +104,7 @@
             UNCONFIRMED,
             UNCONFIRMED,
         ],
-        to_blame_at: 5,
+        blamed_at: 5,
         ..CASE
     },
     Case {
@@ -115,30 +115,42 @@
     Case {
         name: "with other workers, too often for luck",
         crashes: &[EXCUSED, EXCUSED, EXCUSED, EXCUSED, EXCUSED],
-        to_blame_at: 5,
+        blamed_at: 5,
         ..CASE
     },
     Case {
         name: "with a failure domain, then alone",
-        crashes: &[EXCUSED, ALONE],
+        crashes: &[EXCUSED, SOLE_SUSPECT],
         ..CASE
     },
     Case {
         name: "beside others three times",
-        crashes: &[SHARED, SHARED, SHARED],
+        crashes: &[ONE_OF_SUSPECTS, ONE_OF_SUSPECTS, ONE_OF_SUSPECTS],
         ..CASE
     },
     Case {
         name: "beside others, too often for luck",
-        crashes: &[SHARED, SHARED, SHARED, SHARED, SHARED],
-        to_blame_at: 5,
+        crashes: &[
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+        ],
+        blamed_at: 5,
         ..CASE
     },
     Case {
         name: "a task that lasts, beside others, too often for luck",
-        crashes: &[SHARED, SHARED, SHARED, SHARED, SHARED],
+        crashes: &[
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+        ],
         is_long_running: true,
-        to_blame_at: 5,
+        blamed_at: 5,
         ..CASE
     },
     Case {
@@ -148,43 +160,45 @@
     },
     Case {
         name: "three times on one host",
-        crashes: &[ALONE, ALONE, ALONE],
+        crashes: &[SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT],
         is_same_host: true,
-        to_blame_at: 3,
+        blamed_at: 3,
         ..CASE
     },
     Case {
         name: "several members of a gang in one run",
-        crashes: &[ALONE, ALONE, ALONE, ALONE],
+        crashes: &[SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT],
         is_same_run: true,
         ..CASE
     },
     Case {
-        name: "a sound run in between",
+        name: "a stable run in between",
         is_cleared: true,
         ..CASE
     },
     Case {
-        name: "under sound runs, which luck explains four times",
-        crashes: &[SOUND, SOUND, SOUND, SOUND],
+        name: "under stable runs, which luck explains four times",
+        crashes: &[STABLE, STABLE, STABLE, STABLE],
         ..CASE
     },
     Case {
-        name: "under sound runs, too often for luck",
-        crashes: &[SOUND, SOUND, SOUND, SOUND, SOUND],
-        to_blame_at: 5,
+        name: "under stable runs, too often for luck",
+        crashes: &[STABLE, STABLE, STABLE, STABLE, STABLE],
+        blamed_at: 5,
         ..CASE
     },
     Case {
         name: "under a task that lasts, often",
-        crashes: &[SOUND, SOUND, SOUND, SOUND, SOUND, SOUND, SOUND, SOUND],
+        crashes: &[
+            STABLE, STABLE, STABLE, STABLE, STABLE, STABLE, STABLE, STABLE,
+        ],
         is_long_running: true,
         ..CASE
     },
     Case {
         name: "a task that lasts and crashes whoever starts it",
         is_long_running: true,
-        to_blame_at: 2,
+        blamed_at: 2,
         ..CASE
     },
 ];
@@ -193,20 +207,26 @@
 /// worker is known only after the next one has crashed under the task. Cause: only crashes under
 /// newer runs than the newest counted one were taken for new.
 #[gtest]
-fn a_crash_that_is_known_late_counts_too() {
+fn crash_that_is_known_late_is_counted() {
     let mut suspicion = Suspicion::default();
     expect_that!(
-        suspicion.record_crash(&Crash { run: 2, ..ALONE }),
+        suspicion.record_crash(&Crash {
+            run: 2,
+            ..SOLE_SUSPECT
+        }),
         eq(false)
     );
     let late = Crash {
         run: 1,
         address: "10.0.0.2:80",
-        ..ALONE
+        ..SOLE_SUSPECT
     };
     expect_that!(suspicion.record_crash(&late), eq(true));
     expect_that!(
-        suspicion.record_crash(&Crash { run: 2, ..ALONE }),
+        suspicion.record_crash(&Crash {
+            run: 2,
+            ..SOLE_SUSPECT
+        }),
         eq(false)
     );
     expect_that!(suspicion.crashes, eq(2));
@@ -215,36 +235,36 @@
 /// Symptom: a task is started again and again as its crashes can't be told from bad luck. After the
 /// third one that it may have caused it has two starts left, whether they come to something or not.
 #[gtest]
-fn a_task_that_may_have_crashed_three_workers_has_two_starts_left() {
+fn task_has_two_starts_left_after_three_possible_crashes() {
     let mut suspicion = Suspicion::default();
     for number in 1..=3 {
         suspicion.record_start(0);
         let crash = Crash {
             run: number,
-            ..SHARED
+            ..ONE_OF_SUSPECTS
         };
         expect_that!(suspicion.record_crash(&crash), eq(false), "crash {number}");
     }
     suspicion.record_start(0);
     expect_that!(suspicion.is_exhausted(), eq(false));
-    let mut sound = suspicion.clone();
+    let mut stable = suspicion.clone();
     // A start that the worker refused was none.
     suspicion.record_start(0);
     suspicion.undo_start();
     expect_that!(suspicion.is_exhausted(), eq(false));
     suspicion.record_start(0);
     expect_that!(suspicion.is_exhausted(), eq(true));
-    sound.clear(false);
-    sound.record_start(0);
-    expect_that!(sound.is_exhausted(), eq(false));
+    stable.clear(false);
+    stable.record_start(0);
+    expect_that!(stable.is_exhausted(), eq(false));
 }
 
 /// Symptom: a task goes on crashing workers, or is given up for what it did not do.
 #[gtest]
-fn a_task_is_to_blame_once_nothing_else_explains_the_crashes() {
+fn task_is_blamed_when_nothing_else_explains_the_crashes() {
     for case in CASES {
         let mut suspicion = Suspicion::default();
-        let mut to_blame_at = 0;
+        let mut blamed_at = 0;
         for (number, crash) in case.crashes.iter().enumerate() {
             if case.is_cleared && number + 1 == case.crashes.len() {
                 suspicion.clear(case.is_long_running);
@@ -264,11 +284,11 @@
                 ..*crash
             };
             suspicion.record_start(0);
-            if suspicion.record_crash(&crash) && to_blame_at == 0 {
-                to_blame_at = number + 1;
+            if suspicion.record_crash(&crash) && blamed_at == 0 {
+                blamed_at = number + 1;
             }
         }
-        expect_that!(to_blame_at, eq(case.to_blame_at), "{}", case.name);
+        expect_that!(blamed_at, eq(case.blamed_at), "{}", case.name);
     }
 }
 
@@ -276,7 +296,7 @@
 /// leases, as no crash is known yet. Losses count towards its last starts; then it waits for what
 /// became of the workers, and is given up only for crashes that are known.
 #[gtest]
-fn losses_that_may_be_crashes_count_towards_the_last_starts() {
+fn unresolved_crashes_count_towards_the_last_starts() {
     let mut suspicion = Suspicion::default();
     for unresolved_crashes in 0..4 {
         expect_that!(
@@ -295,10 +315,19 @@
         "the others were cut off"
     );
     for run in 1..=2 {
-        expect_that!(suspicion.record_crash(&Crash { run, ..SHARED }), eq(false));
+        expect_that!(
+            suspicion.record_crash(&Crash {
+                run,
+                ..ONE_OF_SUSPECTS
+            }),
+            eq(false)
+        );
     }
     expect_that!(
-        suspicion.record_crash(&Crash { run: 3, ..SHARED }),
+        suspicion.record_crash(&Crash {
+            run: 3,
+            ..ONE_OF_SUSPECTS
+        }),
         eq(true)
     );
 }
