--- a/tests/policy_answer_timeouts.rs
+++ b/tests/policy_answer_timeouts.rs
@@ -1,9 +1,9 @@
-//! How long answers are awaited while they come as usual, late, or not at all.
+//! Tests the timeout while answers arrive as usual, late, or not at all.
 
 use goldcrestway_dispatch::policy::answer_timeouts::AnswerLatencies;
 use googletest::prelude::*;
 
-/// Answers of the last moment: so many that were so late, and so many that did not come.
+/// Recent answers as pairs of a number and a delay in milliseconds, and the number of missing ones.
 struct Case {
     name: &'static str,
     answers: &'static [(usize, u64)],
@@ -14,7 +14,7 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "nothing is known yet",
+        name: "no outcomes are known yet",
         answers: &[],
         missing: 0,
         answer_timeout_ms: 350,
@@ -27,7 +27,7 @@
         answer_timeout_ms: 359,
         is_suspect: false,
     },
-    // They must be noticed as before, and their tasks started elsewhere.
+    // Dead workers must be detected as before, and their tasks started on other workers.
     Case {
         name: "a third of the workers has died",
         answers: &[(60, 3)],
@@ -42,7 +42,7 @@
         answer_timeout_ms: 359,
         is_suspect: false,
     },
-    // The link of this host is full: no worker is to blame.
+    // The link of this host is saturated: no worker is at fault.
     Case {
         name: "all answers are late",
         answers: &[(80, 300)],
@@ -51,14 +51,14 @@
         is_suspect: true,
     },
     Case {
-        name: "most answers are given up",
+        name: "most answers are missing",
         answers: &[(20, 5)],
         missing: 60,
         answer_timeout_ms: 1_415,
         is_suspect: true,
     },
     Case {
-        name: "no answer is awaited for longer than leases bear",
+        name: "the timeout never exceeds what leases allow",
         answers: &[(80, 5_000)],
         missing: 0,
         answer_timeout_ms: 2_000,
@@ -66,14 +66,14 @@
     },
 ];
 
-/// Symptom: a worker that is alive is given up. Sequence: this host's link is full, so answers
-/// of all workers take longer than the time for which they are awaited. Cause: that time was
-/// fixed, and a missing answer was held against the worker.
+/// Guards against the removal of a worker that is alive. If the link of this host is saturated,
+/// answers of all workers take longer than a fixed timeout, and a missing answer would count
+/// against the worker.
 #[gtest]
 fn timeout_follows_answer_delays() {
     for case in CASES {
         let mut latencies = AnswerLatencies::default();
-        // Outcomes come mixed, as they do from many workers.
+        // Outcomes are interleaved, as those of many workers are.
         let mut remaining: Vec<(usize, Option<u64>)> = Vec::new();
         for (count, delay_ms) in case.answers {
             remaining.push((*count, Some(*delay_ms)));
@@ -108,8 +108,8 @@
     }
 }
 
-/// Symptom: dead workers are noticed late though the link is free again. Cause: answers that
-/// were late are remembered for good.
+/// Guards against late detection of dead workers after the link has recovered, which results if
+/// late answers never expire.
 #[gtest]
 fn late_answers_expire() {
     let mut latencies = AnswerLatencies::default();
--- a/tests/policy_interference.rs
+++ b/tests/policy_interference.rs
@@ -1,5 +1,4 @@
-//! Learning which best-effort tasks slow down which services, from rough tails and under
-//! loads that swing.
+//! Tests which interference is learned from noisy tail latencies while loads vary.
 
 use goldcrestway_dispatch::policy::images::ImageKey;
 use goldcrestway_dispatch::policy::interference::Baseline;
@@ -14,60 +13,60 @@
 const BEST_EFFORT: ImageKey = ImageKey(2);
 const OTHER_BEST_EFFORT: ImageKey = ImageKey(3);
 const TARGET_MS: u64 = 18;
-/// Tail of a service that has nothing to do.
+/// Tail latency of an idle latency-critical task.
 const IDLE_TAIL_MS: f64 = 4.0;
-/// Share of its capacity that a service uses by itself: on average, by how much that swings,
-/// and within what time, as measured on long-running services.
+/// Part of its capacity that a latency-critical task uses by itself: the average, the amplitude of
+/// the variation and its period, as measured on long-running tasks.
 const OWN_LOAD: f64 = 0.42;
 const LOAD_SWING: f64 = 0.21;
 const LOAD_SWING_MS: u64 = 10_000;
-/// Cores of one best-effort task, and how long it runs.
+/// Cores that one best-effort task uses, and how long it runs.
 const CORES: f64 = 3.5;
 const RUN_MS: u64 = 1_700;
 const POLL_MS: u64 = 500;
-/// When the only task of the pair begins.
+/// Time at which the only best-effort task of the pair starts.
 const START_MS: u64 = 1_500;
 
-/// A load under which a pair of images is met.
+/// A load of the latency-critical task while a pair of images is first observed.
 struct Case {
     name: &'static str,
-    /// Part of the swing at which the first task of the pair comes.
+    /// Phase of the load variation at which the first best-effort task of the pair starts.
     first_phase: f64,
-    /// Part of the service's capacity that each core of it takes.
+    /// Part of the latency-critical task's capacity that each core of it takes.
     capacity_per_core: f64,
-    /// How much of the ease a core is to be told to take.
+    /// Smallest and largest coefficient that may be learned.
     expected: [f64; 2],
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "harmless, first met while the service's own load rises",
+        name: "harmless, first observed while the load of the latency-critical task rises",
         first_phase: 0.0,
         capacity_per_core: 0.0,
         expected: [0.0, 0.15],
     },
     Case {
-        name: "harmless, first met at the peak",
+        name: "harmless, first observed at the peak of the load",
         first_phase: 0.25,
         capacity_per_core: 0.0,
         expected: [0.0, 0.15],
     },
     Case {
-        name: "heavy, first met while the service's own load falls",
+        name: "interfering, first observed while the load of the latency-critical task falls",
         first_phase: 0.5,
         capacity_per_core: 0.09,
         expected: [0.18, 0.6],
     },
 ];
 
-/// One service on a worker of its own, and a swing of its own.
+/// A latency-critical task on a worker of its own, with its own load variation.
 struct ServingTask {
     phase: f64,
     baseline: Baseline,
 }
 
 impl ServingTask {
-    /// Gives the tail that a look tells, in whole milliseconds.
+    /// Returns the tail latency that a poll reports, in whole milliseconds.
     fn tail_ms(&self, now_ms: u64, used_capacity: f64) -> u64 {
         let cycles = now_ms as f64 / LOAD_SWING_MS as f64 + self.phase;
         let load = OWN_LOAD + LOAD_SWING * (cycles * TAU).sin();
@@ -82,11 +81,11 @@
     }
 }
 
-/// Symptom: hundreds of best-effort tasks of one image wait for minutes while workers have
-/// half of their processors free. Sequence: the image is first tried beside a service whose
-/// own load just rises; the tail grows; the pair is taken for a bad one and is never tried
-/// again. Cause: tails were compared with their mean over all time, and a service's own load
-/// moves them by more than a task beside it does.
+/// Guards against load variation that is attributed to a best-effort task. If tail latencies are
+/// compared with their mean over all time, an image that is first tried while the load of a
+/// latency-critical task rises counts as interfering and is never tried again: hundreds of its
+/// tasks waited for minutes while half of the processors were free. The load of such a task moves
+/// its tail latency by more than a best-effort task does.
 #[gtest]
 fn own_load_is_not_attributed_to_best_effort_tasks() {
     for case in CASES {
@@ -125,27 +124,29 @@
     }
 }
 
-/// Tail of a service beside which a task used so many cores on average.
+/// Tail latency of a latency-critical task beside a task that used so many cores on average.
 fn tail_ms_beside(cores: f64) -> u64 {
     let alone = 1.0 - OWN_LOAD;
     (IDLE_TAIL_MS / (alone - CAPACITY_PER_CORE * cores)).round() as u64
 }
 
-/// Part of the service's capacity that each core takes, and how much of its ease that is.
+/// Part of the latency-critical task's capacity that each core takes, and the headroom that it
+/// costs.
 const CAPACITY_PER_CORE: f64 = 0.06;
 const TRUE_COEFFICIENT: f64 = CAPACITY_PER_CORE * TARGET_MS as f64 / IDLE_TAIL_MS;
 
-/// Symptom: services are over their target by turns, though each task beside them was let in
-/// by what was learned. Sequence: short tasks come and go; a look comes as one ends, and its
-/// figures still tell of it. Cause: what such a task took was put down to nothing, so pairs
-/// were learned at half of what they are.
+/// Guards against coefficients that are learned at half of their value. Short tasks exit between
+/// polls, and the next figures still include their effect. If their usage is ignored,
+/// latency-critical tasks exceed their target in turn although each task beside them was admitted
+/// by what was learned.
 #[gtest]
 fn usage_of_tasks_that_exited_within_a_window_counts() {
     let mut interference = InterferenceModel::default();
     let mut baseline = Baseline::default();
     let mut window = UsageWindow::default();
     for round in 0..120 {
-        // Windows without a task, with a whole one, and with one that ends half way.
+        // Windows without a task, with a task for the whole window, and with one that exits half
+        // way through.
         let (running, exited) = [(0.0, 0.0), (CORES, 0.0), (0.0, CORES)][round % 3];
         let mut uses: Vec<ImageUsage> = Vec::new();
         if running > 0.0 {
--- a/tests/policy_link.rs
+++ b/tests/policy_link.rs
@@ -1,14 +1,14 @@
-//! What goes out over a link that is nearly full, and what waits.
+//! Tests which calls are sent over a link that is nearly full, and which are deferred.
 
 use goldcrestway_dispatch::policy::link::CallPriority;
 use goldcrestway_dispatch::policy::link::LinkBudget;
 use goldcrestway_dispatch::policy::link::list_pause_ms;
 use googletest::prelude::*;
 
-/// Two megabits a second.
+/// 2 Mbit/s.
 const SLOW_LINK_BYTES_PER_S: u64 = 250_000;
 
-/// What is under way, and which ranks may go out beside it.
+/// Bytes in flight, and the priorities that are admitted beside them.
 struct Case {
     name: &'static str,
     out_bytes: u64,
@@ -18,13 +18,13 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "nothing is under way",
+        name: "nothing is in flight",
         out_bytes: 0,
         in_bytes: 0,
         admitted: &CallPriority::ALL,
     },
     Case {
-        name: "a burst of orders to start is under way",
+        name: "a burst of start orders is in flight",
         out_bytes: 12_000,
         in_bytes: 0,
         admitted: &[
@@ -34,22 +34,22 @@
         ],
     },
     Case {
-        name: "long lists are about to come in",
+        name: "long reports are about to arrive",
         out_bytes: 0,
         in_bytes: 17_000,
         admitted: &[CallPriority::Lease, CallPriority::Control],
     },
     Case {
-        name: "all that the link carries in 80 ms is under way",
+        name: "all bytes that the link carries in 80 ms are in flight",
         out_bytes: 20_000,
         in_bytes: 0,
         admitted: &[CallPriority::Lease],
     },
 ];
 
-/// Symptom: leases run out, and followers claim, while the owner lives. Sequence: a wide job
-/// comes, its orders to start fill the link for a second, and renewals wait behind them.
-/// Cause: whatever was due was sent at once, in no order of importance.
+/// Guards against leases that expire, and followers that claim, while the owner is alive. A wide
+/// job fills the link with start orders for a second; if calls are sent in the order in which they
+/// become due, lease renewals wait behind them.
 #[gtest]
 fn lower_priorities_leave_capacity_to_higher_ones() {
     for case in CASES {
@@ -67,7 +67,7 @@
     }
 }
 
-/// What a link has carried makes room again, and no more than what it carries.
+/// Bytes that the link has transferred are available again, but no more than these.
 #[gtest]
 fn sent_bytes_stay_within_the_link_capacity() {
     const ORDER_BYTES: u64 = 700;
@@ -85,7 +85,7 @@
     expect_that!(sent_bytes, ge(carried_bytes * 8 / 10));
 }
 
-/// Links that are wide enough cost nothing: the pauses stay below those that there are anyway.
+/// A fast link causes no delay: the intervals stay below those that apply anyway.
 #[gtest]
 fn fast_links_delay_neither_polls_nor_records() {
     let link = LinkBudget::new(25_000_000);
@@ -93,7 +93,7 @@
     expect_that!(link.records_gap_ms(20_000), le(20));
 }
 
-/// Reports of workers that came in a while, and the pause before the next read of them.
+/// Bytes of worker reports that one read returned, and the pause before the next read.
 struct ListCase {
     name: &'static str,
     pause_ms: u64,
@@ -111,22 +111,22 @@
         next_ms: 400,
     },
     ListCase {
-        name: "thousands of workers on a wide link",
+        name: "thousands of workers on a fast link",
         pause_ms: 400,
         bytes: 270_000,
         link_bytes_per_s: 125_000_000,
         next_ms: 400,
     },
-    // Answers of workers would wait for a tenth of a second behind each read.
+    // Otherwise answers of workers wait for a tenth of a second behind each read.
     ListCase {
-        name: "thousands of workers on a thin link",
+        name: "thousands of workers on a slow link",
         pause_ms: 400,
         bytes: 270_000,
         link_bytes_per_s: 2_500_000,
         next_ms: 100,
     },
     ListCase {
-        name: "half of them have gone",
+        name: "half of the workers were removed",
         pause_ms: 100,
         bytes: 16_000,
         link_bytes_per_s: 2_500_000,
@@ -134,8 +134,9 @@
     },
 ];
 
-/// Symptom: on a link of 20 Mbit/s starts and looks are put off for a quarter of the time. Cause: the
-/// reports of 6,000 workers came in one answer, which took the link for more than may be under way.
+/// Guards against starts and polls that are deferred for a quarter of the time on a link of 20
+/// Mbit/s. If the reports of 6,000 workers arrive in one answer, they occupy the link for more than
+/// may be in flight.
 #[gtest]
 fn worker_list_reads_fit_the_link() {
     for case in LIST_CASES {
--- a/tests/policy_ordering.rs
+++ b/tests/policy_ordering.rs
@@ -1,4 +1,4 @@
-//! Which of many waiting jobs gets what is free.
+//! Tests which of many waiting jobs gets free resources.
 
 use goldcrestway_dispatch::policy::Policy;
 use goldcrestway_dispatch::policy::ordering::Urgency;
@@ -7,7 +7,7 @@
 
 const NOW_MS: u64 = 100_000;
 
-/// A job of best-effort tasks that can still make its objective.
+/// A job of best-effort tasks that can still meet its objective.
 const JOB: WaitingJob = WaitingJob {
     priority: 2,
     is_long_running: false,
@@ -17,7 +17,7 @@
     remaining_ms: 3_400,
 };
 
-/// Two jobs, the first of which is to go first.
+/// Two jobs, of which `first` must go first.
 struct Case {
     name: &'static str,
     first: WaitingJob,
@@ -26,7 +26,7 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "one that can still make it before one that can't",
+        name: "a job that can meet its objective before one that cannot",
         first: JOB,
         second: WaitingJob {
             due_ms: NOW_MS + 3_000,
@@ -34,7 +34,7 @@
         },
     },
     Case {
-        name: "one whose last step is short can still make it",
+        name: "a job whose last step is short can still meet its objective",
         first: WaitingJob {
             due_ms: NOW_MS + 3_000,
             remaining_ms: 1_700,
@@ -43,7 +43,7 @@
         second: JOB,
     },
     Case {
-        name: "one that has begun before one that has not",
+        name: "a started job before one that has not started",
         first: WaitingJob {
             has_started: true,
             due_ms: NOW_MS + 7_000,
@@ -52,7 +52,7 @@
         second: JOB,
     },
     Case {
-        name: "the first due of equals",
+        name: "the earliest objective among equals",
         first: JOB,
         second: WaitingJob {
             due_ms: NOW_MS + 6_001,
@@ -60,7 +60,7 @@
         },
     },
     Case {
-        name: "a late one of a more urgent queue before all of this one",
+        name: "a late job of a queue with a higher priority before all jobs of this one",
         first: WaitingJob {
             priority: 0,
             due_ms: NOW_MS,
@@ -69,7 +69,7 @@
         second: JOB,
     },
     Case {
-        name: "a late one before one that is worth nothing any more",
+        name: "a late job before one whose result has no value any more",
         first: WaitingJob {
             due_ms: NOW_MS,
             ..JOB
@@ -82,7 +82,7 @@
         },
     },
     Case {
-        name: "one that lasts is never late",
+        name: "a long-running job is never late",
         first: WaitingJob {
             is_long_running: true,
             due_ms: 0,
@@ -93,10 +93,10 @@
     },
 ];
 
-/// Symptom: under overload nearly every job ends late, though half of them could have ended
-/// in time. Sequence: more comes than fits; jobs go by the time at which they are due; each
-/// waits until it can only just make it, and the ones behind it wait for it. Cause: a job
-/// that could no longer make it went before those that could.
+/// Guards against overload in which nearly every job finishes late, though half of them could
+/// finish in time. If jobs go by their objective alone, a job that can no longer meet it goes
+/// before those that can, each job waits until it can only just finish in time, and the jobs behind
+/// it wait as well.
 #[gtest]
 fn feasible_jobs_go_first() {
     let policy = Policy::default();
@@ -107,8 +107,9 @@
     }
 }
 
-/// The same over a day of overload: one worker, a job of two seconds each second, each of
-/// which is to end five seconds after it submitted. By due time alone the first three end in time.
+/// The same during continuous overload: one worker gets a job of two seconds each second, and each
+/// job must finish five seconds after its submission. By objective alone only the first three
+/// finish in time.
 #[gtest]
 fn half_of_the_jobs_finish_in_time_under_double_load() {
     const WORK_MS: u64 = 2_000;
--- a/tests/policy_placing.rs
+++ b/tests/policy_placing.rs
@@ -1,9 +1,9 @@
-//! How often what waits is placed, by what a try has cost.
+//! Tests the pause between attempts to place waiting steps, by the cost of the last one.
 
 use goldcrestway_dispatch::policy::placing::placing_gap_ms;
 use googletest::prelude::*;
 
-/// A try of an owner, and the pause that follows.
+/// An attempt of an owner, and the pause that follows.
 struct Case {
     name: &'static str,
     steps: u64,
@@ -28,22 +28,22 @@
         gap_ms: 10,
     },
     Case {
-        name: "a large fleet is full, and its owner strong",
+        name: "a large fleet is full, and its owner has a full core",
         steps: 150,
         workers: 6_000,
         cpu_permille: 1_000,
         gap_ms: 144,
     },
-    // Its turns took a second each.
+    // Without the pause its turns took a second each.
     Case {
-        name: "a large fleet is full, and its owner weak",
+        name: "a large fleet is full, and its owner has a small share of a core",
         steps: 150,
         workers: 6_000,
         cpu_permille: 120,
         gap_ms: 1_200,
     },
     Case {
-        name: "whoever waits is tried again within seconds",
+        name: "waiting steps are tried again within seconds",
         steps: 5_000,
         workers: 6_000,
         cpu_permille: 120,
@@ -51,8 +51,8 @@
     },
 ];
 
-/// Symptom: an owner of thousands of workers gives no sign of life for seconds while much waits, and
-/// others take its place in turn.
+/// Guards against an owner of thousands of workers that sends no heartbeat for seconds while many
+/// steps wait, so that other hosts claim ownership in turn.
 #[gtest]
 fn pause_grows_with_evaluations() {
     for case in CASES {
--- a/tests/policy_polls.rs
+++ b/tests/policy_polls.rs
@@ -1,10 +1,10 @@
-//! How often workers are looked at, by what runs there and by how many there are.
+//! Tests the poll interval by worker activity and number of workers.
 
 use goldcrestway_dispatch::policy::polls::Activity;
 use goldcrestway_dispatch::policy::polls::PollIntervals;
 use googletest::prelude::*;
 
-/// An owner, a worker of it, and the pause before the next look there.
+/// An owner, the activity of a worker, and the interval before its next poll.
 struct Case {
     name: &'static str,
     idle_workers: u64,
@@ -16,16 +16,16 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "an end is awaited in a small fleet",
+        name: "a task is about to end in a small fleet",
         idle_workers: 40,
         cpu_permille: 100,
         are_confirming: false,
         activity: Activity::Ending,
         gap_ms: 60,
     },
-    // It grew with the workers that were not concerned.
+    // Otherwise the interval grows with the number of workers on which no task is about to end.
     Case {
-        name: "an end is awaited in a large fleet",
+        name: "a task is about to end in a large fleet",
         idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: false,
@@ -33,7 +33,7 @@
         gap_ms: 60,
     },
     Case {
-        name: "a small fleet at rest costs little",
+        name: "a small idle fleet is polled at the shortest interval",
         idle_workers: 10,
         cpu_permille: 100,
         are_confirming: false,
@@ -41,7 +41,7 @@
         gap_ms: 60,
     },
     Case {
-        name: "a strong owner looks at a large fleet at rest every few seconds",
+        name: "an owner with a full core polls a large idle fleet every few seconds",
         idle_workers: 6_000,
         cpu_permille: 1_000,
         are_confirming: false,
@@ -49,25 +49,25 @@
         gap_ms: 2_400,
     },
     Case {
-        name: "a weak one no more rarely than a dead worker may go unnoticed",
+        name: "an owner with a small share polls it at the longest interval at which dead workers are detected",
         idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: false,
         activity: Activity::None,
         gap_ms: 10_000,
     },
-    // Its leases would run out.
+    // Otherwise the leases of these tasks expire.
     Case {
-        name: "tasks that serve are kept alive",
+        name: "leases of long-running tasks are renewed",
         idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: false,
         activity: Activity::LongRunning,
         gap_ms: 1_500,
     },
-    // Otherwise an owner would count as replaced while it is well.
+    // Otherwise an owner counts as replaced while it works.
     Case {
-        name: "while the store is silent most workers answer within two seconds",
+        name: "while the store does not answer most workers answer within two seconds",
         idle_workers: 6_000,
         cpu_permille: 120,
         are_confirming: true,
@@ -76,8 +76,8 @@
     },
 ];
 
-/// Symptom: short tasks are over for a second and a half before the owner knows, in a fleet of
-/// 6,000 workers.
+/// Guards against exits that the owner learns only a second and a half later in a fleet of 6,000
+/// workers.
 #[gtest]
 fn poll_interval_follows_worker_activity() {
     for case in CASES {
--- a/tests/policy_shares.rs
+++ b/tests/policy_shares.rs
@@ -1,21 +1,21 @@
-//! At which share best-effort tasks work beside a service.
+//! Tests which CPU share best-effort tasks get beside latency-critical tasks.
 
 use goldcrestway_dispatch::policy::shares::ColocatedTask;
 use goldcrestway_dispatch::policy::shares::SuspendDelays;
 use goldcrestway_dispatch::policy::shares::choose_share;
 use googletest::prelude::*;
 
-/// Time after which a wait counts as harm.
+/// Time over target that counts as harm.
 const HARM_MS: u64 = 4_000;
 
-/// A service that is well, beside a task that takes a fifth of its ease.
+/// A latency-critical task within its target, beside a task that takes 0.2 of its headroom.
 const HEALTHY_TASK: ColocatedTask = ColocatedTask {
     headroom: 2.0,
     over_ms: 0,
     headroom_loss: 0.2,
 };
 
-/// A task at a share, the services beside it, and the share that it gets.
+/// A best-effort task at a share, the latency-critical tasks beside it, and its new share.
 struct Case {
     name: &'static str,
     current_percent: u32,
@@ -26,21 +26,21 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "nobody is beside it",
+        name: "no latency-critical task is beside it",
         current_percent: 50,
         colocated_tasks: &[],
         may_change: true,
         share: 75,
     },
     Case {
-        name: "the service is well",
+        name: "the latency-critical task is within its target",
         current_percent: 100,
         colocated_tasks: &[HEALTHY_TASK],
         may_change: true,
         share: 100,
     },
     Case {
-        name: "the service is close to its target",
+        name: "the latency-critical task is close to its target",
         current_percent: 100,
         colocated_tasks: &[ColocatedTask {
             headroom: 1.02,
@@ -60,7 +60,7 @@
         share: 100,
     },
     Case {
-        name: "the task does nothing to the service",
+        name: "the best-effort task does not interfere",
         current_percent: 100,
         colocated_tasks: &[ColocatedTask {
             headroom: 1.02,
@@ -71,7 +71,7 @@
         share: 100,
     },
     Case {
-        name: "a little of it is worse than nothing",
+        name: "a share below the smallest useful one becomes a suspension",
         current_percent: 30,
         colocated_tasks: &[ColocatedTask {
             headroom: 0.9,
@@ -81,7 +81,7 @@
         share: 0,
     },
     Case {
-        name: "the service has been over its target for long, and the task may be why",
+        name: "the latency-critical task has been over its target for long, and the best-effort task may be the cause",
         current_percent: 100,
         colocated_tasks: &[ColocatedTask {
             headroom: 0.9,
@@ -92,7 +92,7 @@
         share: 0,
     },
     Case {
-        name: "the service has been over its target for longer, and nobody knows why",
+        name: "the latency-critical task has been over its target for longer, and the cause is unknown",
         current_percent: 100,
         colocated_tasks: &[ColocatedTask {
             headroom: 0.9,
@@ -103,7 +103,7 @@
         share: 0,
     },
     Case {
-        name: "one of two services would bear more",
+        name: "one of two latency-critical tasks would tolerate a greater share",
         current_percent: 50,
         colocated_tasks: &[
             HEALTHY_TASK,
@@ -117,7 +117,8 @@
     },
 ];
 
-/// Services stay over their target beside tasks at full share, or tasks are slowed for nothing.
+/// Guards against latency-critical tasks that stay over their target beside tasks at full share,
+/// and against tasks that are throttled without need.
 #[gtest]
 fn shares_follow_the_headroom_of_colocated_tasks() {
     for case in CASES {
--- a/tests/policy_stragglers.rs
+++ b/tests/policy_stragglers.rs
@@ -1,10 +1,10 @@
-//! Which workers slow down what runs there, by the paces of their runs.
+//! Tests which workers count as slow, by the speeds of their runs.
 
 use goldcrestway_dispatch::policy::stragglers::Speed;
 use goldcrestway_dispatch::policy::stragglers::is_slow;
 use googletest::prelude::*;
 
-/// Runs of one worker, as the time that each takes beside its siblings' second.
+/// Runs of one worker, as projected durations beside siblings that take a second.
 struct Case {
     name: &'static str,
     projected_ms: &'static [u64],
@@ -13,7 +13,7 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "nothing can be compared",
+        name: "no run can be compared",
         projected_ms: &[],
         is_slow: false,
     },
@@ -28,7 +28,7 @@
         is_slow: true,
     },
     Case {
-        name: "a long task beside others that are as usual",
+        name: "a long task beside others of usual length",
         projected_ms: &[3_500, 900, 1_100],
         is_slow: false,
     },
@@ -44,8 +44,8 @@
     },
 ];
 
-/// Tasks that are merely longer than their siblings are stopped on workers that are well, or those
-/// of a worker that slows all of them are left there.
+/// Guards against tasks that are stopped on healthy workers because they are longer than their
+/// siblings, and against tasks that are left on a worker that slows down all of them.
 #[gtest]
 fn slow_worker_is_detected_by_the_median_of_its_runs() {
     for case in CASES {
--- a/tests/policy_suspicion.rs
+++ b/tests/policy_suspicion.rs
@@ -1,10 +1,10 @@
-//! What crashes of workers say of a task that was there, and when it is to blame.
+//! Tests what crashes of workers prove against a task that ran there, and when the task is blamed.
 
 use goldcrestway_dispatch::policy::suspicion::Crash;
 use goldcrestway_dispatch::policy::suspicion::Suspicion;
 use googletest::prelude::*;
 
-/// A crash under a task that may be the cause, and nothing else.
+/// A crash during a confirmed run of which only this task may be the cause.
 const SOLE_SUSPECT: Crash<'_> = Crash {
     run: 1,
     address: "10.0.0.1:80",
@@ -15,41 +15,41 @@
     is_long_running: false,
 };
 
-/// The same beside others that may be the cause.
+/// The same beside other tasks that may be the cause.
 const ONE_OF_SUSPECTS: Crash<'_> = Crash {
     is_sole_suspect: false,
     ..SOLE_SUSPECT
 };
 
-/// The same under a run of which the worker never said that it is there.
+/// The same during a run that the worker never confirmed.
 const UNCONFIRMED: Crash<'_> = Crash {
     is_confirmed: false,
     ..SOLE_SUSPECT
 };
 
-/// The same when other workers crashed, too.
+/// The same while other workers crash as well.
 const EXCUSED: Crash<'_> = Crash {
     is_excused: true,
     ..SOLE_SUSPECT
 };
 
-/// The same under a run that had been at work for a while.
+/// The same during a run that had worked for a while.
 const STABLE: Crash<'_> = Crash {
     is_suspect: false,
     is_sole_suspect: false,
     ..SOLE_SUSPECT
 };
 
-/// Crashes in a row, each of another host and a later run unless said otherwise.
+/// Consecutive crashes, each of another host and during a later run unless stated otherwise.
 struct Case {
     name: &'static str,
     crashes: &'static [Crash<'static>],
     is_same_host: bool,
     is_same_run: bool,
-    /// A run is stable before the last crash.
+    /// Whether a run becomes stable before the last crash.
     is_cleared: bool,
     is_long_running: bool,
-    /// Crash at which the task is to blame; 0 for none of them.
+    /// Number of the crash at which the task is blamed; 0 for none.
     blamed_at: usize,
 }
 
@@ -70,33 +70,33 @@
         ..CASE
     },
     Case {
-        name: "alone twice",
+        name: "as the only suspect twice",
         blamed_at: 2,
         ..CASE
     },
     Case {
-        name: "beside others, then alone",
+        name: "beside other suspects, then as the only one",
         crashes: &[ONE_OF_SUSPECTS, SOLE_SUSPECT],
         blamed_at: 2,
         ..CASE
     },
     Case {
-        name: "beside others twice",
+        name: "beside other suspects twice",
         crashes: &[ONE_OF_SUSPECTS, ONE_OF_SUSPECTS],
         ..CASE
     },
     Case {
-        name: "alone, and there for certain only the last time",
+        name: "as the only suspect, and confirmed only the last time",
         crashes: &[UNCONFIRMED, SOLE_SUSPECT],
         ..CASE
     },
     Case {
-        name: "never there for certain, three times",
+        name: "never confirmed, three times",
         crashes: &[UNCONFIRMED, UNCONFIRMED, UNCONFIRMED],
         ..CASE
     },
     Case {
-        name: "never there for certain, too often for luck",
+        name: "never confirmed, too often for chance",
         crashes: &[
             UNCONFIRMED,
             UNCONFIRMED,
@@ -113,23 +113,23 @@
         ..CASE
     },
     Case {
-        name: "with other workers, too often for luck",
+        name: "with other workers, too often for chance",
         crashes: &[EXCUSED, EXCUSED, EXCUSED, EXCUSED, EXCUSED],
         blamed_at: 5,
         ..CASE
     },
     Case {
-        name: "with a failure domain, then alone",
+        name: "with a failure domain, then as the only suspect",
         crashes: &[EXCUSED, SOLE_SUSPECT],
         ..CASE
     },
     Case {
-        name: "beside others three times",
+        name: "beside other suspects three times",
         crashes: &[ONE_OF_SUSPECTS, ONE_OF_SUSPECTS, ONE_OF_SUSPECTS],
         ..CASE
     },
     Case {
-        name: "beside others, too often for luck",
+        name: "beside other suspects, too often for chance",
         crashes: &[
             ONE_OF_SUSPECTS,
             ONE_OF_SUSPECTS,
@@ -141,7 +141,7 @@
         ..CASE
     },
     Case {
-        name: "a task that lasts, beside others, too often for luck",
+        name: "a long-running task, beside other suspects, too often for chance",
         crashes: &[
             ONE_OF_SUSPECTS,
             ONE_OF_SUSPECTS,
@@ -159,7 +159,7 @@
         ..CASE
     },
     Case {
-        name: "three times on one host",
+        name: "three times on the same host",
         crashes: &[SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT],
         is_same_host: true,
         blamed_at: 3,
@@ -172,23 +172,23 @@
         ..CASE
     },
     Case {
-        name: "a stable run in between",
+        name: "a stable run between two crashes",
         is_cleared: true,
         ..CASE
     },
     Case {
-        name: "under stable runs, which luck explains four times",
+        name: "during stable runs, which chance explains four times",
         crashes: &[STABLE, STABLE, STABLE, STABLE],
         ..CASE
     },
     Case {
-        name: "under stable runs, too often for luck",
+        name: "during stable runs, too often for chance",
         crashes: &[STABLE, STABLE, STABLE, STABLE, STABLE],
         blamed_at: 5,
         ..CASE
     },
     Case {
-        name: "under a task that lasts, often",
+        name: "during stable runs of a long-running task, often",
         crashes: &[
             STABLE, STABLE, STABLE, STABLE, STABLE, STABLE, STABLE, STABLE,
         ],
@@ -196,16 +196,16 @@
         ..CASE
     },
     Case {
-        name: "a task that lasts and crashes whoever starts it",
+        name: "a long-running task that crashes each worker that starts it",
         is_long_running: true,
         blamed_at: 2,
         ..CASE
     },
 ];
 
-/// Symptom: a task that crashes its workers is started once too often. Sequence: what became of a
-/// worker is known only after the next one has crashed under the task. Cause: only crashes under
-/// newer runs than the newest counted one were taken for new.
+/// Guards against one start too many of a task that crashes its workers. The crash of a worker may
+/// become known only after the next worker has crashed; it must count although it belongs to an
+/// older run than the newest counted one.
 #[gtest]
 fn crash_that_is_known_late_is_counted() {
     let mut suspicion = Suspicion::default();
@@ -232,8 +232,8 @@
     expect_that!(suspicion.crashes, eq(2));
 }
 
-/// Symptom: a task is started again and again as its crashes can't be told from bad luck. After the
-/// third one that it may have caused it has two starts left, whether they come to something or not.
+/// Guards against endless restarts of a task whose crashes cannot be told from bad luck. After the
+/// third crash that it may have caused it has two starts left, whatever their result.
 #[gtest]
 fn task_has_two_starts_left_after_three_possible_crashes() {
     let mut suspicion = Suspicion::default();
@@ -248,7 +248,7 @@
     suspicion.record_start(0);
     expect_that!(suspicion.is_exhausted(), eq(false));
     let mut stable = suspicion.clone();
-    // A start that the worker refused was none.
+    // A refused start does not count.
     suspicion.record_start(0);
     suspicion.undo_start();
     expect_that!(suspicion.is_exhausted(), eq(false));
@@ -259,7 +259,8 @@
     expect_that!(stable.is_exhausted(), eq(false));
 }
 
-/// Symptom: a task goes on crashing workers, or is given up for what it did not do.
+/// Guards against a task that keeps crashing workers, and against a task that is given up for
+/// crashes that it did not cause.
 #[gtest]
 fn task_is_blamed_when_nothing_else_explains_the_crashes() {
     for case in CASES {
@@ -292,9 +293,9 @@
     }
 }
 
-/// Symptom: a task is started again and again while its workers are away for longer than their
-/// leases, as no crash is known yet. Losses count towards its last starts; then it waits for what
-/// became of the workers, and is given up only for crashes that are known.
+/// Guards against endless restarts of a task while its workers are away for longer than their
+/// leases, as no crash is known then. Lost runs count towards its last starts. After these it waits
+/// for the outcome of its workers, and it is given up only for known crashes.
 #[gtest]
 fn unresolved_crashes_count_towards_the_last_starts() {
     let mut suspicion = Suspicion::default();
