--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,20 +1,22 @@
 //! A fleet of entry hosts, a store and workers in virtual time: the decisions are the
 //! real ones, all around them is a small stand-in.
 
+mod actions;
 mod callers;
-mod carrying;
-mod delivering;
+mod connections;
+mod deliveries;
 mod evacuations;
 mod fixtures;
 mod link;
-mod mishaps;
-mod peers;
 mod promises;
-mod reading;
+mod reads;
 mod rules;
 mod store;
 mod worker;
+mod worker_faults;
 
+use crate::fleet::connections::Peers;
+use crate::fleet::connections::relay_address;
 pub(crate) use crate::fleet::evacuations::EVACUATED_MS;
 use crate::fleet::evacuations::Evacuations;
 pub(crate) use crate::fleet::fixtures::WORKER_RESOURCES;
@@ -24,18 +26,16 @@
 pub(crate) use crate::fleet::fixtures::job;
 pub(crate) use crate::fleet::fixtures::step;
 pub(crate) use crate::fleet::link::Link;
-use crate::fleet::mishaps::Mishaps;
-use crate::fleet::peers::Peers;
-use crate::fleet::peers::relay_address;
 pub(crate) use crate::fleet::promises::Promises;
-use crate::fleet::reading::Loader;
-use crate::fleet::reading::Reader;
+use crate::fleet::reads::Loader;
+use crate::fleet::reads::Reader;
 pub(crate) use crate::fleet::rules::RulesWatch;
 pub(crate) use crate::fleet::store::Limits;
 pub(crate) use crate::fleet::store::Mode;
 pub(crate) use crate::fleet::store::Store;
 pub(crate) use crate::fleet::worker::Manners;
 pub(crate) use crate::fleet::worker::Worker;
+use crate::fleet::worker_faults::Mishaps;
 use goldcrestway_core::Code;
 use goldcrestway_dispatch::Bounds;
 use goldcrestway_dispatch::Decoders;
