--- a/tests/fleet/actions.rs
+++ b/tests/fleet/actions.rs
@@ -1,11 +1,11 @@
 //! What hosts want done, carried to the store, to workers and to callers.
 
-use crate::fleet::ADVICE_MS;
 use crate::fleet::CALL_MS;
 use crate::fleet::Delivery;
 use crate::fleet::Fleet;
 use crate::fleet::Loader;
 use crate::fleet::Order;
+use crate::fleet::PERMIT_CALL_MS;
 use crate::fleet::PERMIT_MS;
 use crate::fleet::Reader;
 use crate::fleet::STEP_MS;
@@ -24,7 +24,7 @@
 
 impl Fleet {
     pub(super) fn perform(&mut self, number: usize, action: Action) {
-        let life = self.hosts[number].life;
+        let generation = self.hosts[number].generation;
         let is_store_call = matches!(
             action,
             Action::Append { .. } | Action::Read { .. } | Action::Load { .. }
@@ -59,7 +59,7 @@
                     false => (done_ms, outcome),
                 };
                 let event = Event::Appended { ticket, outcome };
-                let delivery = Delivery::ToEntry(number, life, event);
+                let delivery = Delivery::ToEntry(number, generation, event);
                 self.deliveries.push((at_ms, delivery));
             }
             Action::Read {
@@ -74,7 +74,7 @@
                 }
                 let reader = Reader {
                     number,
-                    life,
+                    generation,
                     ticket,
                     stream,
                     from,
@@ -94,7 +94,7 @@
                 *self.loads.entry(stream).or_default() += 1;
                 let loader = Loader {
                     number,
-                    life,
+                    generation,
                     ticket,
                     stream,
                     after,
@@ -119,11 +119,11 @@
                     token,
                     call,
                 };
-                self.send_order(number, life, order, timeout_ms);
+                self.send_order(number, generation, order, timeout_ms);
             }
             Action::RequestPermits {
                 ticket, workers, ..
-            } => self.advise(number, ticket, workers),
+            } => self.answer_permits(number, ticket, workers),
             Action::Answer { request, reply } => {
                 if reply == Reply::Stored
                     && let Some(job) = self.asked.get(&request)
@@ -135,14 +135,14 @@
             Action::OpenConnection { conn, address } => self.connect(number, conn, &address),
             Action::SendFrame { conn, bytes } => self.send_frame(number, conn, bytes),
             Action::CloseConnection { conn } => self.disconnect(number, conn),
-            Action::Note(note) => self.take_note(&note),
+            Action::Note(note) => self.record_note(&note),
             Action::Disconnect { .. } | Action::Configured => {}
         }
     }
 
-    fn take_note(&mut self, note: &Note) {
+    fn record_note(&mut self, note: &Note) {
         *self.notes.entry(note.code).or_default() += 1;
-        let is_told = matches!(
+        let is_logged = matches!(
             note.code,
             Code::WorkerGone
                 | Code::RunLost
@@ -153,7 +153,7 @@
                 | Code::TaskSuspected
                 | Code::JobFailed
         );
-        if is_told {
+        if is_logged {
             let name = note.code.name();
             let line = format!("{} {name} {} {}", self.now_ms, note.subject, note.detail);
             self.lines.push(line);
@@ -161,8 +161,8 @@
     }
 
     /// Answers a call for permits, which name the time until which they hold.
-    fn advise(&mut self, number: usize, ticket: u64, workers: Vec<Box<str>>) {
-        let life = self.hosts[number].life;
+    fn answer_permits(&mut self, number: usize, ticket: u64, workers: Vec<Box<str>>) {
+        let generation = self.hosts[number].generation;
         self.advice_calls += 1;
         let until_ms = self.now_ms + PERMIT_MS;
         let mut rows = Vec::new();
@@ -176,21 +176,24 @@
             validity_ms: PERMIT_MS,
         };
         let event = Event::PermitsAnswered { ticket, outcome };
-        let delivery = Delivery::ToEntry(number, life, event);
-        self.deliveries.push((self.now_ms + ADVICE_MS, delivery));
+        let delivery = Delivery::ToEntry(number, generation, event);
+        self.deliveries
+            .push((self.now_ms + PERMIT_CALL_MS, delivery));
     }
 
-    fn send_order(&mut self, number: usize, life: u64, order: Order, timeout_ms: u64) {
+    fn send_order(&mut self, number: usize, generation: u64, order: Order, timeout_ms: u64) {
         if let Some(late_ms) = self.late_ms {
             let event = Event::Ordered {
                 ticket: order.ticket,
                 outcome: OrderOutcome::Unknown,
             };
-            let unheard = Delivery::ToEntry(number, life, event);
-            self.deliveries.push((self.now_ms + timeout_ms, unheard));
-            let came_to = self.incarnation_at(&order.address);
-            self.deliveries
-                .push((self.now_ms + late_ms, Delivery::Late(order, came_to)));
+            let no_answer = Delivery::ToEntry(number, generation, event);
+            self.deliveries.push((self.now_ms + timeout_ms, no_answer));
+            let target_incarnation = self.incarnation_at(&order.address);
+            self.deliveries.push((
+                self.now_ms + late_ms,
+                Delivery::Late(order, target_incarnation),
+            ));
             return;
         }
         if self.hosts[number].is_cut_from_workers {
@@ -198,8 +201,8 @@
                 ticket: order.ticket,
                 outcome: OrderOutcome::Unknown,
             };
-            let unheard = Delivery::ToEntry(number, life, event);
-            self.deliveries.push((self.now_ms + timeout_ms, unheard));
+            let no_answer = Delivery::ToEntry(number, generation, event);
+            self.deliveries.push((self.now_ms + timeout_ms, no_answer));
             return;
         }
         let link_ms = self.hosts[number].sending_ms(self.now_ms, order_bytes(&order.call));
@@ -210,14 +213,14 @@
                 ticket: order.ticket,
                 outcome: OrderOutcome::Unknown,
             };
-            let given_up = Delivery::ToEntry(number, life, event);
-            self.deliveries.push((self.now_ms + timeout_ms, given_up));
+            let timed_out = Delivery::ToEntry(number, generation, event);
+            self.deliveries.push((self.now_ms + timeout_ms, timed_out));
         }
         let delivery = match order.call {
             WorkerCall::Poll { wait_ms, .. } if wait_ms > 0 => {
-                Delivery::Look(number, life, order, at_ms + wait_ms - CALL_MS, None)
+                Delivery::PendingPoll(number, generation, order, at_ms + wait_ms - CALL_MS, None)
             }
-            _ => Delivery::Order(number, life, order),
+            _ => Delivery::Order(number, generation, order),
         };
         self.deliveries.push((at_ms, delivery));
     }
--- a/tests/fleet/connections.rs
+++ b/tests/fleet/connections.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct End {
     host: usize,
-    life: u64,
+    generation: u64,
     conn: ConnectionId,
 }
 
@@ -32,8 +32,12 @@
 
 impl Peers {
     /// Gives the other end, unless the connection has gone silent.
-    fn other(&self, host: usize, life: u64, conn: ConnectionId) -> Option<End> {
-        let own = End { host, life, conn };
+    fn other(&self, host: usize, generation: u64, conn: ConnectionId) -> Option<End> {
+        let own = End {
+            host,
+            generation,
+            conn,
+        };
         for pair in self.pairs.iter().filter(|pair| !pair.is_silent) {
             if pair.one == own {
                 return Some(pair.two);
@@ -53,10 +57,10 @@
 
 impl Fleet {
     pub(super) fn connect(&mut self, number: usize, conn: ConnectionId, address: &str) {
-        let life = self.hosts[number].life;
+        let generation = self.hosts[number].generation;
         let own = End {
             host: number,
-            life,
+            generation,
             conn,
         };
         let count = self.hosts.len();
@@ -67,7 +71,7 @@
                 self.peers.opened += 1;
                 let other = End {
                     host,
-                    life: self.hosts[host].life,
+                    generation: self.hosts[host].generation,
                     conn: ConnectionId::incoming(self.peers.opened),
                 };
                 self.peers.pairs.push(Pair {
@@ -79,13 +83,13 @@
             }
             None => Event::ConnectionLost { conn },
         };
-        let delivery = Delivery::ToEntry(number, life, event);
+        let delivery = Delivery::ToEntry(number, generation, event);
         self.deliveries.push((self.now_ms + CALL_MS, delivery));
     }
 
     pub(super) fn send_frame(&mut self, number: usize, conn: ConnectionId, bytes: Box<[u8]>) {
-        let life = self.hosts[number].life;
-        let Some(other) = self.peers.other(number, life, conn) else {
+        let generation = self.hosts[number].generation;
+        let Some(other) = self.peers.other(number, generation, conn) else {
             return;
         };
         self.frame_bytes += bytes.len() as u64;
@@ -97,18 +101,18 @@
             bytes,
         };
         let at_ms = self.now_ms + CALL_MS + out_ms + in_ms;
-        let delivery = Delivery::ToEntry(other.host, other.life, event);
+        let delivery = Delivery::ToEntry(other.host, other.generation, event);
         self.deliveries.push((at_ms, delivery));
     }
 
     pub(super) fn disconnect(&mut self, number: usize, conn: ConnectionId) {
-        let life = self.hosts[number].life;
-        if let Some(other) = self.peers.other(number, life, conn) {
-            self.tell_lost(other);
+        let generation = self.hosts[number].generation;
+        if let Some(other) = self.peers.other(number, generation, conn) {
+            self.send_connection_lost(other);
         }
         let own = End {
             host: number,
-            life,
+            generation,
             conn,
         };
         self.peers
@@ -117,7 +121,7 @@
     }
 
     /// Ends all connections of a host that is gone.
-    pub(super) fn reset_links(&mut self, number: usize) {
+    pub(super) fn reset_connections(&mut self, number: usize) {
         let mut others = Vec::new();
         self.peers.pairs.retain(|pair| {
             let is_own = pair.one.host == number || pair.two.host == number;
@@ -127,7 +131,7 @@
             !is_own
         });
         for other in others.into_iter().filter(|end| end.host != number) {
-            self.tell_lost(other);
+            self.send_connection_lost(other);
         }
     }
 
@@ -138,9 +142,9 @@
         }
     }
 
-    fn tell_lost(&mut self, end: End) {
+    fn send_connection_lost(&mut self, end: End) {
         let event = Event::ConnectionLost { conn: end.conn };
-        let delivery = Delivery::ToEntry(end.host, end.life, event);
+        let delivery = Delivery::ToEntry(end.host, end.generation, event);
         self.deliveries.push((self.now_ms + CALL_MS, delivery));
     }
 }
--- a/tests/fleet/deliveries.rs
+++ b/tests/fleet/deliveries.rs
@@ -29,12 +29,12 @@
 
     fn deliver_one(&mut self, delivery: Delivery) {
         match delivery {
-            Delivery::ToEntry(number, life, event) => {
-                if self.hosts[number].life != life {
+            Delivery::ToEntry(number, generation, event) => {
+                if self.hosts[number].generation != generation {
                     return;
                 }
                 if self.hosts[number].is_paused {
-                    self.hosts[number].held.push(event);
+                    self.hosts[number].queued_events.push(event);
                     return;
                 }
                 let is_store_call = matches!(
@@ -44,37 +44,48 @@
                 self.hosts[number].store_calls -= usize::from(is_store_call);
                 self.handle(number, event);
             }
-            Delivery::Order(number, life, order) => {
+            Delivery::Order(number, generation, order) => {
                 let starts = self.promises.starts.len();
-                let outcome = self.obey(&order);
+                let outcome = self.execute(&order);
                 if self.promises.starts.len() > starts {
-                    self.judge_start(number, &order.address);
+                    self.check_start(number, &order.address);
                 }
-                self.reply_order(number, life, order.ticket, outcome);
+                self.reply_order(number, generation, order.ticket, outcome);
             }
-            Delivery::Late(order, came_to) => {
-                let lives = self.incarnation_at(&order.address);
-                if came_to == lives || self.outlive_lives {
-                    drop(self.obey(&order));
+            Delivery::Late(order, target_incarnation) => {
+                let current_incarnation = self.incarnation_at(&order.address);
+                if target_incarnation == current_incarnation || self.outlive_lives {
+                    drop(self.execute(&order));
                 }
             }
-            Delivery::Look(number, life, order, until_ms, held_by) => {
-                let lives = self.incarnation_at(&order.address);
+            Delivery::PendingPoll(number, generation, order, until_ms, polled_incarnation) => {
+                let current_incarnation = self.incarnation_at(&order.address);
                 // What a worker holds goes with it.
-                if held_by.is_some() && held_by != lives {
-                    return self.reply_order(number, life, order.ticket, OrderOutcome::Unknown);
+                if polled_incarnation.is_some() && polled_incarnation != current_incarnation {
+                    return self.reply_order(
+                        number,
+                        generation,
+                        order.ticket,
+                        OrderOutcome::Unknown,
+                    );
                 }
-                let outcome = self.obey(&order);
-                let has_end = match &outcome {
+                let outcome = self.execute(&order);
+                let has_exit = match &outcome {
                     OrderOutcome::Done { report, .. } => report
                         .as_ref()
                         .is_some_and(|report| !report.exits.is_empty()),
                     _ => true,
                 };
-                if has_end || self.now_ms >= until_ms {
-                    self.reply_order(number, life, order.ticket, outcome);
+                if has_exit || self.now_ms >= until_ms {
+                    self.reply_order(number, generation, order.ticket, outcome);
                 } else {
-                    let again = Delivery::Look(number, life, order.held(), until_ms, lives);
+                    let again = Delivery::PendingPoll(
+                        number,
+                        generation,
+                        order.without_acknowledgement(),
+                        until_ms,
+                        current_incarnation,
+                    );
                     self.deliveries.push((self.now_ms + 20, again));
                 }
             }
@@ -83,13 +94,13 @@
         }
     }
 
-    /// Gives which incarnation lives at an address, if one does.
+    /// Gives which incarnation current_incarnation at an address, if one does.
     pub(super) fn incarnation_at(&self, address: &str) -> Option<u64> {
         let worker = self.workers.get(address).filter(|worker| worker.is_alive);
-        worker.map(|worker| worker.born_wall_ms)
+        worker.map(|worker| worker.started_wall_ms)
     }
 
-    pub(super) fn obey(&mut self, order: &Order) -> OrderOutcome {
+    pub(super) fn execute(&mut self, order: &Order) -> OrderOutcome {
         let is_cut = self.cut_workers.contains(&order.address);
         let Some(worker) = self.workers.get_mut(&order.address) else {
             return OrderOutcome::NotSent;
@@ -100,30 +111,30 @@
         if worker.id != order.worker {
             return OrderOutcome::Refused(Refusal::Gone);
         }
-        worker.obey(self.now_ms, order.token, &order.call, &mut self.promises)
+        worker.execute(self.now_ms, order.token, &order.call, &mut self.promises)
     }
 
     pub(super) fn reply_order(
         &mut self,
         number: usize,
-        life: u64,
+        generation: u64,
         ticket: u64,
         outcome: OrderOutcome,
     ) {
         let bytes = answer_bytes(&outcome);
         let link_ms = self.hosts[number].receiving_ms(self.now_ms, bytes);
-        let delivery = Delivery::ToEntry(number, life, Event::Ordered { ticket, outcome });
-        let at_ms = self.now_ms + CALL_MS + link_ms + self.draw_lateness();
+        let delivery = Delivery::ToEntry(number, generation, Event::Ordered { ticket, outcome });
+        let at_ms = self.now_ms + CALL_MS + link_ms + self.draw_answer_delay();
         self.deliveries.push((at_ms, delivery));
     }
 
     /// Draws how late the next answer of a worker is.
-    fn draw_lateness(&mut self) -> u64 {
-        let Some((least_ms, most_ms, seed)) = &mut self.answers_late else {
+    fn draw_answer_delay(&mut self) -> u64 {
+        let Some((min_ms, max_ms, seed)) = &mut self.answers_late else {
             return 0;
         };
         let mut random = Pcg64::seed_from_u64(*seed);
         *seed = random.random();
-        random.random_range(*least_ms..=*most_ms)
+        random.random_range(*min_ms..=*max_ms)
     }
 }
--- a/tests/fleet/fixtures.rs
+++ b/tests/fleet/fixtures.rs
@@ -56,13 +56,13 @@
 }
 
 /// Failure domains that the workers of a fleet are dealt to in turn.
-pub(crate) const HALLS: u8 = 2;
+pub(crate) const FAILURE_DOMAINS: u8 = 2;
 
 /// Gives the failure domain of a worker by its address, 10.0.0.N:80.
-pub(crate) fn hall_of(address: &str) -> Box<str> {
+pub(crate) fn failure_domain_of(address: &str) -> Box<str> {
     let number = address.split(['.', ':']).nth(3);
     let number: u8 = number.and_then(|text| text.parse().ok()).unwrap_or(0);
-    format!("hall-{}", number % HALLS).into()
+    format!("hall-{}", number % FAILURE_DOMAINS).into()
 }
 
 /// Reads a worker: its address, `ready` or `leaving`, its processors and memory where they are not
@@ -84,7 +84,7 @@
         incarnation: started_wall_ms.into(),
         service: "service".into(),
         address: address.into(),
-        failure_domain: hall_of(address),
+        failure_domain: failure_domain_of(address),
         is_leaving: state == "leaving",
         cold_ms: 0,
         resources,
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -35,7 +35,7 @@
 pub(crate) use crate::fleet::store::Store;
 pub(crate) use crate::fleet::worker::Manners;
 pub(crate) use crate::fleet::worker::Worker;
-use crate::fleet::worker_faults::Mishaps;
+use crate::fleet::worker_faults::WorkerFaults;
 use goldcrestway_core::Code;
 use goldcrestway_dispatch::Bounds;
 use goldcrestway_dispatch::Decoders;
@@ -57,7 +57,7 @@
 /// Time that a call takes, there and back.
 const CALL_MS: u64 = 5;
 /// Time that a call for permits takes, and for which they hold.
-const ADVICE_MS: u64 = 40;
+const PERMIT_CALL_MS: u64 = 40;
 const PERMIT_MS: u64 = 1_000;
 /// A link that carries whatever comes.
 const WIDE_MBIT_PER_S: u64 = 1_000;
@@ -69,7 +69,7 @@
     Order(usize, u64, Order),
     /// A look that waits for an end at an incarnation of a worker, or a read that waits for a
     /// record.
-    Look(usize, u64, Order, u64, Option<u64>),
+    PendingPoll(usize, u64, Order, u64, Option<u64>),
     Read(Reader),
     /// A load of a page that is on its way to the store.
     Load(Loader),
@@ -88,7 +88,7 @@
 
 impl Order {
     /// Gives a look as its worker goes on to hold it: ends are forgotten as it comes in.
-    fn held(mut self) -> Self {
+    fn without_acknowledgement(mut self) -> Self {
         if let WorkerCall::Poll {
             acknowledged_exit, ..
         } = &mut self.call
@@ -106,13 +106,13 @@
     /// What its settings say of its link.
     mbit_per_s: u64,
     /// Counts its lives.
-    life: u64,
+    generation: u64,
     is_paused: bool,
     is_cut_from_store: bool,
     is_cut_from_workers: bool,
     /// Calls to the store from before this time get no answer.
     lost_until_ms: u64,
-    held: Vec<Event>,
+    queued_events: Vec<Event>,
     /// When it was last disturbed.
     disturbed_ms: u64,
     /// Calls to the store under way.
@@ -171,7 +171,7 @@
     pub(crate) short_reads: BTreeMap<Stream, usize>,
     /// Pages that were loaded, by stream.
     pub(crate) loads: BTreeMap<Stream, usize>,
-    mishaps: Mishaps,
+    worker_faults: WorkerFaults,
     /// Runs that went with their worker.
     lost: Vec<(TaskId, u32, ExitReason)>,
     /// Connections between hosts, and what they have carried.
@@ -228,7 +228,7 @@
             store_calls_made: 0,
             short_reads: BTreeMap::new(),
             loads: BTreeMap::new(),
-            mishaps: Mishaps::default(),
+            worker_faults: WorkerFaults::default(),
             lost: Vec::new(),
             peers: Peers::default(),
             frame_bytes: 0,
@@ -245,12 +245,12 @@
                 entry: None,
                 cpu_permille: *cpu_permille,
                 mbit_per_s: mbit_per_s.unwrap_or(WIDE_MBIT_PER_S),
-                life: 0,
+                generation: 0,
                 is_paused: false,
                 is_cut_from_store: false,
                 is_cut_from_workers: false,
                 lost_until_ms: 0,
-                held: Vec::new(),
+                queued_events: Vec::new(),
                 disturbed_ms: 0,
                 store_calls: 0,
                 link: mbit_per_s.map(Link::new),
@@ -262,8 +262,8 @@
     }
 
     /// Has the store take records up to this size, and hosts that start from now on know it.
-    pub(crate) fn limit_records(&mut self, most_bytes: usize) {
-        self.store.max_record_bytes = most_bytes;
+    pub(crate) fn limit_records(&mut self, max_bytes: usize) {
+        self.store.max_record_bytes = max_bytes;
         for number in 0..self.hosts.len() {
             self.kill(number);
             self.start(number);
@@ -279,15 +279,15 @@
     /// Starts an incarnation of a worker at an address.
     pub(crate) fn add_worker(&mut self, address: &str, id: &str) {
         let mut worker = Worker::new(id, WORKER_RESOURCES);
-        worker.born_wall_ms = self.wall_ms();
-        let former = self.workers.insert(address.into(), worker);
+        worker.started_wall_ms = self.wall_ms();
+        let previous = self.workers.insert(address.into(), worker);
         self.report(address);
-        if let Some(mut former) = former {
-            for task in former.tasks() {
-                self.promises.note_crash(task, true);
+        if let Some(mut previous) = previous {
+            for task in previous.tasks() {
+                self.promises.record_crash(task, true);
             }
-            former.die();
-            self.lost.append(&mut former.take_ends());
+            previous.die();
+            self.lost.append(&mut previous.drain_recent_exits());
         }
     }
 
@@ -299,18 +299,18 @@
     }
 
     pub(crate) fn start(&mut self, number: usize) {
-        self.reset_links(number);
+        self.reset_connections(number);
         let host = &mut self.hosts[number];
-        host.life += 1;
+        host.generation += 1;
         host.store_calls = 0;
         host.is_paused = false;
-        host.held.clear();
+        host.queued_events.clear();
         let decoders = Decoders {
             config: decode_config,
             evacuation: decode_evacuation,
             worker: decode_worker,
         };
-        let salt = host.life * 1_000 + number as u64;
+        let salt = host.generation * 1_000 + number as u64;
         host.entry = Some(Entry::new(
             &format!("entry-{number}"),
             Bounds {
@@ -326,9 +326,9 @@
     }
 
     pub(crate) fn kill(&mut self, number: usize) {
-        self.reset_links(number);
+        self.reset_connections(number);
         self.hosts[number].entry = None;
-        self.hosts[number].life += 1;
+        self.hosts[number].generation += 1;
     }
 
     pub(crate) fn pause(&mut self, number: usize) {
@@ -338,10 +338,10 @@
     pub(crate) fn resume(&mut self, number: usize) {
         let host = &mut self.hosts[number];
         host.is_paused = false;
-        let life = host.life;
-        for event in std::mem::take(&mut host.held) {
+        let generation = host.generation;
+        for event in std::mem::take(&mut host.queued_events) {
             self.deliveries
-                .push((self.now_ms, Delivery::ToEntry(number, life, event)));
+                .push((self.now_ms, Delivery::ToEntry(number, generation, event)));
         }
     }
 
@@ -420,8 +420,8 @@
             for worker in self.workers.values_mut() {
                 worker.advance(self.now_ms, STEP_MS, &mut self.promises);
             }
-            self.watch_touch();
-            self.suffer();
+            self.record_disturbances();
+            self.apply_worker_faults();
             self.deliver();
             self.break_gangs();
             for number in 0..self.hosts.len() {
@@ -435,22 +435,22 @@
 
     /// Members of a gang work only together.
     fn break_gangs(&mut self) {
-        let mut ends = Vec::new();
+        let mut exits = Vec::new();
         for worker in self.workers.values_mut() {
-            ends.extend(worker.take_ends());
+            exits.extend(worker.drain_recent_exits());
         }
-        ends.append(&mut self.lost);
-        for (task, run, exit_reason) in ends {
+        exits.append(&mut self.lost);
+        for (task, run, exit_reason) in exits {
             let job = self.promises.submitted.get(&task.job);
             let is_gang = job.is_some_and(|job| job.steps[usize::from(task.step)].is_gang);
             if !is_gang {
                 continue;
             }
             if exit_reason == ExitReason::Done {
-                self.promises.note_gang_done(task);
+                self.promises.record_gang_completed(task);
             }
             for worker in self.workers.values_mut() {
-                worker.follow(task, run, exit_reason);
+                worker.end_gang_members(task, run, exit_reason);
             }
         }
     }
--- a/tests/fleet/promises.rs
+++ b/tests/fleet/promises.rs
@@ -18,12 +18,12 @@
 
 /// Time after which an end that was listed in an answer counts as noted, where nothing but the
 /// host itself keeps the answer from it.
-const LISTED_MS: u64 = 100;
+const REPORTED_MS: u64 = 100;
 
 /// Workers that may crash under a task before its starts are counted, and starts after that
 /// which are too many.
-const CRASHES_MOST: u32 = 3;
-const STARTS_MORE: u32 = 3;
+const MAX_CRASHES: u32 = 3;
+const MAX_EXCESS_STARTS: u32 = 3;
 /// Time without a disturbance after which hosts are in touch.
 const CONTACT_MS: u64 = 3_000;
 
@@ -51,13 +51,13 @@
     /// Workers that have crashed under a task, whether it was the cause or not.
     pub(crate) crashes: BTreeMap<TaskId, u32>,
     /// Tasks under which a worker has crashed for no cause of theirs or their neighbours'.
-    pub(crate) luckless: BTreeSet<TaskId>,
+    pub(crate) unrelated_victims: BTreeSet<TaskId>,
     /// Starts of poisoned tasks after too many workers had crashed under them.
-    excess: BTreeMap<TaskId, u32>,
+    excess_starts: BTreeMap<TaskId, u32>,
     /// Tasks that have ended well, noted or not.
     pub(crate) ended: BTreeSet<TaskId>,
     /// How often tasks have ended well.
-    well_ended: BTreeMap<TaskId, u32>,
+    completions: BTreeMap<TaskId, u32>,
     /// Starts, in order.
     pub(crate) starts: Vec<(Box<str>, TaskId, u32)>,
     /// When something was last disturbed, which keeps owners from knowing what workers have.
@@ -70,22 +70,22 @@
     pub(crate) is_calm: bool,
     pub(crate) now_ms: u64,
     /// When an end that went well was first listed, before its worker's lease ran out.
-    listed_ms: BTreeMap<TaskId, u64>,
+    reported_ms: BTreeMap<TaskId, u64>,
     /// Promises that were broken.
     pub(crate) broken: Vec<String>,
 }
 
 impl Promises {
     /// Notes that a worker begins a run, and says what it needs.
-    pub(crate) fn note_start(&mut self, worker: &str, task: TaskId, run: u32) -> Plan {
+    pub(crate) fn record_start_attempt(&mut self, worker: &str, task: TaskId, run: u32) -> Plan {
         self.starts.push((worker.into(), task, run));
         if self.done.contains(&task) {
             self.broken.push(format!(
                 "{task} run {run} starts at {worker} after its end was noted"
             ));
         }
-        let listed_ms = self.listed_ms.get(&task);
-        if self.is_calm && listed_ms.is_some_and(|at_ms| self.now_ms > at_ms + LISTED_MS) {
+        let reported_ms = self.reported_ms.get(&task);
+        if self.is_calm && reported_ms.is_some_and(|at_ms| self.now_ms > at_ms + REPORTED_MS) {
             self.broken.push(format!(
                 "{task} run {run} starts at {worker} after its end was listed"
             ));
@@ -136,29 +136,29 @@
     }
 
     /// Notes that a run has begun.
-    pub(crate) fn note_begun(&mut self, task: TaskId) {
+    pub(crate) fn record_start(&mut self, task: TaskId) {
         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
-        if !self.poisoned.contains(&task) || crashes < CRASHES_MOST {
+        if !self.poisoned.contains(&task) || crashes < MAX_CRASHES {
             return;
         }
         // Hosts that are disturbed are not in touch, and need not know of all crashes.
         if self.disturbed_ms > 0 && self.now_ms < self.disturbed_ms + CONTACT_MS {
             return;
         }
-        let excess = self.excess.entry(task).or_default();
-        *excess += 1;
-        if *excess == STARTS_MORE {
+        let excess_starts = self.excess_starts.entry(task).or_default();
+        *excess_starts += 1;
+        if *excess_starts == MAX_EXCESS_STARTS {
             self.broken.push(format!(
-                "{task} started {STARTS_MORE} times more after {CRASHES_MOST} workers had crashed under it"
+                "{task} started {MAX_EXCESS_STARTS} times more after {MAX_CRASHES} workers had crashed under it"
             ));
         }
     }
 
     /// Notes that a worker crashes under a task, by itself or since some task there took it down.
-    pub(crate) fn note_crash(&mut self, task: TaskId, is_by_itself: bool) {
+    pub(crate) fn record_crash(&mut self, task: TaskId, is_by_itself: bool) {
         *self.crashes.entry(task).or_default() += 1;
         if is_by_itself {
-            self.luckless.insert(task);
+            self.unrelated_victims.insert(task);
         }
     }
 
@@ -173,8 +173,9 @@
         let mut crashes = self.crashes.iter().filter(|(task, _)| is_of(task));
         failures.any(|(_, count)| *count >= max_attempts)
             || crashes.any(|(task, count)| {
-                let is_doubtful = self.poisoned.contains(task) || self.luckless.contains(task);
-                *count >= 2 && is_doubtful || *count > CRASHES_MOST
+                let may_be_blamed =
+                    self.poisoned.contains(task) || self.unrelated_victims.contains(task);
+                *count >= 2 && may_be_blamed || *count > MAX_CRASHES
             })
     }
 
@@ -192,18 +193,18 @@
     }
 
     /// Notes that a run of a task has ended well.
-    pub(crate) fn note_well_ended(&mut self, task: TaskId) {
+    pub(crate) fn record_completed(&mut self, task: TaskId) {
         self.ended.insert(task);
-        *self.well_ended.entry(task).or_default() += 1;
+        *self.completions.entry(task).or_default() += 1;
     }
 
     /// Gives how many runs of a task have ended well.
     pub(crate) fn ends_of(&self, task: TaskId) -> u32 {
-        self.well_ended.get(&task).copied().unwrap_or(0)
+        self.completions.get(&task).copied().unwrap_or(0)
     }
 
     /// Notes that a gang has ended well, which one end of a member stands for.
-    pub(crate) fn note_gang_done(&mut self, member: TaskId) {
+    pub(crate) fn record_gang_completed(&mut self, member: TaskId) {
         let count = self.submitted[&member.job].steps[usize::from(member.step)].count;
         for index in 0..count as u16 {
             self.ended.insert(TaskId { index, ..member });
@@ -211,18 +212,18 @@
     }
 
     /// Notes that a worker lists an end, and that its lease has not run out since.
-    pub(crate) fn note_listed(&mut self, end: &RunExit) {
+    pub(crate) fn record_reported_exit(&mut self, end: &RunExit) {
         if end.exit_reason == ExitReason::Done {
-            self.listed_ms.entry(end.task).or_insert(self.now_ms);
+            self.reported_ms.entry(end.task).or_insert(self.now_ms);
         }
     }
 
     /// Notes that a worker is told to forget an end, and whether its lease ran out since: then
-    /// its tasks may have been given up.
-    pub(crate) fn note_end(&mut self, end: &RunExit, has_lapsed: bool) {
+    /// its tasks may have been served up.
+    pub(crate) fn record_acknowledged_exit(&mut self, end: &RunExit, has_expired: bool) {
         let again = self.restarted.get(&end.task).copied();
         let is_older = again.is_some_and(|run| end.run < run);
-        if end.exit_reason == ExitReason::Done && !has_lapsed && is_older {
+        if end.exit_reason == ExitReason::Done && !has_expired && is_older {
             let task = end.task;
             self.broken.push(format!(
                 "{task} started again after an end that is noted now"
--- a/tests/fleet/reads.rs
+++ b/tests/fleet/reads.rs
@@ -15,7 +15,7 @@
 /// A read that waits for a record.
 pub(super) struct Reader {
     pub(super) number: usize,
-    pub(super) life: u64,
+    pub(super) generation: u64,
     pub(super) ticket: u64,
     pub(super) stream: Stream,
     pub(super) from: u64,
@@ -28,7 +28,7 @@
 /// A load of a page.
 pub(super) struct Loader {
     pub(super) number: usize,
-    pub(super) life: u64,
+    pub(super) generation: u64,
     pub(super) ticket: u64,
     pub(super) stream: Stream,
     pub(super) after: Box<str>,
@@ -62,7 +62,7 @@
                     ReadOutcome::Records { records, .. } => read_bytes(records),
                     _ => 0,
                 };
-                let queue_ms = self.store.give_ms(bytes, self.now_ms);
+                let queue_ms = self.store.queue_ms_for(bytes, self.now_ms);
                 let link_ms = self.hosts[reader.number].receiving_ms(self.now_ms, bytes);
                 match self.now_ms + queue_ms > reader.give_up_ms {
                     true => (reader.give_up_ms, ReadOutcome::Failed(ReadFault::NoAnswer)),
@@ -73,7 +73,7 @@
         };
         let ticket = reader.ticket;
         let event = Event::Read { ticket, outcome };
-        let delivery = Delivery::ToEntry(reader.number, reader.life, event);
+        let delivery = Delivery::ToEntry(reader.number, reader.generation, event);
         self.deliveries.push((at_ms, delivery));
     }
 
@@ -87,7 +87,7 @@
         };
         let mut queue_ms = 0;
         if let Ok(Page { records, .. }) = &page {
-            queue_ms = self.store.give_ms(read_bytes(records), self.now_ms);
+            queue_ms = self.store.queue_ms_for(read_bytes(records), self.now_ms);
         }
         if self.now_ms + queue_ms > loader.give_up_ms {
             page = Err(ReadFault::NoAnswer);
@@ -106,7 +106,7 @@
             ticket,
             outcome: page,
         };
-        let delivery = Delivery::ToEntry(loader.number, loader.life, event);
+        let delivery = Delivery::ToEntry(loader.number, loader.generation, event);
         self.deliveries.push((at_ms, delivery));
     }
 
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -19,11 +19,11 @@
 const ORDER_SLACK_MS: u64 = 250;
 
 /// A caller's question on its way.
-struct Asked {
+struct PendingQuery {
     request: u64,
     number: usize,
-    /// Which life of the host was asked.
-    life: u64,
+    /// Which generation of the host was asked.
+    generation: u64,
     queue: Box<str>,
     sent_ms: u64,
     was_in_touch: bool,
@@ -37,7 +37,7 @@
     queues: Vec<u8>,
     /// Rules that the store has not taken yet.
     unsent: Vec<Vec<u8>>,
-    asked: Vec<Asked>,
+    asked: Vec<PendingQuery>,
     /// When each host was last disturbed.
     disturbed_ms: Vec<u64>,
     /// What was answered by rules that must not decide any more.
@@ -103,10 +103,10 @@
         let Some(request) = fleet.ask_queue(number, &name(letter)) else {
             return;
         };
-        self.asked.push(Asked {
+        self.asked.push(PendingQuery {
             request,
             number,
-            life: fleet.hosts[number].life,
+            generation: fleet.hosts[number].generation,
             queue: name(letter).into(),
             sent_ms: fleet.now_ms,
             was_in_touch: self.is_in_touch(number, fleet.now_ms),
@@ -131,7 +131,7 @@
         }
         self.send(fleet);
         for asked in std::mem::take(&mut self.asked) {
-            if fleet.hosts[asked.number].life != asked.life {
+            if fleet.hosts[asked.number].generation != asked.generation {
                 continue;
             }
             match fleet.replies.get(&asked.request) {
@@ -144,7 +144,7 @@
         }
     }
 
-    fn take(&mut self, asked: &Asked, reply: &Reply, now_ms: u64) {
+    fn take(&mut self, asked: &PendingQuery, reply: &Reply, now_ms: u64) {
         let was_in_touch = asked.was_in_touch && self.is_in_touch(asked.number, now_ms);
         let is_known = match reply {
             Reply::Waiting(_) => true,
@@ -156,7 +156,7 @@
         };
         self.told += u32::from(was_in_touch);
         let verdict = self.judge.judge(&Answer {
-            host: &format!("{}/{}", asked.number, asked.life),
+            host: &format!("{}/{}", asked.number, asked.generation),
             queue: &asked.queue,
             is_known,
             sent_ms: asked.sent_ms,
--- a/tests/fleet/store.rs
+++ b/tests/fleet/store.rs
@@ -37,9 +37,9 @@
     }
 }
 
-/// What the store has given out.
+/// What the store has served out.
 #[derive(Debug, Default)]
-struct Given {
+struct ServedReads {
     bytes: u64,
     /// When all of it has left.
     done_us: u64,
@@ -103,7 +103,7 @@
     /// Streams that are away while the others are there.
     pub(crate) away: Vec<Stream>,
     pub(crate) limits: Limits,
-    given: Given,
+    served: ServedReads,
 }
 
 impl Store {
@@ -116,34 +116,34 @@
             max_record_bytes: 262_144,
             away: Vec::new(),
             limits: Limits::default(),
-            given: Given::default(),
+            served: ServedReads::default(),
         }
     }
 
     /// Tells whether one more read may be made in this second.
     pub(crate) fn admits_read(&mut self, now_ms: u64) -> bool {
         let second = now_ms / MS_PER_S;
-        if self.given.second != second {
-            self.given.second = second;
-            self.given.reads = 0;
+        if self.served.second != second {
+            self.served.second = second;
+            self.served.reads = 0;
         }
-        self.given.reads += 1;
-        self.given.reads <= self.limits.reads_per_s
+        self.served.reads += 1;
+        self.served.reads <= self.limits.reads_per_s
     }
 
-    /// Gives how long bytes wait behind those that are being given out already.
-    pub(crate) fn give_ms(&mut self, bytes: u64, now_ms: u64) -> u64 {
+    /// Gives how long bytes wait behind those that are being served out already.
+    pub(crate) fn queue_ms_for(&mut self, bytes: u64, now_ms: u64) -> u64 {
         let now_us = now_ms * US_PER_MS;
-        let begins_us = self.given.done_us.max(now_us);
+        let begins_us = self.served.done_us.max(now_us);
         let us_per_s = MS_PER_S * US_PER_MS;
-        self.given.done_us = begins_us + bytes * us_per_s / self.limits.read_bytes_per_s;
-        self.given.bytes += bytes;
+        self.served.done_us = begins_us + bytes * us_per_s / self.limits.read_bytes_per_s;
+        self.served.bytes += bytes;
         (begins_us - now_us) / US_PER_MS
     }
 
     /// Gives the bytes that were read so far.
     pub(crate) fn given_bytes(&self) -> u64 {
-        self.given.bytes
+        self.served.bytes
     }
 
     /// Gives when an append that comes now will be done.
@@ -195,14 +195,14 @@
             Mode::Silent => return AppendOutcome::Unknown,
             _ => {}
         }
-        let end = self.fenced_append(stream, fence, records);
+        let end = self.append_fenced(stream, fence, records);
         match self.mode {
             Mode::LosesAnswers => AppendOutcome::Unknown,
             _ => end,
         }
     }
 
-    fn fenced_append(
+    fn append_fenced(
         &mut self,
         stream: Stream,
         fence: Option<Fence>,
--- a/tests/fleet/worker.rs
+++ b/tests/fleet/worker.rs
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone)]
 struct Running {
     run: u32,
-    begun_ms: u64,
+    task_started_ms: u64,
     resources: Resources,
-    left_ms: u64,
+    remaining_ms: u64,
     work_ms: u64,
     is_long_running: bool,
     share_percent: u32,
@@ -52,19 +52,19 @@
     /// When it started, which is when its clock began to count.
     started_ms: u64,
     /// What it says of that.
-    pub(crate) born_wall_ms: u64,
+    pub(crate) started_wall_ms: u64,
     /// It refuses what does not fit.
     pub(crate) guards: bool,
     token: u64,
     lease_until_ms: u64,
     running: BTreeMap<TaskId, Running>,
-    barred: BTreeMap<TaskId, u32>,
+    fenced_runs: BTreeMap<TaskId, u32>,
     exits: Vec<RunExit>,
     next_exit: u64,
     /// The first end since the lease ran out; none while it is over.
-    unlapsed_from: Option<u64>,
-    /// Ends that other members of a gang may have to follow.
-    broken_off: Vec<(TaskId, u32, ExitReason)>,
+    unexpired_from_exit: Option<u64>,
+    /// Ends that other members of a gang may have to end_gang_members.
+    recent_exits: Vec<(TaskId, u32, ExitReason)>,
     /// Tail of serving tasks without fillers, and with each filler's share on top.
     pub(crate) tail_ms: u64,
     pub(crate) press_ms: u64,
@@ -74,11 +74,11 @@
 
 /// Time after which a room that has shrunk counts: a worker is out of touch for 3 s, and one
 /// beat later it has reported itself.
-const ROOM_TOLD_MS: u64 = 4_500;
+const RESOURCES_REPORTED_MS: u64 = 4_500;
 /// How many times as long tasks take on a slow worker.
 const SLOW_FACTOR: u64 = 6;
 /// Longest lease that a worker grants.
-const LEASE_MOST_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 
 impl Worker {
     pub(crate) fn new(id: &str, resources: Resources) -> Self {
@@ -89,16 +89,16 @@
             resources,
             resized_ms: 0,
             started_ms: 0,
-            born_wall_ms: 0,
+            started_wall_ms: 0,
             guards: true,
             token: 0,
             lease_until_ms: 0,
             running: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            fenced_runs: BTreeMap::new(),
             exits: Vec::new(),
             next_exit: 1,
-            unlapsed_from: None,
-            broken_off: Vec::new(),
+            unexpired_from_exit: None,
+            recent_exits: Vec::new(),
             tail_ms: 5,
             press_ms: 0,
             stop_ms: 0,
@@ -107,10 +107,10 @@
 
     /// Starts again under its id: it holds and knows nothing of before, and its counts and its
     /// clock begin anew.
-    pub(crate) fn start_again(&mut self, now_ms: u64, born_wall_ms: u64) {
+    pub(crate) fn restart(&mut self, now_ms: u64, started_wall_ms: u64) {
         *self = Self {
             started_ms: now_ms,
-            born_wall_ms,
+            started_wall_ms,
             resized_ms: 0,
             guards: self.guards,
             stop_ms: self.stop_ms,
@@ -130,7 +130,7 @@
         }
         let now_ms = self.clock_ms(now_ms);
         if now_ms > self.lease_until_ms {
-            self.unlapsed_from = None;
+            self.unexpired_from_exit = None;
         }
         let mut ended = Vec::new();
         for (task, running) in &mut self.running {
@@ -153,8 +153,8 @@
                 Manners::Sound | Manners::Slow if running.is_long_running => {}
                 Manners::Slow if !(now_ms / step_ms).is_multiple_of(SLOW_FACTOR) => {}
                 Manners::Sound | Manners::Slow => {
-                    running.left_ms = running.left_ms.saturating_sub(step_ms);
-                    if running.left_ms == 0 {
+                    running.remaining_ms = running.remaining_ms.saturating_sub(step_ms);
+                    if running.remaining_ms == 0 {
                         ended.push((*task, ExitReason::Done));
                     }
                 }
@@ -162,7 +162,7 @@
         }
         for (task, exit_reason) in ended {
             if exit_reason == ExitReason::Done {
-                promises.note_well_ended(task);
+                promises.record_completed(task);
             }
             self.end(task, exit_reason);
         }
@@ -172,9 +172,9 @@
         let Some(running) = self.running.remove(&task) else {
             return;
         };
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(running.run);
-        self.broken_off.push((task, running.run, exit_reason));
+        let fenced_runs = self.fenced_runs.entry(task).or_default();
+        *fenced_runs = (*fenced_runs).max(running.run);
+        self.recent_exits.push((task, running.run, exit_reason));
         self.exits.push(RunExit {
             number: self.next_exit,
             task,
@@ -186,22 +186,22 @@
     }
 
     /// Takes the ends since the last time.
-    pub(crate) fn take_ends(&mut self) -> Vec<(TaskId, u32, ExitReason)> {
-        std::mem::take(&mut self.broken_off)
+    pub(crate) fn drain_recent_exits(&mut self) -> Vec<(TaskId, u32, ExitReason)> {
+        std::mem::take(&mut self.recent_exits)
     }
 
     /// Ends the members of a gang that run there, as another one has ended.
-    pub(crate) fn follow(&mut self, other: TaskId, run: u32, exit_reason: ExitReason) {
-        let is_mate = |(task, running): &(&TaskId, &Running)| {
+    pub(crate) fn end_gang_members(&mut self, other: TaskId, run: u32, exit_reason: ExitReason) {
+        let is_member = |(task, running): &(&TaskId, &Running)| {
             task.job == other.job && task.step == other.step && running.run == run
         };
-        let mates: Vec<TaskId> = self
+        let members: Vec<TaskId> = self
             .running
             .iter()
-            .filter(is_mate)
-            .map(|mate| *mate.0)
+            .filter(is_member)
+            .map(|member| *member.0)
             .collect();
-        for task in mates {
+        for task in members {
             let exit_reason = match exit_reason {
                 ExitReason::Done => ExitReason::Done,
                 _ => ExitReason::Broken,
@@ -213,7 +213,7 @@
     /// Dies: all that runs there ends unheard.
     pub(crate) fn die(&mut self) {
         for (task, running) in &self.running {
-            self.broken_off
+            self.recent_exits
                 .push((*task, running.run, ExitReason::Broken));
         }
         self.is_alive = false;
@@ -227,10 +227,10 @@
     }
 
     /// Gives when a task that runs there began.
-    pub(crate) fn begun_ms(&self, task: TaskId) -> u64 {
+    pub(crate) fn task_started_ms(&self, task: TaskId) -> u64 {
         self.running
             .get(&task)
-            .map_or(0, |running| running.begun_ms)
+            .map_or(0, |running| running.task_started_ms)
     }
 
     /// Tells whether a task runs there.
@@ -253,7 +253,7 @@
     }
 
     /// Carries an order out.
-    pub(crate) fn obey(
+    pub(crate) fn execute(
         &mut self,
         now_ms: u64,
         token: u64,
@@ -287,8 +287,8 @@
                 }
             }
             WorkerCall::Stop { task, run } => {
-                let barred = self.barred.entry(*task).or_default();
-                *barred = (*barred).max(*run);
+                let fenced_runs = self.fenced_runs.entry(*task).or_default();
+                *fenced_runs = (*fenced_runs).max(*run);
                 if let Some(running) = self.running.get_mut(task)
                     && running.run <= *run
                 {
@@ -317,13 +317,18 @@
                     .iter()
                     .filter(|end| end.number <= *acknowledged_exit)
                 {
-                    let has_lapsed = self.unlapsed_from.is_none_or(|from| end.number < from);
-                    promises.note_end(end, has_lapsed);
+                    let has_expired = self
+                        .unexpired_from_exit
+                        .is_none_or(|from| end.number < from);
+                    promises.record_acknowledged_exit(end, has_expired);
                 }
                 self.exits.retain(|end| end.number > *acknowledged_exit);
                 for end in &self.exits {
-                    if self.unlapsed_from.is_some_and(|from| end.number >= from) {
-                        promises.note_listed(end);
+                    if self
+                        .unexpired_from_exit
+                        .is_some_and(|from| end.number >= from)
+                    {
+                        promises.record_reported_exit(end);
                     }
                 }
                 report = Some(self.list());
@@ -336,10 +341,8 @@
     }
 
     fn extend(&mut self, until_ms: u64, now_ms: u64) {
-        self.lease_until_ms = self
-            .lease_until_ms
-            .max(until_ms.min(now_ms + LEASE_MOST_MS));
-        self.unlapsed_from.get_or_insert(self.next_exit);
+        self.lease_until_ms = self.lease_until_ms.max(until_ms.min(now_ms + MAX_LEASE_MS));
+        self.unexpired_from_exit.get_or_insert(self.next_exit);
     }
 
     fn start(
@@ -357,13 +360,17 @@
         {
             return None;
         }
-        if self.barred.get(&task).is_some_and(|barred| run <= *barred) {
+        if self
+            .fenced_runs
+            .get(&task)
+            .is_some_and(|fenced_runs| run <= *fenced_runs)
+        {
             return Some(Refusal::Old);
         }
         if until_ms < self.clock_ms(now_ms) {
             return Some(Refusal::Late);
         }
-        let plan = promises.note_start(&self.id, task, run);
+        let plan = promises.record_start_attempt(&self.id, task, run);
         let mut used = plan.resources;
         for running in self.running.values() {
             used = used.plus(running.resources);
@@ -371,18 +378,18 @@
         if !self.resources.can_fit(used) {
             // Until then its owner can't know that the room has shrunk.
             let since_ms = self.resized_ms.max(promises.disturbed_ms);
-            let is_told = since_ms == 0 || now_ms >= since_ms + ROOM_TOLD_MS;
+            let is_told = since_ms == 0 || now_ms >= since_ms + RESOURCES_REPORTED_MS;
             promises.refused_room += u32::from(is_told);
             if self.guards {
                 return Some(Refusal::Room);
             }
         }
-        promises.note_begun(task);
+        promises.record_start(task);
         let running = Running {
             run,
-            begun_ms: now_ms,
+            task_started_ms: now_ms,
             resources: plan.resources,
-            left_ms: plan.work_ms,
+            remaining_ms: plan.work_ms,
             work_ms: plan.work_ms.max(1),
             is_long_running: plan.is_long_running,
             share_percent: 100,
@@ -393,20 +400,20 @@
     }
 
     fn list(&self) -> WorkerReport {
-        let mut pressure_ms = 0;
+        let mut interference_sum_ms = 0;
         for running in self
             .running
             .values()
             .filter(|running| !running.is_long_running)
         {
-            pressure_ms += self.press_ms * u64::from(running.share_percent) / 100;
+            interference_sum_ms += self.press_ms * u64::from(running.share_percent) / 100;
         }
         let mut runs = Vec::new();
         for (task, running) in &self.running {
             let (percent, gauge) = match running.is_long_running {
-                true => (100, self.tail_ms + pressure_ms),
+                true => (100, self.tail_ms + interference_sum_ms),
                 false => {
-                    let done_ms = running.work_ms - running.left_ms.min(running.work_ms);
+                    let done_ms = running.work_ms - running.remaining_ms.min(running.work_ms);
                     let use_milli = 10 * u64::from(running.share_percent);
                     ((done_ms * 100 / running.work_ms) as u32, use_milli)
                 }
@@ -420,7 +427,7 @@
             });
         }
         WorkerReport {
-            incarnation: Incarnation::new(self.born_wall_ms),
+            incarnation: Incarnation::new(self.started_wall_ms),
             runs,
             exits: self.exits.clone(),
         }
