--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,8 +1,8 @@
 //! Jobs of many tasks through owners that die, pause and are cut off, a store in trouble
 //! and workers that fail. The promises are checked as workers and callers see them.
 
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::Mode;
 use crate::fleet::job;
 use crate::fleet::step;
@@ -116,7 +116,7 @@
 fn a_hopeless_job_fails_after_its_attempts() {
     let mut fleet = Fleet::new(3, 2);
     for worker in fleet.workers.values_mut() {
-        worker.manners = Manners::Fails;
+        worker.behaviour = Behaviour::Fails;
     }
     fleet.submit(0, JOB, &job(vec![step(1, 300, &[])]));
     fleet.run(8_000);
@@ -164,7 +164,7 @@
 fn a_filler_that_presses_a_served_task_is_slowed() {
     let mut fleet = Fleet::new(3, 1);
     for worker in fleet.workers.values_mut() {
-        worker.press_ms = 30;
+        worker.interference_ms = 30;
     }
     let served = Step {
         is_long_running: true,
--- a/tests/dispatch_all_lost.rs
+++ b/tests/dispatch_all_lost.rs
@@ -83,7 +83,7 @@
     put_history(&mut fleet);
     fleet.run(1_000);
     fleet.store.limits = LIMITS;
-    let (former_calls, former_bytes) = (fleet.store_calls_made, fleet.store.given_bytes());
+    let (former_calls, former_bytes) = (fleet.store_calls_made, fleet.store.served_bytes());
     for number in 0..hosts {
         fleet.start(number);
     }
@@ -96,7 +96,7 @@
     expect_that!(unready, eq(0), "{hosts} hosts");
     let recovery = Recovery {
         calls: fleet.store_calls_made - former_calls,
-        bytes: fleet.store.given_bytes() - former_bytes,
+        bytes: fleet.store.served_bytes() - former_bytes,
         history_bytes,
     };
     // Whoever is asked knows what is over and what has come, and that nothing else is there.
--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -40,7 +40,7 @@
     fleet.poison(task(JOB, 0, 0), CRASH_MS);
     fleet.submit(0, JOB, &job(vec![step(4, 300, &[])]));
     fleet.run(40_000);
-    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.lines);
+    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.log_lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Failed)));
 }
 
@@ -286,7 +286,7 @@
             some(eq(JobState::Failed)),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
         for index in case.poisoned {
@@ -296,7 +296,7 @@
                 le(case.crashes_most),
                 "{}: {:#?}",
                 case.name,
-                fleet.lines
+                fleet.log_lines
             );
         }
     }
@@ -455,7 +455,13 @@
             }
             other => other,
         };
-        expect_that!(state, some(eq(wanted)), "{}: {:#?}", case.name, fleet.lines);
+        expect_that!(
+            state,
+            some(eq(wanted)),
+            "{}: {:#?}",
+            case.name,
+            fleet.log_lines
+        );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
     }
 }
@@ -484,7 +490,7 @@
             some(eq(wanted)),
             "job {:x}: {:#?}",
             number + 1,
-            fleet.lines
+            fleet.log_lines
         );
     }
     expect_that!(fleet.promises.broken, is_empty());
--- a/tests/dispatch_disturbances.rs
+++ b/tests/dispatch_disturbances.rs
@@ -2,8 +2,8 @@
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::Mode;
 use crate::fleet::job;
 use crate::fleet::step;
@@ -151,9 +151,9 @@
     Case {
         name: "orders carried out late",
         after_ms: 10,
-        strike: |fleet| fleet.late_ms = Some(2_000),
+        strike: |fleet| fleet.order_delay_ms = Some(2_000),
         lasts_ms: 3_000,
-        heal: |fleet| fleet.late_ms = None,
+        heal: |fleet| fleet.order_delay_ms = None,
         ends_within_ms: 12_000,
     },
     // What runs on a worker stands still while it answers every look.
@@ -164,7 +164,7 @@
             let worker = fleet.workers.values_mut().next();
             worker
                 .into_iter()
-                .for_each(|worker| worker.manners = Manners::Hangs);
+                .for_each(|worker| worker.behaviour = Behaviour::Hangs);
         },
         lasts_ms: 0,
         heal: nothing,
@@ -178,12 +178,12 @@
             let worker = fleet.workers.values_mut().next();
             worker
                 .into_iter()
-                .for_each(|worker| worker.manners = Manners::Fails);
+                .for_each(|worker| worker.behaviour = Behaviour::Fails);
         },
         lasts_ms: 2_000,
         heal: |fleet| {
             for worker in fleet.workers.values_mut() {
-                worker.manners = Manners::Sound;
+                worker.behaviour = Behaviour::Healthy;
             }
         },
         ends_within_ms: 4_000,
--- a/tests/dispatch_evacuations.rs
+++ b/tests/dispatch_evacuations.rs
@@ -2,9 +2,9 @@
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
+use crate::fleet::Behaviour;
 use crate::fleet::EVACUATED_MS;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::Mode;
 use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
@@ -103,24 +103,24 @@
 fn nothing(_: &mut Fleet) {}
 
 fn lose_orders(fleet: &mut Fleet) {
-    fleet.late_ms = Some(2_500);
+    fleet.order_delay_ms = Some(2_500);
 }
 
 fn end_losses(fleet: &mut Fleet) {
-    fleet.late_ms = None;
+    fleet.order_delay_ms = None;
 }
 
 fn hang_others(fleet: &mut Fleet) {
     for address in fleet.workers_in(OTHER_HALL).into_iter().take(1) {
         if let Some(worker) = fleet.workers.get_mut(&address) {
-            worker.manners = Manners::Hangs;
+            worker.behaviour = Behaviour::Hangs;
         }
     }
 }
 
 fn cure(fleet: &mut Fleet) {
     for worker in fleet.workers.values_mut() {
-        worker.manners = Manners::Sound;
+        worker.behaviour = Behaviour::Healthy;
     }
 }
 
@@ -278,14 +278,14 @@
     Case {
         name: "rules that can't be read while all else can",
         submission: rows,
-        before: |fleet| fleet.store.away = vec![Stream::Rules],
+        before: |fleet| fleet.store.unavailable = vec![Stream::Rules],
         after: nothing,
-        heal: |fleet| fleet.store.away.clear(),
+        heal: |fleet| fleet.store.unavailable.clear(),
     },
     Case {
         name: "calls to the store that went silent",
         submission: rows,
-        before: |fleet| (0..HOSTS).for_each(|number| fleet.lose_calls(number)),
+        before: |fleet| (0..HOSTS).for_each(|number| fleet.drop_store_connections(number)),
         after: nothing,
         heal: nothing,
     },
@@ -302,7 +302,7 @@
         before: |fleet| {
             fleet.evacuate(HALL);
             fleet.run(400);
-            fleet.take_back(HALL);
+            fleet.cancel_evacuation(HALL);
             fleet.run(400);
         },
         after: nothing,
@@ -313,7 +313,7 @@
         submission: rows,
         before: |fleet| {
             fleet.evacuate(HALL);
-            fleet.take_back(HALL);
+            fleet.cancel_evacuation(HALL);
         },
         after: nothing,
         heal: nothing,
@@ -410,7 +410,7 @@
 fn a_relay_starts_nothing_in_a_domain_that_it_knows_to_be_evacuated() {
     let mut fleet = Fleet::with_relays(HOSTS, WORKERS);
     fleet.run(1_000);
-    fleet.lose_calls(owner(&fleet));
+    fleet.drop_store_connections(owner(&fleet));
     fleet.evacuate(HALL);
     fleet.run(100);
     fleet.submit(0, 1, &job(vec![step(40, 400, &[])]));
@@ -433,11 +433,11 @@
     fleet.submit(0, JOB, &rows());
     fleet.run(8_000);
     expect_that!(fleet.promises.starts, is_empty());
-    let lines = fleet.lines.join("\n");
+    let lines = fleet.log_lines.join("\n");
     expect_that!(lines, contains_substring("TaskWaits"));
     expect_that!(lines, contains_substring("why=Evacuation"));
     expect_that!(lines, contains_substring("open=0 room_for=0 Evacuated=6"));
-    fleet.take_back(OTHER_HALL);
+    fleet.cancel_evacuation(OTHER_HALL);
     fleet.run(3_000);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     expect_that!(fleet.starts_in(HALL, 0), eq(0));
@@ -454,14 +454,14 @@
         fleet.submit(0, JOB, &job(vec![step(48, 3_000, &[])]));
         fleet.run(500);
         let since = fleet.promises.starts.len();
-        fleet.take_back(HALL);
+        fleet.cancel_evacuation(HALL);
         if drops_history {
             fleet.store.drop_history();
         }
         fleet.run(2_000);
         expect_that!(fleet.starts_in(HALL, since), gt(0), "{drops_history}");
-        expect_that!(fleet.notes.get(&Code::DomainEvacuated), some(eq(&3)));
-        expect_that!(fleet.notes.get(&Code::DomainTakenBack), some(eq(&3)));
+        expect_that!(fleet.note_counts.get(&Code::DomainEvacuated), some(eq(&3)));
+        expect_that!(fleet.note_counts.get(&Code::DomainTakenBack), some(eq(&3)));
     }
 }
 
@@ -490,20 +490,20 @@
     fleet.run(1_000);
     expect_that!(fleet.rules_version(0), eq(2));
     expect_that!(fleet.starts_in(HALL, 0), gt(0));
-    expect_that!(fleet.notes.get(&Code::RulesUnreadable), some(eq(&3)));
+    expect_that!(fleet.note_counts.get(&Code::RulesUnreadable), some(eq(&3)));
 }
 
 /// Starts stand still for no reason that anybody is told, while rules can't be read.
 #[gtest]
 fn rules_that_cannot_be_read_for_long_hold_starts_and_are_told() {
     let mut fleet = Fleet::new(HOSTS, WORKERS);
-    fleet.store.away = vec![Stream::Rules];
+    fleet.store.unavailable = vec![Stream::Rules];
     fleet.run(EVACUATED_MS);
     fleet.submit(0, JOB, &rows());
     fleet.run(4_000);
     expect_that!(fleet.promises.starts, is_empty());
-    expect_that!(fleet.lines.join("\n"), contains_substring("why=Rules"));
-    fleet.store.away.clear();
+    expect_that!(fleet.log_lines.join("\n"), contains_substring("why=Rules"));
+    fleet.store.unavailable.clear();
     fleet.run(2_000);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
@@ -529,8 +529,11 @@
     fleet.submit(0, 1, &job(vec![step(8, 300, &[])]));
     fleet.run(5_000);
     expect_that!(fleet.state(0, 1), some(eq(JobState::Completed)));
-    expect_that!(fleet.lines.join("\n"), contains_substring("why=Evacuation"));
-    fleet.take_back(HALL);
+    expect_that!(
+        fleet.log_lines.join("\n"),
+        contains_substring("why=Evacuation")
+    );
+    fleet.cancel_evacuation(HALL);
     fleet.run(2_000);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -7,9 +7,9 @@
 use crate::dispatch_former_failures::FORMER_FAILURES_POISONOUS;
 use crate::dispatch_former_failures::FORMER_FAILURES_REBORN;
 use crate::dispatch_former_failures::OPEN_FAILURES_REBORN;
+use crate::fleet::Behaviour;
 use crate::fleet::EVACUATED_MS;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::Mode;
 use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
@@ -87,7 +87,7 @@
         let hall = ["hall-0", "hall-1"][random.random_range(0..2)];
         match random.random_range(0..2) {
             0 => fleet.evacuate(hall),
-            _ => fleet.take_back(hall),
+            _ => fleet.cancel_evacuation(hall),
         }
     }
 }
@@ -107,8 +107,8 @@
         7 => fleet.store.mode = Mode::Refuses,
         8 | 9 => fleet.store.mode = Mode::Up,
         10 => fleet.store.drop_history(),
-        11 => fleet.late_ms = Some(random.random_range(500..6_000)),
-        12 => fleet.late_ms = None,
+        11 => fleet.order_delay_ms = Some(random.random_range(500..6_000)),
+        12 => fleet.order_delay_ms = None,
         13 => fleet.cut_workers = vec![address.clone()],
         14 => fleet.cut_workers.clear(),
         15 => {
@@ -117,9 +117,9 @@
         }
         16 => {
             if let Some(worker) = fleet.workers.get_mut(&address) {
-                worker.manners = match worker.manners {
-                    Manners::Sound => Manners::Hangs,
-                    _ => Manners::Sound,
+                worker.behaviour = match worker.behaviour {
+                    Behaviour::Healthy => Behaviour::Hangs,
+                    _ => Behaviour::Healthy,
                 };
             }
         }
@@ -175,12 +175,12 @@
     match random.random_range(0..4) {
         0 => {
             let parts = random.random_range(1..4);
-            fleet.store.away = (0..parts).map(Stream::Jobs).collect();
+            fleet.store.unavailable = (0..parts).map(Stream::Jobs).collect();
             let owner = fleet.owner().unwrap_or(host);
             fleet.kill(owner);
         }
-        1 => fleet.store.away.clear(),
-        2 => fleet.lose_calls(host),
+        1 => fleet.store.unavailable.clear(),
+        2 => fleet.drop_store_connections(host),
         _ => fleet.kill(host),
     }
     for _ in 0..2 {
@@ -283,11 +283,11 @@
 
 fn heal(fleet: &mut Fleet) {
     fleet.store.mode = Mode::Up;
-    fleet.store.away.clear();
-    fleet.late_ms = None;
+    fleet.store.unavailable.clear();
+    fleet.order_delay_ms = None;
     fleet.cut_workers.clear();
     for worker in fleet.workers.values_mut() {
-        worker.manners = Manners::Sound;
+        worker.behaviour = Behaviour::Healthy;
     }
     for host in 0..HOSTS {
         fleet.cut_from_store(host, false);
@@ -314,7 +314,7 @@
     if callers == Callers::Poisonous {
         // Half of them start whatever they are told to.
         for worker in fleet.workers.values_mut().step_by(2) {
-            worker.guards = false;
+            worker.enforces_resources = false;
         }
     }
     let mut jobs = 0;
@@ -328,19 +328,19 @@
             evacuate_some(&mut fleet, &mut random_domains);
         }
         if orders == Orders::Relayed && random.random_range(0..4) == 0 {
-            fleet.silence_links(random.random_range(0..HOSTS));
+            fleet.silence_connections(random.random_range(0..HOSTS));
         }
         fleet.run(random.random_range(50..1_500));
     }
     heal(&mut fleet);
     if domains == Domains::Evacuated {
         // For a while all has to run in one domain, where no task takes its workers down.
-        fleet.take_back("hall-1");
+        fleet.cancel_evacuation("hall-1");
         if callers != Callers::Poisonous {
             fleet.evacuate("hall-0");
             fleet.run(EVACUATED_MS);
         }
-        fleet.take_back("hall-0");
+        fleet.cancel_evacuation("hall-0");
     }
     if ids == Ids::OldToo {
         fleet.set_back_ms(BACK_MS);
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -50,7 +50,7 @@
     fleet.run(BACK_MS + 3_000);
     fleet.submit(0, JOB, &job(vec![step(8, 1_000, &[])]));
     fleet.run(6_000);
-    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.lines);
+    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.log_lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
@@ -70,7 +70,7 @@
         fleet.state(0, JOB),
         some(eq(JobState::Completed)),
         "{:#?}",
-        fleet.lines
+        fleet.log_lines
     );
 }
 
@@ -218,7 +218,7 @@
     Case {
         name: "with orders carried out late",
         besides: |fleet, half| {
-            fleet.late_ms = matches!(half, 2..=4).then_some(2_500);
+            fleet.order_delay_ms = matches!(half, 2..=4).then_some(2_500);
             if half == 4 {
                 crash_all(fleet);
             }
@@ -228,8 +228,8 @@
     Case {
         name: "with orders carried out late by whoever lives then",
         besides: |fleet, half| {
-            fleet.outlive_lives = true;
-            fleet.late_ms = matches!(half, 2..=4).then_some(2_500);
+            fleet.late_orders_outlive_restarts = true;
+            fleet.order_delay_ms = matches!(half, 2..=4).then_some(2_500);
             if half == 4 {
                 crash_all(fleet);
             }
@@ -287,7 +287,7 @@
         fleet.run(500);
     }
     fleet.store.mode = Mode::Up;
-    fleet.late_ms = None;
+    fleet.order_delay_ms = None;
     fleet.cut_workers.clear();
     fleet.run(ENDED_MS);
     (fleet, jobs)
@@ -307,7 +307,7 @@
             is_empty(),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         for id in jobs {
             let request = fleet.replies.len();
@@ -317,7 +317,7 @@
                 !is_stored || state == Some(JobState::Completed),
                 "{}: job {id:x} is {state:?} after {request} answers: {:#?}",
                 case.name,
-                fleet.lines
+                fleet.log_lines
             );
         }
     }
@@ -339,7 +339,7 @@
     fleet.run(6_000);
     let starts = &fleet.promises.starts;
     let own = starts.iter().filter(|(_, task, _)| task.job == JobId(JOB));
-    expect_that!(own.count(), eq(8), "{:#?}", fleet.lines);
+    expect_that!(own.count(), eq(8), "{:#?}", fleet.log_lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     expect_that!(fleet.promises.broken, is_empty());
 }
@@ -359,7 +359,7 @@
             fleet.promises.broken,
             is_empty(),
             "{offset_ms} ms: {:#?}",
-            fleet.lines
+            fleet.log_lines
         );
         expect_that!(
             fleet.state(0, JOB),
@@ -374,7 +374,7 @@
                 index,
             };
             let ends = fleet.promises.ends_of(task);
-            expect_that!(ends, eq(1), "{offset_ms} ms: {:#?}", fleet.lines);
+            expect_that!(ends, eq(1), "{offset_ms} ms: {:#?}", fleet.log_lines);
         }
     }
 }
@@ -397,7 +397,7 @@
         fleet.run(15_000);
         fleet.cut_workers.clear();
         fleet.run(35_000);
-        let lines = &fleet.lines;
+        let lines = &fleet.log_lines;
         expect_that!(fleet.promises.broken, is_empty(), "{offset_ms}: {lines:#?}");
         expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     }
@@ -418,7 +418,12 @@
         fleet.submit(0, JOB + 1, &job(vec![step(4, 300, &[])]));
         fleet.run(1_500);
         let state = fleet.state(0, JOB + 1);
-        expect_that!(state, some(eq(JobState::Completed)), "{:#?}", fleet.lines);
+        expect_that!(
+            state,
+            some(eq(JobState::Completed)),
+            "{:#?}",
+            fleet.log_lines
+        );
         expect_that!(fleet.promises.broken, is_empty());
     }
 }
--- a/tests/dispatch_late_starts.rs
+++ b/tests/dispatch_late_starts.rs
@@ -64,10 +64,10 @@
         let mut fleet = Fleet::new(4, 3);
         let starter = owner(&fleet);
         let asked = (starter + 1) % 4;
-        fleet.late_ms = Some(case.late_ms);
+        fleet.order_delay_ms = Some(case.late_ms);
         fleet.submit(asked, 0x7, &job(vec![step(3, 60_000, &[])]));
         fleet.run(300);
-        fleet.late_ms = None;
+        fleet.order_delay_ms = None;
         fleet.run(case.cancel_ms);
         fleet.cancel(asked, 0x7);
         if let Some(removed_ms) = case.removed_ms {
--- a/tests/dispatch_links.rs
+++ b/tests/dispatch_links.rs
@@ -85,7 +85,11 @@
             fleet.run(case.pause_ms);
         }
         let ended = fleet.promises.ended.len();
-        let given_up = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
+        let given_up = fleet
+            .note_counts
+            .get(&Code::WorkerGone)
+            .copied()
+            .unwrap_or(0);
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
         expect_that!(given_up, eq(0), "{}", case.name);
         expect_that!(fleet.claims, eq(1), "{}", case.name);
@@ -119,7 +123,7 @@
     fleet.run(8_000);
     eprintln!(
         "{:?} claims {} before {before} now {}",
-        fleet.notes, fleet.claims, fleet.now_ms
+        fleet.note_counts, fleet.claims, fleet.now_ms
     );
     // Two hosts whose turns come at the same moment may both claim.
     expect_that!(fleet.claims - before, le(2));
@@ -147,7 +151,7 @@
         let mut jobs = 0;
         for _ in 0..LATE_STEPS {
             let most_ms = [100, 400, 1_000, 3_000, 10_000][random.random_range(0..5)];
-            fleet.answers_late = Some((most_ms / 10, most_ms, random.random()));
+            fleet.answer_delays = Some((most_ms / 10, most_ms, random.random()));
             if random.random_range(0..6) == 0 {
                 let host = random.random_range(0..HOSTS);
                 fleet.kill(host);
@@ -160,7 +164,7 @@
             fleet.submit(random.random_range(0..HOSTS), jobs, &submission);
             fleet.run(LATE_STEP_MS);
         }
-        fleet.answers_late = None;
+        fleet.answer_delays = None;
         fleet.run(CALMED_MS);
         expect_that!(fleet.promises.broken, is_empty(), "seed {seed}");
         for id in fleet.promises.accepted.clone() {
--- a/tests/dispatch_outages.rs
+++ b/tests/dispatch_outages.rs
@@ -49,12 +49,12 @@
         fleet.submit(0, JOB, &job(vec![step(6, 9_000, &[]), step(2, 200, &[0])]));
         fleet.run(300);
         let starts = fleet.promises.starts.len();
-        fleet.store.away = away.to_vec();
+        fleet.store.unavailable = away.to_vec();
         let owner = owner(&fleet);
         fleet.kill(owner);
         fleet.run(8_000);
         expect_that!(fleet.owners(), eq(1), "{away:?}");
-        fleet.store.away.clear();
+        fleet.store.unavailable.clear();
         fleet.run(5_000);
         expect_that!(fleet.promises.broken, is_empty(), "{away:?}");
         let alive = (owner + 1) % 3;
@@ -74,7 +74,7 @@
 #[gtest]
 fn submissions_use_the_parts_that_are_there() {
     let mut fleet = Fleet::new(3, 4);
-    fleet.store.away = vec![Stream::Jobs(0), Stream::Jobs(2)];
+    fleet.store.unavailable = vec![Stream::Jobs(0), Stream::Jobs(2)];
     let mut requests = Vec::new();
     for number in 0..12 {
         let host = number as usize % 3;
@@ -109,8 +109,8 @@
         fleet.start(owner);
         fleet.run(1_500);
     }
-    expect_that!(fleet.store_calls_most, gt(10));
-    expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
+    expect_that!(fleet.max_store_calls, gt(10));
+    expect_that!(fleet.max_store_calls, le(MAX_STORE_CALLS));
 }
 
 /// Time in which an owner that reaches the store knows of what other hosts have stored.
@@ -133,7 +133,7 @@
         fleet.submit(other, 0x1, &job(vec![lasting]));
         fleet.run(2_000 + 150 * moment);
         expect_that!(fleet.promises.starts.len(), eq(4));
-        fleet.lose_calls(owner(&fleet));
+        fleet.drop_store_connections(owner(&fleet));
         fleet.run(50);
         fleet.submit(other, JOB, &job(vec![step(2, 500, &[])]));
         fleet.cancel(other, 0x1);
@@ -166,7 +166,7 @@
         }
         fleet.run(1_500);
     }
-    expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
+    expect_that!(fleet.max_store_calls, le(MAX_STORE_CALLS));
 }
 
 /// Symptom: callers who ask about a job that a host does not know wait for 0.9 s before they
@@ -259,11 +259,11 @@
         fleet.submit(owner, JOB, &submission);
         fleet.run(60);
         let starts = fleet.promises.starts.len();
-        fleet.store.away = all_parts.clone();
+        fleet.store.unavailable = all_parts.clone();
         fleet.kill(owner);
         fleet.run(3_000);
         expect_that!(fleet.owners(), eq(1), "part {part}");
-        fleet.store.away.truncate(3);
+        fleet.store.unavailable.truncate(3);
         let mut stored = fleet.submit(other, JOB, &submission);
         for _ in 0..20 {
             fleet.run(200);
@@ -274,7 +274,7 @@
         }
         fleet.run(2_000);
         expect_that!(fleet.promises.starts.len(), eq(starts), "part {part}");
-        fleet.store.away.clear();
+        fleet.store.unavailable.clear();
         fleet.run(4_000);
         expect_that!(fleet.promises.starts.len(), eq(starts), "part {part}");
         let state = fleet.state(other, JOB);
--- a/tests/dispatch_relays.rs
+++ b/tests/dispatch_relays.rs
@@ -46,7 +46,7 @@
     },
     Case {
         name: "the connections of a relay go silent",
-        strike: |fleet, relay| fleet.silence_links(relay),
+        strike: |fleet, relay| fleet.silence_connections(relay),
         heal: nothing,
         ends_within_ms: 4_500,
     },
@@ -116,7 +116,11 @@
     };
     fleet.submit(owner, JOB, &job(vec![lasting]));
     fleet.run(12_000);
-    let given_up = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
+    let given_up = fleet
+        .note_counts
+        .get(&Code::WorkerGone)
+        .copied()
+        .unwrap_or(0);
     expect_that!(given_up, eq(0));
     let starts = fleet.promises.starts.len();
     expect_that!(starts, eq(20), "each task started once");
--- a/tests/dispatch_rooms.rs
+++ b/tests/dispatch_rooms.rs
@@ -115,7 +115,7 @@
     for case in CASES {
         let mut fleet = Fleet::new(4, 4);
         for worker in fleet.workers.values_mut() {
-            worker.guards = case.guards;
+            worker.enforces_resources = case.guards;
             worker.stop_ms = case.stop_ms;
         }
         fleet.submit(0, JOB, &job(vec![step(20, 9_000, &[])]));
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -53,7 +53,7 @@
     },
     Case {
         name: "all connections to the store go silent",
-        strike: |fleet| (0..HOSTS).for_each(|number| fleet.lose_calls(number)),
+        strike: |fleet| (0..HOSTS).for_each(|number| fleet.drop_store_connections(number)),
         lasts_ms: 0,
         heal: |_| {},
     },
@@ -61,7 +61,7 @@
         name: "history dropped, and connections go silent",
         strike: |fleet| {
             fleet.store.drop_history();
-            (0..HOSTS).for_each(|number| fleet.lose_calls(number));
+            (0..HOSTS).for_each(|number| fleet.drop_store_connections(number));
         },
         lasts_ms: 0,
         heal: |_| {},
@@ -75,7 +75,7 @@
             watch.ask(number, letter, fleet);
         }
         fleet.run(ASK_MS);
-        watch.look(fleet);
+        watch.check(fleet);
     }
 }
 
@@ -104,7 +104,12 @@
             ask_on(&mut fleet, &mut watch, b'a', 100);
             watch.toggle(b'a', &mut fleet);
             ask_on(&mut fleet, &mut watch, b'a', 5_000);
-            expect_that!(watch.told, gt(0), "{}, moment {moment}", case.name);
+            expect_that!(
+                watch.definite_answers,
+                gt(0),
+                "{}, moment {moment}",
+                case.name
+            );
             broken.extend(watch.broken.into_iter().take(1));
             for number in 0..HOSTS {
                 expect_that!(fleet.rules_version(number), eq(3), "{}", case.name);
@@ -135,7 +140,7 @@
             (0..HOSTS).for_each(|number| watch.disturb(number, fleet));
         }
         10 => {
-            fleet.lose_calls(host);
+            fleet.drop_store_connections(host);
             watch.disturb(host, fleet);
         }
         11 => {
@@ -183,7 +188,7 @@
             watch.ask(number, letter, &mut fleet);
         }
         fleet.run(ASK_MS);
-        watch.look(&mut fleet);
+        watch.check(&mut fleet);
     }
     watch
 }
@@ -200,9 +205,13 @@
     for seed in 0..sequences {
         let watch = play(seed);
         expect_that!(watch.broken, is_empty(), "seed {seed}");
-        expect_that!(watch.told, gt(100), "seed {seed}");
+        expect_that!(watch.definite_answers, gt(100), "seed {seed}");
         // A host in touch tells what is asked, rather than when to come again.
-        expect_that!(watch.deferred * 100, le(watch.told), "seed {seed}");
+        expect_that!(
+            watch.deferred_answers * 100,
+            le(watch.definite_answers),
+            "seed {seed}"
+        );
     }
 }
 
--- a/tests/dispatch_shapes.rs
+++ b/tests/dispatch_shapes.rs
@@ -103,9 +103,9 @@
         let mut fleet = Fleet::new(3, 1);
         let owner = owner(&fleet);
         fleet.submit(owner, JOB, &job(vec![step(1, 5_000, &[])]));
-        fleet.late_ms = Some(2_500);
+        fleet.order_delay_ms = Some(2_500);
         fleet.run(60);
-        fleet.late_ms = None;
+        fleet.order_delay_ms = None;
         fleet.run(after_ms);
         fleet.store.append_ms = 300;
         fleet.cancel((owner + 1) % 3, JOB);
@@ -147,7 +147,7 @@
         expect_that!(**worker, any![eq("w1-1"), eq("w4-1")]);
     }
     expect_that!(fleet.promises.refused_permits, eq(0));
-    expect_that!(fleet.advice_calls, le(12));
+    expect_that!(fleet.permit_calls, le(12));
 }
 
 /// Symptom: under overload the later times of a job that runs several times wait until
--- a/tests/dispatch_store_calls.rs
+++ b/tests/dispatch_store_calls.rs
@@ -40,7 +40,7 @@
     expect_that!(fleet.owners(), eq(1), "{hosts} hosts");
     FirstStart {
         calls: fleet.store_calls_made / hosts,
-        bytes: fleet.store.given_bytes() / hosts as u64,
+        bytes: fleet.store.served_bytes() / hosts as u64,
     }
 }
 
--- a/tests/dispatch_stragglers.rs
+++ b/tests/dispatch_stragglers.rs
@@ -1,8 +1,8 @@
 //! Tasks that take longer than their siblings, for reasons of their own or of their worker's.
 
 use crate::dispatch::JOB;
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_dispatch::JobId;
@@ -38,7 +38,7 @@
 fn tasks_of_a_slow_worker_are_started_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
     if let Some(worker) = fleet.workers.get_mut("10.0.0.0:80") {
-        worker.manners = Manners::Slow;
+        worker.behaviour = Behaviour::Slow;
     }
     fleet.submit(0, JOB, &job(vec![step(36, USUAL_MS, &[])]));
     fleet.run(3 * USUAL_MS);
@@ -52,7 +52,7 @@
 fn tasks_that_stand_still_are_started_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
     if let Some(worker) = fleet.workers.get_mut("10.0.0.0:80") {
-        worker.manners = Manners::Hangs;
+        worker.behaviour = Behaviour::Hangs;
     }
     fleet.submit(0, JOB, &job(vec![step(36, USUAL_MS, &[])]));
     fleet.run(4 * USUAL_MS);
--- a/tests/dispatch_waits.rs
+++ b/tests/dispatch_waits.rs
@@ -2,8 +2,8 @@
 //! over.
 
 use crate::dispatch::JOB;
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
 use crate::fleet::step;
@@ -66,9 +66,9 @@
     fleet.workers.keys().cloned().collect()
 }
 
-fn set_manners(fleet: &mut Fleet, manners: Manners) {
+fn set_manners(fleet: &mut Fleet, behaviour: Behaviour) {
     for worker in fleet.workers.values_mut() {
-        worker.manners = manners;
+        worker.behaviour = behaviour;
     }
 }
 
@@ -92,10 +92,10 @@
                     max_per_worker: 4,
                     ..step(8, 300, &[])
                 };
-                set_manners(fleet, Manners::Fails);
+                set_manners(fleet, Behaviour::Fails);
                 fleet.submit(0, JOB + 1, &job(vec![spread]));
                 fleet.run(30);
-                set_manners(fleet, Manners::Sound);
+                set_manners(fleet, Behaviour::Healthy);
             },
             step: wide(2),
             told: "Shunned=2",
@@ -229,13 +229,13 @@
         fleet.submit(0, JOB, &job(vec![case.step.clone()]));
         fleet.run(WATCHED_MS);
         let own = format!("TaskWaits {:016x}.", JOB);
-        let lines = fleet.lines.iter();
+        let lines = fleet.log_lines.iter();
         let mut waits = lines.filter(|line| line.contains(&own));
         expect_true!(
             waits.any(|line| line.contains(case.told)),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         (case.end)(&mut fleet);
         fleet.run(case.ends_within_ms);
@@ -244,7 +244,13 @@
             false => JobState::Cancelled,
         };
         let state = fleet.state(0, JOB);
-        expect_that!(state, some(eq(wanted)), "{}: {:#?}", case.name, fleet.lines);
+        expect_that!(
+            state,
+            some(eq(wanted)),
+            "{}: {:#?}",
+            case.name,
+            fleet.log_lines
+        );
     }
 }
 
@@ -266,8 +272,8 @@
         }
         1 => fleet.cut_workers = vec![address.clone()],
         2 => fleet.cut_workers.clear(),
-        3 => fleet.late_ms = Some(random.random_range(500..3_000)),
-        4 => fleet.late_ms = None,
+        3 => fleet.order_delay_ms = Some(random.random_range(500..3_000)),
+        4 => fleet.order_delay_ms = None,
         5 => fleet.stop(host),
         _ => {
             for address in &all {
@@ -304,7 +310,7 @@
         for _ in 0..12 {
             disturb(&mut fleet, &mut random, &mut jobs);
         }
-        fleet.late_ms = None;
+        fleet.order_delay_ms = None;
         fleet.cut_workers.clear();
         for host in 0..3 {
             fleet.kill(host);
@@ -331,7 +337,7 @@
             expect_true!(
                 begun(task),
                 "seed {seed}, since {first_ms}: {:#?}",
-                fleet.lines
+                fleet.log_lines
             );
         }
         fleet.run(4_000);
@@ -346,7 +352,7 @@
             expect_true!(
                 is_well,
                 "seed {seed}: job {id:x} is {state:?}: {:#?}",
-                fleet.lines
+                fleet.log_lines
             );
         }
     }
--- a/tests/fleet/actions.rs
+++ b/tests/fleet/actions.rs
@@ -32,7 +32,7 @@
         self.hosts[number].store_calls += usize::from(is_store_call);
         self.store_calls_made += usize::from(is_store_call);
         let store_calls = self.hosts[number].store_calls;
-        self.store_calls_most = self.store_calls_most.max(store_calls);
+        self.max_store_calls = self.max_store_calls.max(store_calls);
         let is_cut = self.hosts[number].is_cut_from_store;
         match action {
             Action::Append {
@@ -141,7 +141,7 @@
     }
 
     fn record_note(&mut self, note: &Note) {
-        *self.notes.entry(note.code).or_default() += 1;
+        *self.note_counts.entry(note.code).or_default() += 1;
         let is_logged = matches!(
             note.code,
             Code::WorkerGone
@@ -156,14 +156,14 @@
         if is_logged {
             let name = note.code.name();
             let line = format!("{} {name} {} {}", self.now_ms, note.subject, note.detail);
-            self.lines.push(line);
+            self.log_lines.push(line);
         }
     }
 
     /// Answers a call for permits, which name the time until which they hold.
     fn answer_permits(&mut self, number: usize, ticket: u64, workers: Vec<Box<str>>) {
         let generation = self.hosts[number].generation;
-        self.advice_calls += 1;
+        self.permit_calls += 1;
         let until_ms = self.now_ms + PERMIT_MS;
         let mut rows = Vec::new();
         for worker in workers {
@@ -182,7 +182,7 @@
     }
 
     fn send_order(&mut self, number: usize, generation: u64, order: Order, timeout_ms: u64) {
-        if let Some(late_ms) = self.late_ms {
+        if let Some(order_delay_ms) = self.order_delay_ms {
             let event = Event::Ordered {
                 ticket: order.ticket,
                 outcome: OrderOutcome::Unknown,
@@ -191,7 +191,7 @@
             self.deliveries.push((self.now_ms + timeout_ms, no_answer));
             let target_incarnation = self.incarnation_at(&order.address);
             self.deliveries.push((
-                self.now_ms + late_ms,
+                self.now_ms + order_delay_ms,
                 Delivery::Late(order, target_incarnation),
             ));
             return;
@@ -207,7 +207,7 @@
         }
         let link_ms = self.hosts[number].sending_ms(self.now_ms, order_bytes(&order.call));
         let at_ms = self.now_ms + CALL_MS + link_ms;
-        if self.hosts[number].link.is_some() || self.answers_late.is_some() {
+        if self.hosts[number].link.is_some() || self.answer_delays.is_some() {
             // Whichever comes first counts.
             let event = Event::Ordered {
                 ticket: order.ticket,
--- a/tests/fleet/connections.rs
+++ b/tests/fleet/connections.rs
@@ -136,7 +136,7 @@
     }
 
     /// Has all connections of a host to other hosts go silent; new ones work.
-    pub(crate) fn silence_links(&mut self, number: usize) {
+    pub(crate) fn silence_connections(&mut self, number: usize) {
         for pair in &mut self.peers.pairs {
             pair.is_silent |= pair.one.host == number || pair.two.host == number;
         }
--- a/tests/fleet/deliveries.rs
+++ b/tests/fleet/deliveries.rs
@@ -54,7 +54,7 @@
             }
             Delivery::Late(order, target_incarnation) => {
                 let current_incarnation = self.incarnation_at(&order.address);
-                if target_incarnation == current_incarnation || self.outlive_lives {
+                if target_incarnation == current_incarnation || self.late_orders_outlive_restarts {
                     drop(self.execute(&order));
                 }
             }
@@ -130,7 +130,7 @@
 
     /// Draws how late the next answer of a worker is.
     fn draw_answer_delay(&mut self) -> u64 {
-        let Some((min_ms, max_ms, seed)) = &mut self.answers_late else {
+        let Some((min_ms, max_ms, seed)) = &mut self.answer_delays else {
             return 0;
         };
         let mut random = Pcg64::seed_from_u64(*seed);
--- a/tests/fleet/evacuations.rs
+++ b/tests/fleet/evacuations.rs
@@ -29,7 +29,7 @@
     }
 
     /// Has the operator take an evacuation back.
-    pub(crate) fn take_back(&mut self, domain: &str) {
+    pub(crate) fn cancel_evacuation(&mut self, domain: &str) {
         let key = format!("evacuate/{domain}");
         self.store.put(Stream::Rules, &key, b"");
         self.evacuations.since_ms.remove(domain);
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -33,7 +33,7 @@
 pub(crate) use crate::fleet::store::Limits;
 pub(crate) use crate::fleet::store::Mode;
 pub(crate) use crate::fleet::store::Store;
-pub(crate) use crate::fleet::worker::Manners;
+pub(crate) use crate::fleet::worker::Behaviour;
 pub(crate) use crate::fleet::worker::Worker;
 use crate::fleet::worker_faults::WorkerFaults;
 use goldcrestway_core::Code;
@@ -152,20 +152,20 @@
     /// Which job a request was about, and whether it hands it in.
     asked: BTreeMap<u64, JobId>,
     /// Orders to workers are carried out so late, and not answered.
-    pub(crate) late_ms: Option<u64>,
+    pub(crate) order_delay_ms: Option<u64>,
     /// Such orders are carried out also if their worker has started again under its id meanwhile.
-    pub(crate) outlive_lives: bool,
+    pub(crate) late_orders_outlive_restarts: bool,
     /// Answers of workers take a time drawn from this range, by a seed that moves on.
-    pub(crate) answers_late: Option<(u64, u64, u64)>,
+    pub(crate) answer_delays: Option<(u64, u64, u64)>,
     /// Claims to own that were appended.
     pub(crate) claims: u32,
     /// Workers, by address, that no entry host reaches.
     pub(crate) cut_workers: Vec<Box<str>>,
     /// Workers that may run steps of queues that need permits, and calls for them so far.
     pub(crate) permitted: Vec<Box<str>>,
-    pub(crate) advice_calls: u32,
+    pub(crate) permit_calls: u32,
     /// Most calls to the store that a host had under way at once, and calls of all hosts.
-    pub(crate) store_calls_most: usize,
+    pub(crate) max_store_calls: usize,
     pub(crate) store_calls_made: usize,
     /// Reads that were to be answered at once, by stream.
     pub(crate) short_reads: BTreeMap<Stream, usize>,
@@ -178,9 +178,9 @@
     peers: Peers,
     pub(crate) frame_bytes: u64,
     /// What hosts said, counted by event.
-    pub(crate) notes: BTreeMap<Code, u32>,
+    pub(crate) note_counts: BTreeMap<Code, u32>,
     /// Those of them that tell what became of jobs and workers, in words.
-    pub(crate) lines: Vec<String>,
+    pub(crate) log_lines: Vec<String>,
 }
 
 impl Fleet {
@@ -217,14 +217,14 @@
             requests: 0,
             replies: BTreeMap::new(),
             asked: BTreeMap::new(),
-            late_ms: None,
-            outlive_lives: false,
-            answers_late: None,
+            order_delay_ms: None,
+            late_orders_outlive_restarts: false,
+            answer_delays: None,
             claims: 0,
             cut_workers: Vec::new(),
             permitted: Vec::new(),
-            advice_calls: 0,
-            store_calls_most: 0,
+            permit_calls: 0,
+            max_store_calls: 0,
             store_calls_made: 0,
             short_reads: BTreeMap::new(),
             loads: BTreeMap::new(),
@@ -232,8 +232,8 @@
             lost: Vec::new(),
             peers: Peers::default(),
             frame_bytes: 0,
-            notes: BTreeMap::new(),
-            lines: Vec::new(),
+            note_counts: BTreeMap::new(),
+            log_lines: Vec::new(),
         };
         fleet.store.put(Stream::Rules, "config", &[1]);
         for number in 0..workers {
--- a/tests/fleet/reads.rs
+++ b/tests/fleet/reads.rs
@@ -117,7 +117,7 @@
     }
 
     /// Has all connections of a host to the store go silent; new ones work.
-    pub(crate) fn lose_calls(&mut self, number: usize) {
+    pub(crate) fn drop_store_connections(&mut self, number: usize) {
         self.hosts[number].lost_until_ms = self.now_ms;
         self.hosts[number].disturbed_ms = self.now_ms;
     }
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -44,8 +44,8 @@
     pub(crate) broken: Vec<String>,
     /// Answers of hosts in touch: those that tell whether the queue is there, and those that
     /// only say when to come again.
-    pub(crate) told: u32,
-    pub(crate) deferred: u32,
+    pub(crate) definite_answers: u32,
+    pub(crate) deferred_answers: u32,
 }
 
 impl RulesWatch {
@@ -65,8 +65,8 @@
             asked: Vec::new(),
             disturbed_ms: vec![0; fleet.hosts.len()],
             broken: Vec::new(),
-            told: 0,
-            deferred: 0,
+            definite_answers: 0,
+            deferred_answers: 0,
         }
     }
 
@@ -88,8 +88,8 @@
     }
 
     fn send(&mut self, fleet: &mut Fleet) {
-        let is_away = fleet.store.away.contains(&Stream::Rules);
-        if fleet.store.mode != Mode::Up || is_away {
+        let is_unavailable = fleet.store.unavailable.contains(&Stream::Rules);
+        if fleet.store.mode != Mode::Up || is_unavailable {
             return;
         }
         for value in self.unsent.drain(..) {
@@ -123,7 +123,7 @@
     }
 
     /// Looks at what disturbs hosts, and judges the answers that came.
-    pub(crate) fn look(&mut self, fleet: &mut Fleet) {
+    pub(crate) fn check(&mut self, fleet: &mut Fleet) {
         for number in 0..self.disturbed_ms.len() {
             if fleet.is_disturbed(number) {
                 self.disturb(number, fleet);
@@ -137,24 +137,24 @@
             match fleet.replies.get(&asked.request) {
                 Some(reply) => {
                     let reply = reply.clone();
-                    self.take(&asked, &reply, fleet.now_ms);
+                    self.check_reply(&asked, &reply, fleet.now_ms);
                 }
                 None => self.asked.push(asked),
             }
         }
     }
 
-    fn take(&mut self, asked: &PendingQuery, reply: &Reply, now_ms: u64) {
+    fn check_reply(&mut self, asked: &PendingQuery, reply: &Reply, now_ms: u64) {
         let was_in_touch = asked.was_in_touch && self.is_in_touch(asked.number, now_ms);
         let is_known = match reply {
             Reply::Waiting(_) => true,
             Reply::NoSuchQueue => false,
             _ => {
-                self.deferred += u32::from(was_in_touch);
+                self.deferred_answers += u32::from(was_in_touch);
                 return;
             }
         };
-        self.told += u32::from(was_in_touch);
+        self.definite_answers += u32::from(was_in_touch);
         let verdict = self.judge.judge(&Answer {
             host: &format!("{}/{}", asked.number, asked.generation),
             queue: &asked.queue,
@@ -177,8 +177,9 @@
     /// Tells whether something disturbs a host just now.
     pub(super) fn is_disturbed(&self, number: usize) -> bool {
         let host = &self.hosts[number];
-        let is_store_well =
-            self.store.mode == Mode::Up && self.store.away.is_empty() && self.store.answer_ms == 0;
+        let is_store_well = self.store.mode == Mode::Up
+            && self.store.unavailable.is_empty()
+            && self.store.answer_ms == 0;
         !is_store_well || host.is_paused || host.is_cut_from_store || host.entry.is_none()
     }
 
--- a/tests/fleet/store.rs
+++ b/tests/fleet/store.rs
@@ -101,7 +101,7 @@
     /// Largest record that it takes.
     pub(crate) max_record_bytes: usize,
     /// Streams that are away while the others are there.
-    pub(crate) away: Vec<Stream>,
+    pub(crate) unavailable: Vec<Stream>,
     pub(crate) limits: Limits,
     served: ServedReads,
 }
@@ -114,7 +114,7 @@
             append_ms: 0,
             answer_ms: 0,
             max_record_bytes: 262_144,
-            away: Vec::new(),
+            unavailable: Vec::new(),
             limits: Limits::default(),
             served: ServedReads::default(),
         }
@@ -142,7 +142,7 @@
     }
 
     /// Gives the bytes that were read so far.
-    pub(crate) fn given_bytes(&self) -> u64 {
+    pub(crate) fn served_bytes(&self) -> u64 {
         self.served.bytes
     }
 
@@ -189,7 +189,7 @@
             key.len() + value.len() + 1 > self.max_record_bytes
         };
         match self.mode {
-            _ if self.away.contains(&stream) => return AppendOutcome::Refused,
+            _ if self.unavailable.contains(&stream) => return AppendOutcome::Refused,
             _ if records.iter().any(is_too_large) => return AppendOutcome::Refused,
             Mode::Refuses => return AppendOutcome::Refused,
             Mode::Silent => return AppendOutcome::Unknown,
@@ -230,7 +230,7 @@
     /// Tells what becomes of reads of a stream, if they bring nothing.
     fn read_fault(&self, stream: Stream) -> Option<ReadFault> {
         match self.mode {
-            _ if self.away.contains(&stream) => Some(ReadFault::Refused),
+            _ if self.unavailable.contains(&stream) => Some(ReadFault::Refused),
             Mode::Up => None,
             Mode::Refuses => Some(ReadFault::Refused),
             Mode::LosesAnswers | Mode::Silent => Some(ReadFault::NoAnswer),
--- a/tests/fleet/worker.rs
+++ b/tests/fleet/worker.rs
@@ -15,9 +15,9 @@
 
 /// How a worker behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Manners {
+pub(crate) enum Behaviour {
     /// It works.
-    Sound,
+    Healthy,
     /// It answers, and what runs there stands still.
     Hangs,
     /// It fails all that it starts.
@@ -45,7 +45,7 @@
 pub(crate) struct Worker {
     pub(crate) id: Box<str>,
     pub(crate) is_alive: bool,
-    pub(crate) manners: Manners,
+    pub(crate) behaviour: Behaviour,
     pub(crate) resources: Resources,
     /// When its room last changed.
     resized_ms: u64,
@@ -54,7 +54,7 @@
     /// What it says of that.
     pub(crate) started_wall_ms: u64,
     /// It refuses what does not fit.
-    pub(crate) guards: bool,
+    pub(crate) enforces_resources: bool,
     token: u64,
     lease_until_ms: u64,
     running: BTreeMap<TaskId, Running>,
@@ -67,7 +67,7 @@
     recent_exits: Vec<(TaskId, u32, ExitReason)>,
     /// Tail of serving tasks without fillers, and with each filler's share on top.
     pub(crate) tail_ms: u64,
-    pub(crate) press_ms: u64,
+    pub(crate) interference_ms: u64,
     /// Time that a stop takes; what is being stopped still takes its room.
     pub(crate) stop_ms: u64,
 }
@@ -85,12 +85,12 @@
         Self {
             id: id.into(),
             is_alive: true,
-            manners: Manners::Sound,
+            behaviour: Behaviour::Healthy,
             resources,
             resized_ms: 0,
             started_ms: 0,
             started_wall_ms: 0,
-            guards: true,
+            enforces_resources: true,
             token: 0,
             lease_until_ms: 0,
             running: BTreeMap::new(),
@@ -100,7 +100,7 @@
             unexpired_from_exit: None,
             recent_exits: Vec::new(),
             tail_ms: 5,
-            press_ms: 0,
+            interference_ms: 0,
             stop_ms: 0,
         }
     }
@@ -112,7 +112,7 @@
             started_ms: now_ms,
             started_wall_ms,
             resized_ms: 0,
-            guards: self.guards,
+            enforces_resources: self.enforces_resources,
             stop_ms: self.stop_ms,
             ..Self::new(&self.id, self.resources)
         };
@@ -144,15 +144,15 @@
                 }
                 continue;
             }
-            match self.manners {
-                Manners::Hangs => continue,
-                Manners::Fails => ended.push((*task, ExitReason::Failed)),
-                Manners::Sound if promises.failing.contains(&task.job) => {
+            match self.behaviour {
+                Behaviour::Hangs => continue,
+                Behaviour::Fails => ended.push((*task, ExitReason::Failed)),
+                Behaviour::Healthy if promises.failing.contains(&task.job) => {
                     ended.push((*task, ExitReason::Failed));
                 }
-                Manners::Sound | Manners::Slow if running.is_long_running => {}
-                Manners::Slow if !(now_ms / step_ms).is_multiple_of(SLOW_FACTOR) => {}
-                Manners::Sound | Manners::Slow => {
+                Behaviour::Healthy | Behaviour::Slow if running.is_long_running => {}
+                Behaviour::Slow if !(now_ms / step_ms).is_multiple_of(SLOW_FACTOR) => {}
+                Behaviour::Healthy | Behaviour::Slow => {
                     running.remaining_ms = running.remaining_ms.saturating_sub(step_ms);
                     if running.remaining_ms == 0 {
                         ended.push((*task, ExitReason::Done));
@@ -380,7 +380,7 @@
             let since_ms = self.resized_ms.max(promises.disturbed_ms);
             let is_told = since_ms == 0 || now_ms >= since_ms + RESOURCES_REPORTED_MS;
             promises.refused_room += u32::from(is_told);
-            if self.guards {
+            if self.enforces_resources {
                 return Some(Refusal::Room);
             }
         }
@@ -406,7 +406,7 @@
             .values()
             .filter(|running| !running.is_long_running)
         {
-            interference_sum_ms += self.press_ms * u64::from(running.share_percent) / 100;
+            interference_sum_ms += self.interference_ms * u64::from(running.share_percent) / 100;
         }
         let mut runs = Vec::new();
         for (task, running) in &self.running {
--- a/tests/fleet/worker_faults.rs
+++ b/tests/fleet/worker_faults.rs
@@ -162,12 +162,15 @@
             }
             let id = format!("reborn-{}", self.worker_faults.restarts);
             let previous = &self.workers[&address];
-            let (resources, guards, stop_ms) =
-                (previous.resources, previous.guards, previous.stop_ms);
+            let (resources, enforces_resources, stop_ms) = (
+                previous.resources,
+                previous.enforces_resources,
+                previous.stop_ms,
+            );
             self.add_worker(&address, &id);
             if let Some(worker) = self.workers.get_mut(&address) {
                 worker.resize(resources, 0);
-                worker.guards = guards;
+                worker.enforces_resources = enforces_resources;
                 worker.stop_ms = stop_ms;
             }
             self.report(&address);
