--- a/tests/fleet/actions.rs
+++ b/tests/fleet/actions.rs
@@ -1,4 +1,5 @@
-//! What hosts want done, carried to the store, to workers and to callers.
+//! Performs the actions of hosts: calls to the store, to workers and to permit services, and
+//! answers to callers.
 
 use crate::fleet::CALL_MS;
 use crate::fleet::Delivery;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Answers a call for permits, which name the time until which they hold.
+    /// Answers a request for permits. Each permit carries the time until which it is valid.
     fn answer_permits(&mut self, number: usize, ticket: u64, workers: Vec<Box<str>>) {
         let generation = self.hosts[number].generation;
         self.permit_calls += 1;
@@ -208,7 +209,7 @@
         let link_ms = self.hosts[number].sending_ms(self.now_ms, order_bytes(&order.call));
         let at_ms = self.now_ms + CALL_MS + link_ms;
         if self.hosts[number].link.is_some() || self.answer_delays.is_some() {
-            // Whichever comes first counts.
+            // The earlier of answer and timeout counts.
             let event = Event::Ordered {
                 ticket: order.ticket,
                 outcome: OrderOutcome::Unknown,
--- a/tests/fleet/callers.rs
+++ b/tests/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the fleet: they hand jobs in, cancel, and ask.
+//! Callers of the fleet, which submit, cancel and query jobs.
 
 use crate::fleet::Fleet;
 use crate::fleet::WALL_MS;
@@ -9,7 +9,7 @@
 use goldcrestway_dispatch::Submission;
 
 impl Fleet {
-    /// Hands a job in at a host, and gives the request's number.
+    /// Submits a job to a host, and returns the number of the request.
     pub(crate) fn submit(&mut self, number: usize, id: u64, submission: &Submission) -> u64 {
         self.requests += 1;
         let request = self.requests;
@@ -61,7 +61,7 @@
         self.requests
     }
 
-    /// Asks a host for the state of a job and waits for the answer.
+    /// Queries a host for the state of a job, and waits for the answer.
     pub(crate) fn state(&mut self, number: usize, id: u64) -> Option<JobState> {
         let request = self.query(number, id);
         self.run(1_200);
--- a/tests/fleet/connections.rs
+++ b/tests/fleet/connections.rs
@@ -19,7 +19,7 @@
 struct Pair {
     one: End,
     two: End,
-    /// Nothing comes through any more, and nobody is told.
+    /// Frames are dropped, and neither end is notified.
     is_silent: bool,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Peers {
-    /// Gives the other end, unless the connection has gone silent.
+    /// Returns the other end, or `None` if the connection has gone silent.
     fn other(&self, host: usize, generation: u64, conn: ConnectionId) -> Option<End> {
         let own = End {
             host,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Gives the address at which a host takes orders to relay.
+/// Returns the address at which a host accepts orders to relay.
 pub(super) fn relay_address(number: usize) -> Box<str> {
     format!("relay-{number}").into()
 }
@@ -120,7 +120,7 @@
             .retain(|pair| pair.one != own && pair.two != own);
     }
 
-    /// Ends all connections of a host that is gone.
+    /// Closes all connections of a host that has stopped.
     pub(super) fn reset_connections(&mut self, number: usize) {
         let mut others = Vec::new();
         self.peers.pairs.retain(|pair| {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Has all connections of a host to other hosts go silent; new ones work.
+    /// Makes all present connections of a host to other hosts go silent; new ones work.
     pub(crate) fn silence_connections(&mut self, number: usize) {
         for pair in &mut self.peers.pairs {
             pair.is_silent |= pair.one.host == number || pair.two.host == number;
--- a/tests/fleet/deliveries.rs
+++ b/tests/fleet/deliveries.rs
@@ -1,4 +1,4 @@
-//! What is on its way, as it comes in.
+//! Delivers messages in flight once they are due.
 
 use crate::fleet::CALL_MS;
 use crate::fleet::Delivery;
@@ -60,7 +60,7 @@
             }
             Delivery::PendingPoll(number, generation, order, until_ms, polled_incarnation) => {
                 let current_incarnation = self.incarnation_at(&order.address);
-                // What a worker holds goes with it.
+                // A poll that waits at a worker is lost with the worker.
                 if polled_incarnation.is_some() && polled_incarnation != current_incarnation {
                     return self.reply_order(
                         number,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Gives which incarnation current_incarnation at an address, if one does.
+    /// Returns the incarnation that runs at an address, if any.
     pub(super) fn incarnation_at(&self, address: &str) -> Option<u64> {
         let worker = self.workers.get(address).filter(|worker| worker.is_alive);
         worker.map(|worker| worker.started_wall_ms)
@@ -128,7 +128,7 @@
         self.deliveries.push((at_ms, delivery));
     }
 
-    /// Draws how late the next answer of a worker is.
+    /// Draws the delay of the next answer of a worker.
     fn draw_answer_delay(&mut self) -> u64 {
         let Some((min_ms, max_ms, seed)) = &mut self.answer_delays else {
             return 0;
--- a/tests/fleet/evacuations.rs
+++ b/tests/fleet/evacuations.rs
@@ -1,26 +1,27 @@
-//! Failure domains that the operator evacuates and takes back, and what may start there since.
+//! Evacuates failure domains and cancels evacuations as the operator does, and checks what still
+//! starts there.
 
 use crate::fleet::Fleet;
 use crate::fleet::fixtures::failure_domain_of;
 use goldcrestway_dispatch::Stream;
 use std::collections::BTreeMap;
 
-/// Time after the acknowledgement of an evacuation from which on nothing starts there by the
-/// order of a host in touch.
+/// Time after the acknowledgement of an evacuation from which on no host that is in contact starts
+/// tasks there.
 pub(crate) const EVACUATED_MS: u64 = 5_000;
-/// The same for any other host: an order of it is refused once the lease that it brings is over.
+/// The same for any other host: its orders are refused once the lease that they carry has expired.
 const OUT_OF_CONTACT_MS: u64 = EVACUATED_MS + 6_000;
-/// Time without a disturbance after which a host is in touch.
+/// Time without a disturbance after which a host is in contact.
 const CONTACT_MS: u64 = 4_000;
 
-/// Evacuations that the store has acknowledged, by failure domain, and when it did.
+/// Acknowledged evacuations by failure domain, with the time of the acknowledgement.
 #[derive(Default)]
 pub(crate) struct Evacuations {
     since_ms: BTreeMap<Box<str>, u64>,
 }
 
 impl Fleet {
-    /// Has the operator evacuate a failure domain.
+    /// Evacuates a failure domain.
     pub(crate) fn evacuate(&mut self, domain: &str) {
         let key = format!("evacuate/{domain}");
         self.store.put(Stream::Rules, &key, b"{}");
@@ -28,21 +29,21 @@
         since_ms.entry(domain.into()).or_insert(self.now_ms);
     }
 
-    /// Has the operator take an evacuation back.
+    /// Cancels an evacuation.
     pub(crate) fn cancel_evacuation(&mut self, domain: &str) {
         let key = format!("evacuate/{domain}");
         self.store.put(Stream::Rules, &key, b"");
         self.evacuations.since_ms.remove(domain);
     }
 
-    /// Lists the addresses of the workers of a failure domain.
+    /// Returns the addresses of the workers of a failure domain.
     pub(crate) fn workers_in(&self, domain: &str) -> Vec<Box<str>> {
         let addresses = self.workers.keys();
         let inside = addresses.filter(|address| *failure_domain_of(address) == *domain);
         inside.cloned().collect()
     }
 
-    /// Counts the starts at workers of a failure domain since there were so many in all.
+    /// Counts the starts at workers of a failure domain, from start number `since` on.
     pub(crate) fn starts_in(&self, domain: &str, since: usize) -> usize {
         let starts = self.promises.starts[since..].iter();
         let inside =
@@ -50,7 +51,7 @@
         inside.count()
     }
 
-    /// Notes which hosts are disturbed just now.
+    /// Records which hosts are disturbed at present.
     pub(super) fn record_disturbances(&mut self) {
         for number in 0..self.hosts.len() {
             if self.is_disturbed(number) {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Judges a start by an order that a host has just sent.
+    /// Checks a start that a host has just ordered.
     pub(super) fn check_start(&mut self, number: usize, address: &str) {
         let Some(since_ms) = self.evacuations.since_ms.get(&failure_domain_of(address)) else {
             return;
--- a/tests/fleet/fixtures.rs
+++ b/tests/fleet/fixtures.rs
@@ -1,4 +1,4 @@
-//! Rules, workers and jobs of the fleet in tests.
+//! Rules, workers and jobs of the simulated fleet.
 
 use goldcrestway_dispatch::Config;
 use goldcrestway_dispatch::Decoded;
@@ -8,7 +8,7 @@
 use goldcrestway_dispatch::Submission;
 use goldcrestway_dispatch::WorkerEntry;
 
-/// What each worker has.
+/// Resources of each worker.
 pub(crate) const WORKER_RESOURCES: Resources = Resources {
     cpu_milli: 8_000,
     memory_mb: 16_000,
@@ -18,7 +18,7 @@
 /// Host name under which callers reach all queues.
 pub(crate) const QUEUES_HOST: &str = "batch.test";
 
-/// Reads rules: a version in one byte, and the letter of each queue beside `batch`.
+/// Decodes rules: a version in one byte, and the letters of the queues beside `batch`.
 pub(crate) fn decode_config(value: &[u8]) -> Result<Config, Box<str>> {
     let (version, letters) = value.split_first().ok_or("no version")?;
     let mut queues = vec![queue("batch")];
@@ -46,7 +46,7 @@
     }
 }
 
-/// Reads an evacuation: its failure domain is in the key, and its value is `{}` or nothing.
+/// Decodes an evacuation: its failure domain is in the key, and its value is `{}` or empty.
 pub(crate) fn decode_evacuation(key: &str, value: &[u8]) -> Option<Decoded<Box<str>>> {
     let domain = key.strip_prefix("evacuate/")?;
     match value {
@@ -55,18 +55,18 @@
     }
 }
 
-/// Failure domains that the workers of a fleet are dealt to in turn.
+/// Number of failure domains, to which workers are assigned in turn.
 pub(crate) const FAILURE_DOMAINS: u8 = 2;
 
-/// Gives the failure domain of a worker by its address, 10.0.0.N:80.
+/// Returns the failure domain of a worker by its address, 10.0.0.N:80.
 pub(crate) fn failure_domain_of(address: &str) -> Box<str> {
     let number = address.split(['.', ':']).nth(3);
     let number: u8 = number.and_then(|text| text.parse().ok()).unwrap_or(0);
     format!("hall-{}", number % FAILURE_DOMAINS).into()
 }
 
-/// Reads a worker: its address, `ready` or `leaving`, its processors and memory where they are not
-/// the usual ones, and when it started where it tells that.
+/// Decodes a worker: its address, `ready` or `leaving`, its CPU and memory where they differ from
+/// the default, and its start time where it reports one.
 pub(crate) fn decode_worker(id: &str, value: &[u8]) -> Result<WorkerEntry, Box<str>> {
     let text = std::str::from_utf8(value).map_err(|_| "not text")?;
     let mut words = text.split(' ');
@@ -93,7 +93,7 @@
     })
 }
 
-/// Makes a step of tasks that take so long.
+/// Returns a step of `count` tasks that take `work_ms` each.
 pub(crate) fn step(count: u32, work_ms: u64, after: &[u32]) -> Step {
     Step {
         count,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Makes a job of steps.
+/// Returns a job of steps.
 pub(crate) fn job(steps: Vec<Step>) -> Submission {
     Submission {
         queue: "batch".into(),
--- a/tests/fleet/link.rs
+++ b/tests/fleet/link.rs
@@ -1,19 +1,20 @@
-//! An emulated link of a host: so many bytes a second each way, first come, first served.
+//! An emulated network link of a host with a fixed rate in each direction and a queue in order of
+//! arrival.
 
 use goldcrestway_dispatch::OrderOutcome;
 use goldcrestway_dispatch::StoredRecord;
 use goldcrestway_dispatch::WorkerCall;
 
-/// Bytes of the head of a call, and of the head of an answer.
+/// Bytes of the header of a call, and of the header of an answer.
 const CALL_HEAD_BYTES: u64 = 150;
 const ANSWER_HEAD_BYTES: u64 = 90;
-/// Bytes of the fields of an order beside its texts.
+/// Bytes of the fields of an order without its texts.
 const FIELDS_BYTES: u64 = 110;
-/// Bytes of a run, or of an end, in a list.
+/// Bytes of a run, or of the exit of a run, in a report.
 const ROW_BYTES: u64 = 55;
 const US_PER_MS: u64 = 1_000;
 
-/// Gives the bytes of an order to a worker.
+/// Returns the length of an order to a worker.
 pub(super) fn order_bytes(call: &WorkerCall) -> u64 {
     let texts = match call {
         WorkerCall::Start {
@@ -26,7 +27,7 @@
     CALL_HEAD_BYTES + FIELDS_BYTES + texts as u64
 }
 
-/// Gives the bytes of the answer to an order.
+/// Returns the length of the answer to an order.
 pub(super) fn answer_bytes(outcome: &OrderOutcome) -> u64 {
     let rows = match outcome {
         OrderOutcome::Done {
@@ -38,7 +39,7 @@
     ANSWER_HEAD_BYTES + ROW_BYTES * rows as u64
 }
 
-/// Gives the bytes of records on their way to the store.
+/// Returns the length of records that are sent to the store.
 pub(super) fn append_bytes(records: &[(Box<str>, Box<[u8]>)]) -> u64 {
     let texts: usize = records
         .iter()
@@ -47,7 +48,7 @@
     CALL_HEAD_BYTES + texts as u64
 }
 
-/// Gives the bytes of records on their way from the store.
+/// Returns the length of records that the store sends.
 pub(super) fn read_bytes(records: &[StoredRecord]) -> u64 {
     let texts: usize = records
         .iter()
@@ -56,7 +57,7 @@
     ANSWER_HEAD_BYTES + texts as u64
 }
 
-/// One link.
+/// A link, and when each direction becomes idle.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Link {
     bytes_per_ms: u64,
@@ -65,7 +66,7 @@
 }
 
 impl Link {
-    /// Makes a link of so many megabits a second.
+    /// Creates a link with the given rate in each direction.
     pub(crate) fn new(mbit_per_s: u64) -> Self {
         Self {
             bytes_per_ms: mbit_per_s * 125,
@@ -74,12 +75,14 @@
         }
     }
 
-    /// Sends bytes and gives how long they take, with those before them.
+    /// Sends bytes, and returns the time in milliseconds until they have left, after the bytes
+    /// queued before them.
     pub(super) fn send(&mut self, now_ms: u64, bytes: u64) -> u64 {
         Self::carry(&mut self.out_free_us, self.bytes_per_ms, now_ms, bytes)
     }
 
-    /// Receives bytes and gives how long they take, with those before them.
+    /// Receives bytes, and returns the time in milliseconds until they have arrived, after the
+    /// bytes queued before them.
     pub(super) fn receive(&mut self, now_ms: u64, bytes: u64) -> u64 {
         Self::carry(&mut self.in_free_us, self.bytes_per_ms, now_ms, bytes)
     }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of entry hosts, a store and workers in virtual time: the decisions are the
-//! real ones, all around them is a small stand-in.
+//! A simulated fleet of entry hosts, a store and workers in virtual time. The scheduling code is
+//! the real one; everything around it is a small stand-in.
 
 mod actions;
 mod callers;
@@ -52,28 +52,27 @@
 use goldcrestway_dispatch::WorkerCall;
 use std::collections::BTreeMap;
 
-/// Virtual time moves on by this much.
+/// Step of virtual time.
 const STEP_MS: u64 = 5;
-/// Time that a call takes, there and back.
+/// Round-trip time of a call.
 const CALL_MS: u64 = 5;
-/// Time that a call for permits takes, and for which they hold.
+/// Time that a request for permits takes, and the validity of permits.
 const PERMIT_CALL_MS: u64 = 40;
 const PERMIT_MS: u64 = 1_000;
-/// A link that carries whatever comes.
+/// Rate of a link that is never a bottleneck.
 const WIDE_MBIT_PER_S: u64 = 1_000;
 const WALL_MS: u64 = 1_700_000_000_000;
 
-/// Something on its way.
+/// A message in flight.
 enum Delivery {
     ToEntry(usize, u64, Event),
     Order(usize, u64, Order),
-    /// A look that waits for an end at an incarnation of a worker, or a read that waits for a
-    /// record.
+    /// A poll that waits at an incarnation of a worker for the exit of a run.
     PendingPoll(usize, u64, Order, u64, Option<u64>),
     Read(Reader),
-    /// A load of a page that is on its way to the store.
+    /// A load of a page that is sent to the store.
     Load(Loader),
-    /// An order that gets no answer and is carried out late, by the incarnation that it came to.
+    /// An order that gets no answer and is executed late, by the incarnation to which it was sent.
     Late(Order, Option<u64>),
 }
 
@@ -87,7 +86,8 @@
 }
 
 impl Order {
-    /// Gives a look as its worker goes on to hold it: ends are forgotten as it comes in.
+    /// Returns a waiting poll without its acknowledgement, which the worker applies only when the
+    /// poll arrives.
     fn without_acknowledgement(mut self) -> Self {
         if let WorkerCall::Poll {
             acknowledged_exit, ..
@@ -99,30 +99,30 @@
     }
 }
 
-/// One entry host.
+/// An entry host.
 struct Host {
     entry: Option<Entry>,
     cpu_permille: u64,
-    /// What its settings say of its link.
+    /// Rate of its link according to its settings.
     mbit_per_s: u64,
-    /// Counts its lives.
+    /// Number of its starts and stops, which tells its instances apart.
     generation: u64,
     is_paused: bool,
     is_cut_from_store: bool,
     is_cut_from_workers: bool,
-    /// Calls to the store from before this time get no answer.
+    /// Calls to the store that were sent before this time get no answer.
     lost_until_ms: u64,
     queued_events: Vec<Event>,
-    /// When it was last disturbed.
+    /// Time of its last disturbance.
     disturbed_ms: u64,
-    /// Calls to the store under way.
+    /// Calls to the store in flight.
     store_calls: usize,
-    /// Its link, where it is not wider than all that goes over it.
+    /// Its link, unless the link is never a bottleneck.
     link: Option<Link>,
 }
 
 impl Host {
-    /// Gives how long bytes take to leave, or to come in.
+    /// Returns the time in milliseconds until bytes have been sent.
     fn sending_ms(&mut self, now_ms: u64, bytes: u64) -> u64 {
         self.link
             .as_mut()
@@ -136,71 +136,73 @@
     }
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub(crate) struct Fleet {
     pub(crate) now_ms: u64,
     hosts: Vec<Host>,
     pub(crate) store: Store,
-    /// By address.
+    /// Workers by address.
     pub(crate) workers: BTreeMap<Box<str>, Worker>,
     pub(crate) promises: Promises,
     evacuations: Evacuations,
     deliveries: Vec<(u64, Delivery)>,
     requests: u64,
-    /// Answers by request.
+    /// Replies by request.
     pub(crate) replies: BTreeMap<u64, Reply>,
-    /// Which job a request was about, and whether it hands it in.
+    /// Job that a submission is about, by request.
     asked: BTreeMap<u64, JobId>,
-    /// Orders to workers are carried out so late, and not answered.
+    /// If set, orders to workers are executed after this delay and not answered.
     pub(crate) order_delay_ms: Option<u64>,
-    /// Such orders are carried out also if their worker has started again under its id meanwhile.
+    /// Delayed orders are also executed if their worker was restarted under its id meanwhile.
     pub(crate) late_orders_outlive_restarts: bool,
-    /// Answers of workers take a time drawn from this range, by a seed that moves on.
+    /// Range of the additional delay of answers of workers in milliseconds, and the seed of the
+    /// next one.
     pub(crate) answer_delays: Option<(u64, u64, u64)>,
-    /// Claims to own that were appended.
+    /// Number of claims of ownership that were appended.
     pub(crate) claims: u32,
-    /// Workers, by address, that no entry host reaches.
+    /// Addresses of workers that no entry host can reach.
     pub(crate) cut_workers: Vec<Box<str>>,
-    /// Workers that may run steps of queues that need permits, and calls for them so far.
+    /// Workers that may run steps of queues that require permits, and the number of requests for
+    /// permits so far.
     pub(crate) permitted: Vec<Box<str>>,
     pub(crate) permit_calls: u32,
-    /// Most calls to the store that a host had under way at once, and calls of all hosts.
+    /// Largest number of calls to the store that one host had in flight, and the number of calls of
+    /// all hosts.
     pub(crate) max_store_calls: usize,
     pub(crate) store_calls_made: usize,
-    /// Reads that were to be answered at once, by stream.
+    /// Reads that do not wait for new records, by stream.
     pub(crate) short_reads: BTreeMap<Stream, usize>,
-    /// Pages that were loaded, by stream.
+    /// Loaded pages, by stream.
     pub(crate) loads: BTreeMap<Stream, usize>,
     worker_faults: WorkerFaults,
-    /// Runs that went with their worker.
+    /// Runs that were lost with their worker.
     lost: Vec<(TaskId, u32, ExitReason)>,
-    /// Connections between hosts, and what they have carried.
+    /// Connections between hosts, and the bytes that they have transferred.
     peers: Peers,
     pub(crate) frame_bytes: u64,
-    /// What hosts said, counted by event.
+    /// Logged events of all hosts, counted by code.
     pub(crate) note_counts: BTreeMap<Code, u32>,
-    /// Those of them that tell what became of jobs and workers, in words.
+    /// Logged events about the results of jobs and workers, as text.
     pub(crate) log_lines: Vec<String>,
 }
 
 impl Fleet {
-    /// Starts equal entry hosts and workers, and lets an owner be found.
+    /// Starts equal entry hosts and workers, and waits until there is an owner.
     pub(crate) fn new(hosts: usize, workers: usize) -> Self {
         Self::with_shares(&vec![100; hosts], workers)
     }
 
-    /// The same with hosts that have so many thousandths of a core.
+    /// The same with hosts that have the given thousandths of a core.
     pub(crate) fn with_shares(cpu_permille: &[u64], workers: usize) -> Self {
         Self::build(cpu_permille, workers, None)
     }
 
-    /// The same with hosts that have too little processor time for any worker, so that an owner
-    /// has its orders relayed.
+    /// The same with hosts that have too little CPU for any worker, so that the owner uses relays.
     pub(crate) fn with_relays(hosts: usize, workers: usize) -> Self {
         Self::build(&vec![1; hosts], workers, None)
     }
 
-    /// The same with equal hosts on links of so many megabits a second.
+    /// The same with equal hosts on links of the given rate.
     pub(crate) fn with_links(hosts: usize, workers: usize, mbit_per_s: u64) -> Self {
         Self::build(&vec![100; hosts], workers, Some(mbit_per_s))
     }
@@ -261,7 +263,7 @@
         fleet
     }
 
-    /// Has the store take records up to this size, and hosts that start from now on know it.
+    /// Limits the size of records in the store, and restarts all hosts with this limit.
     pub(crate) fn limit_records(&mut self, max_bytes: usize) {
         self.store.max_record_bytes = max_bytes;
         for number in 0..self.hosts.len() {
@@ -271,12 +273,12 @@
         self.run(5_000);
     }
 
-    /// Gives the time of day.
+    /// Returns the wall-clock time.
     pub(crate) fn wall_ms(&self) -> u64 {
         WALL_MS + self.now_ms
     }
 
-    /// Starts an incarnation of a worker at an address.
+    /// Starts an incarnation of a worker at an address. A previous one there crashes.
     pub(crate) fn add_worker(&mut self, address: &str, id: &str) {
         let mut worker = Worker::new(id, WORKER_RESOURCES);
         worker.started_wall_ms = self.wall_ms();
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Gives the address of a worker.
+    /// Returns the address of a worker; empty if there is none with this id.
     pub(crate) fn address_of(&self, id: &str) -> Box<str> {
         let mut workers = self.workers.iter();
         let found = workers.find(|(_, worker)| *worker.id == *id);
@@ -349,24 +351,24 @@
         self.hosts[number].is_cut_from_store = is_cut;
     }
 
-    /// Has a host reach no worker, or all of them again.
+    /// Cuts a host off from all workers, or reconnects it.
     pub(crate) fn cut_from_workers(&mut self, number: usize, is_cut: bool) {
         self.hosts[number].is_cut_from_workers = is_cut;
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned shutdown of a host.
     pub(crate) fn stop(&mut self, number: usize) {
         self.handle(number, Event::Stop);
     }
 
-    /// Gives the host that owns the progress of jobs, if one believes so.
+    /// Returns the host that acts as owner of the progress of jobs, if any.
     pub(crate) fn owner(&self) -> Option<usize> {
         self.hosts
             .iter()
             .position(|host| !host.is_paused && host.entry.as_ref().is_some_and(Entry::is_owner))
     }
 
-    /// Gives how many hosts believe to be the owner.
+    /// Returns how many hosts act as owner.
     pub(crate) fn owners(&self) -> usize {
         let owners = self
             .hosts
@@ -375,7 +377,7 @@
         owners.count()
     }
 
-    /// Gives the counts of a host.
+    /// Returns the owner statistics of a host.
     pub(crate) fn stats(&self, number: usize) -> OwnerStats {
         let entry = self.hosts[number].entry.as_ref();
         entry.map_or(OwnerStats::default(), Entry::stats)
@@ -388,7 +390,7 @@
             .is_some_and(Entry::is_ready)
     }
 
-    /// Tells whether a task runs at two workers, or how many run at all.
+    /// Returns at how many workers a task runs.
     pub(crate) fn running(&self, task: TaskId) -> usize {
         self.workers
             .values()
@@ -396,7 +398,7 @@
             .count()
     }
 
-    /// Lists what runs of jobs that were accepted and are told as cancelled.
+    /// Returns the running tasks of jobs whose state is reported as cancelled.
     pub(crate) fn list_cancelled_runs(&mut self) -> Vec<String> {
         let mut list = Vec::new();
         for (_, task, _) in self.promises.starts.clone() {
@@ -411,7 +413,7 @@
         list
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub(crate) fn run(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.now_ms < until_ms {
@@ -433,7 +435,7 @@
         }
     }
 
-    /// Members of a gang work only together.
+    /// Ends all members of a gang when one of them ends.
     fn break_gangs(&mut self) {
         let mut exits = Vec::new();
         for worker in self.workers.values_mut() {
--- a/tests/fleet/promises.rs
+++ b/tests/fleet/promises.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked as workers and callers see it.
+//! Invariants of the whole system, checked from the view of workers and callers.
 
 use goldcrestway_dispatch::ExitReason;
 use goldcrestway_dispatch::JobId;
@@ -9,74 +9,74 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// What a worker must know of a task that it starts.
+/// Properties of a task that a worker needs to simulate a run.
 pub(crate) struct Plan {
     pub(crate) resources: Resources,
     pub(crate) work_ms: u64,
     pub(crate) is_long_running: bool,
 }
 
-/// Time after which an end that was listed in an answer counts as noted, where nothing but the
-/// host itself keeps the answer from it.
+/// Time after which an exit that was reported in an answer counts as known to the owner, where
+/// nothing but the host itself delays the answer.
 const REPORTED_MS: u64 = 100;
 
-/// Workers that may crash under a task before its starts are counted, and starts after that
-/// which are too many.
+/// Crashed workers after which the starts of a task are counted, and the number of further starts
+/// that is too large.
 const MAX_CRASHES: u32 = 3;
 const MAX_EXCESS_STARTS: u32 = 3;
-/// Time without a disturbance after which hosts are in touch.
+/// Time without a disturbance after which hosts are in contact.
 const CONTACT_MS: u64 = 3_000;
 
-/// The promises, and what was seen so far.
+/// Invariants, and the observations by which they are checked.
 #[derive(Default)]
 pub(crate) struct Promises {
-    /// All jobs that callers tried to hand in.
+    /// All jobs that callers tried to submit.
     pub(crate) submitted: BTreeMap<JobId, Submission>,
-    /// Jobs of which a caller was told that they are stored.
+    /// Jobs that were acknowledged to a caller as stored.
     pub(crate) accepted: BTreeSet<JobId>,
     /// Jobs that callers tried to cancel.
     pub(crate) cancelled: BTreeSet<JobId>,
-    /// Ends that workers were told to forget.
+    /// Tasks with a successful exit that the owner has acknowledged.
     done: BTreeSet<TaskId>,
-    /// Tasks that started after they had ended well, and under which number first.
+    /// Tasks that started again after a successful exit, with the number of the first such run.
     restarted: BTreeMap<TaskId, u32>,
     failures: BTreeMap<TaskId, u32>,
-    /// Tasks that take another time than their step says.
+    /// Durations of tasks that differ from the estimate of their step.
     pub(crate) lengths: BTreeMap<TaskId, u64>,
-    /// Tasks that crash the workers that start them.
+    /// Tasks that crash each worker that starts them.
     pub(crate) poisoned: BTreeSet<TaskId>,
-    /// Jobs that no worker understands, and jobs whose tasks fail at once.
+    /// Jobs that every worker rejects as faulty, and jobs whose tasks fail at once.
     pub(crate) faulty: BTreeSet<JobId>,
     pub(crate) failing: BTreeSet<JobId>,
-    /// Workers that have crashed under a task, whether it was the cause or not.
+    /// Number of workers that have crashed during a run of a task, whatever the cause.
     pub(crate) crashes: BTreeMap<TaskId, u32>,
-    /// Tasks under which a worker has crashed for no cause of theirs or their neighbours'.
+    /// Tasks that lost a worker to a crash that no task caused.
     pub(crate) unrelated_victims: BTreeSet<TaskId>,
-    /// Starts of poisoned tasks after too many workers had crashed under them.
+    /// Starts of poisoned tasks after too many of their workers had crashed.
     excess_starts: BTreeMap<TaskId, u32>,
-    /// Tasks that have ended well, noted or not.
+    /// Tasks with a successful exit, whether acknowledged or not.
     pub(crate) ended: BTreeSet<TaskId>,
-    /// How often tasks have ended well.
+    /// Number of successful exits by task.
     completions: BTreeMap<TaskId, u32>,
-    /// Starts, in order.
+    /// Starts in order, as worker, task and run.
     pub(crate) starts: Vec<(Box<str>, TaskId, u32)>,
-    /// When something was last disturbed, which keeps owners from knowing what workers have.
+    /// Time of the last disturbance that may keep owners from knowing what workers have.
     pub(crate) disturbed_ms: u64,
-    /// Starts that lacked room, refused or not.
+    /// Starts that exceeded the resources of a worker, whether refused or not.
     pub(crate) refused_room: u32,
-    /// Starts that were refused for want of a permit.
+    /// Starts that were refused because they had no permit.
     pub(crate) refused_permits: u32,
-    /// Nothing disturbs: a host must take note of what workers list, however late its answers.
+    /// Nothing is disturbed: a host must process what workers report, however late the answers are.
     pub(crate) is_calm: bool,
     pub(crate) now_ms: u64,
-    /// When an end that went well was first listed, before its worker's lease ran out.
+    /// Time of the first report of a successful exit before the lease of its worker expired.
     reported_ms: BTreeMap<TaskId, u64>,
-    /// Promises that were broken.
+    /// Descriptions of violated invariants.
     pub(crate) broken: Vec<String>,
 }
 
 impl Promises {
-    /// Notes that a worker begins a run, and says what it needs.
+    /// Records that a worker is ordered to start a run, and returns the properties of the task.
     pub(crate) fn record_start_attempt(&mut self, worker: &str, task: TaskId, run: u32) -> Plan {
         self.starts.push((worker.into(), task, run));
         if self.done.contains(&task) {
@@ -135,13 +135,13 @@
         }
     }
 
-    /// Notes that a run has begun.
+    /// Records that a run has started.
     pub(crate) fn record_start(&mut self, task: TaskId) {
         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
         if !self.poisoned.contains(&task) || crashes < MAX_CRASHES {
             return;
         }
-        // Hosts that are disturbed are not in touch, and need not know of all crashes.
+        // Disturbed hosts are not in contact and need not know of all crashes.
         if self.disturbed_ms > 0 && self.now_ms < self.disturbed_ms + CONTACT_MS {
             return;
         }
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Notes that a worker crashes under a task, by itself or since some task there took it down.
+    /// Records that a worker crashes during a run of a task, without a cause or because of a task
+    /// there.
     pub(crate) fn record_crash(&mut self, task: TaskId, is_by_itself: bool) {
         *self.crashes.entry(task).or_default() += 1;
         if is_by_itself {
@@ -162,10 +163,11 @@
         }
     }
 
-    /// Tells whether a job may be shown as failed: a task of it has failed too often, or two
-    /// workers have crashed under one that crashes whoever starts it, or that had bad luck. Those
-    /// that merely stood beside such tasks may not, unless so many workers have crashed under them,
-    /// too, that nothing tells them apart within the starts that a poisoned task may have.
+    /// Returns whether a job may be reported as failed: one of its tasks has failed too often, or
+    /// has lost two workers and either crashes its workers or had crashes that no task caused.
+    /// Tasks that merely ran beside a poisoned one must not fail their job, unless so many of their
+    /// workers have crashed as well that they cannot be told apart within the starts that a
+    /// poisoned task may have.
     pub(crate) fn may_fail(&self, id: JobId) -> bool {
         let is_of = |task: &TaskId| task.job == id;
         let max_attempts = self.submitted[&id].max_attempts;
@@ -179,31 +181,31 @@
             })
     }
 
-    /// Gives how many workers all poisoned tasks together have taken down.
+    /// Returns how many workers all poisoned tasks together have crashed.
     pub(crate) fn crashes_of_poisoned(&self) -> u32 {
         let crashes = self.crashes.iter();
         let poisoned = crashes.filter(|(task, _)| self.poisoned.contains(task));
         poisoned.map(|(_, count)| count).sum()
     }
 
-    /// Tells whether a task starts on permitted workers only.
+    /// Returns whether a task may start only on permitted workers.
     pub(crate) fn needs_permit(&self, task: TaskId) -> bool {
         let job = self.submitted.get(&task.job);
         job.is_some_and(|job| job.permit_validity_ms > 0)
     }
 
-    /// Notes that a run of a task has ended well.
+    /// Records a successful exit of a task.
     pub(crate) fn record_completed(&mut self, task: TaskId) {
         self.ended.insert(task);
         *self.completions.entry(task).or_default() += 1;
     }
 
-    /// Gives how many runs of a task have ended well.
+    /// Returns the number of successful exits of a task.
     pub(crate) fn ends_of(&self, task: TaskId) -> u32 {
         self.completions.get(&task).copied().unwrap_or(0)
     }
 
-    /// Notes that a gang has ended well, which one end of a member stands for.
+    /// Records the successful exit of a gang, for which the exit of one member stands.
     pub(crate) fn record_gang_completed(&mut self, member: TaskId) {
         let count = self.submitted[&member.job].steps[usize::from(member.step)].count;
         for index in 0..count as u16 {
@@ -211,15 +213,15 @@
         }
     }
 
-    /// Notes that a worker lists an end, and that its lease has not run out since.
+    /// Records that a worker reports an exit and that its lease has not expired since.
     pub(crate) fn record_reported_exit(&mut self, end: &RunExit) {
         if end.exit_reason == ExitReason::Done {
             self.reported_ms.entry(end.task).or_insert(self.now_ms);
         }
     }
 
-    /// Notes that a worker is told to forget an end, and whether its lease ran out since: then
-    /// its tasks may have been served up.
+    /// Records that an exit is acknowledged to a worker. `has_expired` is whether the lease of the
+    /// worker expired since the exit: then its tasks may have been given up.
     pub(crate) fn record_acknowledged_exit(&mut self, end: &RunExit, has_expired: bool) {
         let again = self.restarted.get(&end.task).copied();
         let is_older = again.is_some_and(|run| end.run < run);
--- a/tests/fleet/reads.rs
+++ b/tests/fleet/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of hosts on their way to the store, held by it, answered, or lost.
+//! Reads and loads of hosts: sent to the store, waiting there, answered, or lost.
 
 use crate::fleet::CALL_MS;
 use crate::fleet::Delivery;
@@ -12,7 +12,7 @@
 use goldcrestway_dispatch::ReadOutcome;
 use goldcrestway_dispatch::Stream;
 
-/// A read that waits for a record.
+/// A read that may wait for a record.
 pub(super) struct Reader {
     pub(super) number: usize,
     pub(super) generation: u64,
@@ -21,7 +21,7 @@
     pub(super) from: u64,
     pub(super) until_ms: u64,
     pub(super) sent_ms: u64,
-    /// When the host gives it up.
+    /// Time at which the host gives it up.
     pub(super) give_up_ms: u64,
 }
 
@@ -110,19 +110,19 @@
         self.deliveries.push((at_ms, delivery));
     }
 
-    /// Tells whether a call of a host to the store, sent at that time, gets no answer.
+    /// Returns whether a call of a host to the store, sent at `sent_ms`, gets no answer.
     fn is_lost(&self, number: usize, sent_ms: u64) -> bool {
         let host = &self.hosts[number];
         host.is_cut_from_store || sent_ms < host.lost_until_ms
     }
 
-    /// Has all connections of a host to the store go silent; new ones work.
+    /// Makes all present connections of a host to the store go silent; new ones work.
     pub(crate) fn drop_store_connections(&mut self, number: usize) {
         self.hosts[number].lost_until_ms = self.now_ms;
         self.hosts[number].disturbed_ms = self.now_ms;
     }
 
-    /// Gives when an answer that the store gives now is with its host.
+    /// Returns the time at which an answer that the store sends now reaches its host.
     fn answered_ms(&self) -> u64 {
         self.now_ms + CALL_MS + self.store.answer_ms
     }
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that change in series, and callers who show which ones each host goes by.
+//! Rules that change repeatedly, and callers that show which version each host applies.
 
 use crate::fleet::Fleet;
 use crate::fleet::Mode;
@@ -11,45 +11,45 @@
 use goldcrestway_judge::Limits;
 use goldcrestway_judge::RulesJudge;
 
-/// Time in which rules are in force at hosts that are in touch.
+/// Time after which rules are in force at hosts that are in contact.
 pub(crate) const IN_FORCE_MS: u64 = 2_000;
-/// Time without disturbance after which a host is in touch.
+/// Time without a disturbance after which a host is in contact.
 pub(crate) const CONTACT_MS: u64 = 3_000;
-/// Time in which answers of a host may overtake one another.
+/// Time within which answers of a host may overtake one another.
 const ORDER_SLACK_MS: u64 = 250;
 
-/// A caller's question on its way.
+/// A query of a caller that is not answered yet.
 struct PendingQuery {
     request: u64,
     number: usize,
-    /// Which generation of the host was asked.
+    /// Instance of the host to which it was sent.
     generation: u64,
     queue: Box<str>,
     sent_ms: u64,
     was_in_touch: bool,
 }
 
-/// What callers were told, judged by what was published.
+/// Answers to callers, checked against the published rules.
 pub(crate) struct RulesWatch {
     judge: RulesJudge,
     version: u8,
     /// Letters of the queues of the newest rules.
     queues: Vec<u8>,
-    /// Rules that the store has not taken yet.
+    /// Rules that the store has not accepted yet.
     unsent: Vec<Vec<u8>>,
     asked: Vec<PendingQuery>,
-    /// When each host was last disturbed.
+    /// Time of the last disturbance of each host.
     disturbed_ms: Vec<u64>,
-    /// What was answered by rules that must not decide any more.
+    /// Answers by rules that must no longer be applied.
     pub(crate) broken: Vec<String>,
-    /// Answers of hosts in touch: those that tell whether the queue is there, and those that
-    /// only say when to come again.
+    /// Number of answers of hosts in contact: those that state whether the queue exists, and those
+    /// that only state when to retry.
     pub(crate) definite_answers: u32,
     pub(crate) deferred_answers: u32,
 }
 
 impl RulesWatch {
-    /// Begins to watch a fleet that goes by its first rules.
+    /// Starts to check a fleet that applies its first rules.
     pub(crate) fn new(fleet: &Fleet) -> Self {
         let mut judge = RulesJudge::new(Limits {
             in_force_ms: IN_FORCE_MS,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Publishes rules that add a queue, or drop it if it is there. A store that does not
-    /// answer gets them once it does.
+    /// Publishes rules that add a queue, or remove it if it exists. A store that does not answer
+    /// gets them once it does.
     pub(crate) fn toggle(&mut self, letter: u8, fleet: &mut Fleet) {
         match self.queues.iter().position(|known| *known == letter) {
             Some(at) => drop(self.queues.remove(at)),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Has a caller ask a host for a queue, on a connection that it keeps.
+    /// Queries a host for a queue, on a connection that stays open.
     pub(crate) fn ask(&mut self, number: usize, letter: u8, fleet: &mut Fleet) {
         let Some(request) = fleet.ask_queue(number, &name(letter)) else {
             return;
@@ -117,12 +117,12 @@
         now_ms >= self.disturbed_ms[number] + CONTACT_MS
     }
 
-    /// Notes a disturbance of a host that the fleet does not show, as it is over at once.
+    /// Records a disturbance of a host that the fleet does not show because it ends at once.
     pub(crate) fn disturb(&mut self, number: usize, fleet: &Fleet) {
         self.disturbed_ms[number] = fleet.now_ms;
     }
 
-    /// Looks at what disturbs hosts, and judges the answers that came.
+    /// Records disturbed hosts, and checks the answers that arrived.
     pub(crate) fn check(&mut self, fleet: &mut Fleet) {
         for number in 0..self.disturbed_ms.len() {
             if fleet.is_disturbed(number) {
@@ -174,7 +174,7 @@
 }
 
 impl Fleet {
-    /// Tells whether something disturbs a host just now.
+    /// Returns whether a host is disturbed at present.
     pub(super) fn is_disturbed(&self, number: usize) -> bool {
         let host = &self.hosts[number];
         let is_store_well = self.store.mode == Mode::Up
@@ -183,7 +183,7 @@
         !is_store_well || host.is_paused || host.is_cut_from_store || host.entry.is_none()
     }
 
-    /// Asks a host how many jobs of a queue wait; `None` if it is not there to be asked.
+    /// Queries a host for the number of waiting jobs of a queue; `None` if the host does not run.
     fn ask_queue(&mut self, number: usize, name: &str) -> Option<u64> {
         let host = &self.hosts[number];
         let entry = host.entry.as_ref().filter(|_| !host.is_paused)?;
@@ -203,7 +203,7 @@
         Some(request)
     }
 
-    /// Gives the version of the rules that a host goes by; 0 for none.
+    /// Returns the version of the rules that a host applies; 0 for none.
     pub(crate) fn rules_version(&self, number: usize) -> u64 {
         let entry = self.hosts[number].entry.as_ref();
         entry
--- a/tests/fleet/store.rs
+++ b/tests/fleet/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: keyed streams, epochs, retention, outages.
+//! A stand-in of the platform's store with keyed streams, epochs, retention and outages.
 
 use goldcrestway_dispatch::AppendOutcome;
 use goldcrestway_dispatch::Fence;
@@ -11,17 +11,17 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Keys on one page, few enough that tests see several pages.
+/// Keys on one page, few enough that tests read several pages.
 const PAGE_KEYS: usize = 7;
 const MS_PER_S: u64 = 1_000;
 const US_PER_MS: u64 = 1_000;
 
-/// What the store bears of all hosts together.
+/// Capacity of the store for all hosts together.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Limits {
-    /// Bytes that it gives out in a second, to whoever came first.
+    /// Bytes per second that it sends, in order of arrival of the reads.
     pub(crate) read_bytes_per_s: u64,
-    /// Reads in a second beyond which it refuses.
+    /// Reads per second above which it refuses reads.
     pub(crate) reads_per_s: u64,
     /// Keys on one page.
     pub(crate) page_keys: usize,
@@ -37,18 +37,18 @@
     }
 }
 
-/// What the store has served out.
+/// Reads that the store has served.
 #[derive(Debug, Default)]
 struct ServedReads {
     bytes: u64,
-    /// When all of it has left.
+    /// Time at which all of these bytes have been sent.
     done_us: u64,
-    /// Reads in the second under way.
+    /// Current second, and the reads in it.
     second: u64,
     reads: u64,
 }
 
-/// One keyed stream.
+/// A keyed stream.
 #[derive(Default)]
 struct Topic {
     records: Vec<StoredRecord>,
@@ -56,7 +56,7 @@
     newest: BTreeMap<Box<str>, StoredRecord>,
     epoch: u64,
     replies: BTreeMap<u64, u64>,
-    /// Appends that came so far are done by then.
+    /// Time at which all appends so far are done.
     busy_until_ms: u64,
 }
 
@@ -66,41 +66,41 @@
     }
 }
 
-/// How the store behaves.
+/// Behaviour of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// It answers.
+    /// Answers every call.
     Up,
-    /// It refuses everything.
+    /// Refuses every call.
     Refuses,
-    /// It does what it is told and does not answer.
+    /// Executes every call and answers none.
     LosesAnswers,
-    /// It does nothing and does not answer.
+    /// Executes and answers no call.
     Silent,
 }
 
-/// What comes of a read.
+/// Outcome of a read.
 pub(crate) enum StoreRead {
-    /// It is answered at once.
+    /// Answered at once.
     Answered(ReadOutcome),
-    /// Nothing is there yet, so it waits.
+    /// Waits, as there is no record yet.
     Waits,
-    /// It is dropped; whoever sent it finds out by waiting in vain.
+    /// Dropped; the sender detects this only by its timeout.
     Dropped,
 }
 
-/// The store.
+/// The simulated store.
 pub(crate) struct Store {
     topics: BTreeMap<Stream, Topic>,
-    /// How it behaves.
+    /// Its behaviour.
     pub(crate) mode: Mode,
-    /// Time that a stream takes for one append; it takes one at a time.
+    /// Time that a stream takes for one append; appends to it are sequential.
     pub(crate) append_ms: u64,
-    /// Time that each answer takes on top.
+    /// Additional time of each answer.
     pub(crate) answer_ms: u64,
-    /// Largest record that it takes.
+    /// Largest record that it accepts.
     pub(crate) max_record_bytes: usize,
-    /// Streams that are away while the others are there.
+    /// Streams that are unavailable while the others work.
     pub(crate) unavailable: Vec<Stream>,
     pub(crate) limits: Limits,
     served: ServedReads,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Tells whether one more read may be made in this second.
+    /// Returns whether one more read is accepted in this second, and counts it.
     pub(crate) fn admits_read(&mut self, now_ms: u64) -> bool {
         let second = now_ms / MS_PER_S;
         if self.served.second != second {
@@ -131,7 +131,8 @@
         self.served.reads <= self.limits.reads_per_s
     }
 
-    /// Gives how long bytes wait behind those that are being served out already.
+    /// Returns the time in milliseconds for which bytes wait behind those that are being sent
+    /// already.
     pub(crate) fn queue_ms_for(&mut self, bytes: u64, now_ms: u64) -> u64 {
         let now_us = now_ms * US_PER_MS;
         let begins_us = self.served.done_us.max(now_us);
@@ -141,12 +142,12 @@
         (begins_us - now_us) / US_PER_MS
     }
 
-    /// Gives the bytes that were read so far.
+    /// Returns the number of bytes that were read so far.
     pub(crate) fn served_bytes(&self) -> u64 {
         self.served.bytes
     }
 
-    /// Gives when an append that comes now will be done.
+    /// Returns the time at which an append that arrives now will be done.
     pub(crate) fn done_ms(&mut self, stream: Stream, now_ms: u64) -> u64 {
         let append_ms = self.append_ms;
         let topic = self.topics.entry(stream).or_default();
@@ -154,7 +155,7 @@
         topic.busy_until_ms
     }
 
-    /// Writes a record as the operator or a worker does.
+    /// Stores a record as the operator or a worker does.
     pub(crate) fn put(&mut self, stream: Stream, key: &str, value: &[u8]) {
         self.store(stream, vec![(key.into(), value.into())]);
     }
@@ -178,7 +179,7 @@
         first
     }
 
-    /// Appends, if the fence allows it.
+    /// Appends records if the fence permits it.
     pub(crate) fn append(
         &mut self,
         stream: Stream,
@@ -227,7 +228,7 @@
         AppendOutcome::Stored { offset }
     }
 
-    /// Tells what becomes of reads of a stream, if they bring nothing.
+    /// Returns the fault of reads of a stream, if they fail.
     fn read_fault(&self, stream: Stream) -> Option<ReadFault> {
         match self.mode {
             _ if self.unavailable.contains(&stream) => Some(ReadFault::Refused),
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Reads on from an offset.
+    /// Reads records from an offset on.
     pub(crate) fn read(&mut self, stream: Stream, from: u64) -> StoreRead {
         match self.read_fault(stream) {
             Some(ReadFault::NoAnswer) => return StoreRead::Dropped,
@@ -258,12 +259,12 @@
         })
     }
 
-    /// Gives where a stream ends.
+    /// Returns the offset at which a stream ends.
     pub(crate) fn end(&mut self, stream: Stream) -> u64 {
         self.topics.entry(stream).or_default().end()
     }
 
-    /// Gives a page of the newest records.
+    /// Returns a page of the newest record of each key.
     pub(crate) fn newest(&mut self, stream: Stream, after: &str) -> LoadOutcome {
         if let Some(fault) = self.read_fault(stream) {
             return Err(fault);
@@ -290,14 +291,14 @@
         })
     }
 
-    /// Counts the keys of a stream.
+    /// Returns the number of keys of a stream.
     pub(crate) fn keys(&self, stream: Stream) -> usize {
         self.topics
             .get(&stream)
             .map_or(0, |topic| topic.newest.len())
     }
 
-    /// Drops the history of all streams; the newest record of each key stays.
+    /// Trims all streams; the newest record of each key stays.
     pub(crate) fn drop_history(&mut self) {
         for topic in self.topics.values_mut() {
             topic.oldest = topic.end();
--- a/tests/fleet/worker.rs
+++ b/tests/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a worker: tokens, leases, runs, ends, orders that come late.
+//! A stand-in of a worker with tokens, leases, runs, exits and late orders.
 
 use crate::fleet::promises::Promises;
 use goldcrestway_dispatch::ExitReason;
@@ -13,20 +13,20 @@
 use goldcrestway_dispatch::WorkerReport;
 use std::collections::BTreeMap;
 
-/// How a worker behaves.
+/// Behaviour of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Behaviour {
-    /// It works.
+    /// Tasks run normally.
     Healthy,
-    /// It answers, and what runs there stands still.
+    /// The worker answers, but its tasks make no progress.
     Hangs,
-    /// It fails all that it starts.
+    /// All tasks fail when they start.
     Fails,
-    /// It works, and what runs there takes six times as long.
+    /// Tasks take six times as long.
     Slow,
 }
 
-/// What runs there.
+/// A running task.
 #[derive(Debug, Clone)]
 struct Running {
     run: u32,
@@ -36,24 +36,24 @@
     work_ms: u64,
     is_long_running: bool,
     share_percent: u32,
-    /// When it is gone, once it was told to stop.
+    /// Time at which it has ended, once it is being stopped.
     stopped_ms: Option<u64>,
 }
 
-/// One incarnation of a worker.
+/// An incarnation of a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) id: Box<str>,
     pub(crate) is_alive: bool,
     pub(crate) behaviour: Behaviour,
     pub(crate) resources: Resources,
-    /// When its room last changed.
+    /// Time of the last change of its resources.
     resized_ms: u64,
-    /// When it started, which is when its clock began to count.
+    /// Time of its start, at which its clock began to count.
     started_ms: u64,
-    /// What it says of that.
+    /// Wall-clock time of its start as it reports it.
     pub(crate) started_wall_ms: u64,
-    /// It refuses what does not fit.
+    /// Whether it refuses tasks that exceed its resources.
     pub(crate) enforces_resources: bool,
     token: u64,
     lease_until_ms: u64,
@@ -61,21 +61,22 @@
     fenced_runs: BTreeMap<TaskId, u32>,
     exits: Vec<RunExit>,
     next_exit: u64,
-    /// The first end since the lease ran out; none while it is over.
+    /// First exit since the lease expired; `None` while the lease is expired.
     unexpired_from_exit: Option<u64>,
-    /// Ends that other members of a gang may have to end_gang_members.
+    /// Exits that may end the other members of a gang.
     recent_exits: Vec<(TaskId, u32, ExitReason)>,
-    /// Tail of serving tasks without fillers, and with each filler's share on top.
+    /// Tail latency of latency-critical tasks without best-effort tasks, and the latency that each
+    /// best-effort task at full share adds.
     pub(crate) tail_ms: u64,
     pub(crate) interference_ms: u64,
-    /// Time that a stop takes; what is being stopped still takes its room.
+    /// Time that a stop takes; a task that is being stopped still uses its resources.
     pub(crate) stop_ms: u64,
 }
 
-/// Time after which a room that has shrunk counts: a worker is out of touch for 3 s, and one
-/// beat later it has reported itself.
+/// Time after which reduced resources count: a worker is out of contact for 3 s, and has reported
+/// itself one report interval later.
 const RESOURCES_REPORTED_MS: u64 = 4_500;
-/// How many times as long tasks take on a slow worker.
+/// Factor by which tasks take longer on a slow worker.
 const SLOW_FACTOR: u64 = 6;
 /// Longest lease that a worker grants.
 const MAX_LEASE_MS: u64 = 6_000;
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Starts again under its id: it holds and knows nothing of before, and its counts and its
-    /// clock begin anew.
+    /// Restarts under the same id: all previous state is lost, and its counters and its clock start
+    /// again.
     pub(crate) fn restart(&mut self, now_ms: u64, started_wall_ms: u64) {
         *self = Self {
             started_ms: now_ms,
@@ -118,12 +119,12 @@
         };
     }
 
-    /// Gives the time of its clock.
+    /// Returns the time of its clock.
     fn clock_ms(&self, now_ms: u64) -> u64 {
         now_ms - self.started_ms
     }
 
-    /// Lets time pass.
+    /// Advances the time of its runs.
     pub(crate) fn advance(&mut self, now_ms: u64, step_ms: u64, promises: &mut Promises) {
         if !self.is_alive {
             return;
@@ -185,12 +186,12 @@
         self.next_exit += 1;
     }
 
-    /// Takes the ends since the last time.
+    /// Removes and returns the exits since the last call.
     pub(crate) fn drain_recent_exits(&mut self) -> Vec<(TaskId, u32, ExitReason)> {
         std::mem::take(&mut self.recent_exits)
     }
 
-    /// Ends the members of a gang that run there, as another one has ended.
+    /// Ends the members of a gang that run there, as another member has ended.
     pub(crate) fn end_gang_members(&mut self, other: TaskId, run: u32, exit_reason: ExitReason) {
         let is_member = |(task, running): &(&TaskId, &Running)| {
             task.job == other.job && task.step == other.step && running.run == run
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Dies: all that runs there ends unheard.
+    /// Stops without notice: its runs end unreported.
     pub(crate) fn die(&mut self) {
         for (task, running) in &self.running {
             self.recent_exits
@@ -220,30 +221,30 @@
         self.running.clear();
     }
 
-    /// Changes its room.
+    /// Changes its resources.
     pub(crate) fn resize(&mut self, resources: Resources, now_ms: u64) {
         self.resources = resources;
         self.resized_ms = now_ms;
     }
 
-    /// Gives when a task that runs there began.
+    /// Returns the start time of a running task; 0 if it does not run there.
     pub(crate) fn task_started_ms(&self, task: TaskId) -> u64 {
         self.running
             .get(&task)
             .map_or(0, |running| running.task_started_ms)
     }
 
-    /// Tells whether a task runs there.
+    /// Returns whether a task runs there.
     pub(crate) fn runs(&self, task: TaskId) -> bool {
         self.is_alive && self.running.contains_key(&task)
     }
 
-    /// Lists the tasks that run there.
+    /// Returns the tasks that run there.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
         self.running.keys().copied().filter(|_| self.is_alive)
     }
 
-    /// Gives the share at which each filler may work.
+    /// Returns the CPU share of each best-effort task, in percent.
     pub(crate) fn shares(&self) -> Vec<u32> {
         let fillers = self.running.values();
         fillers
@@ -252,7 +253,7 @@
             .collect()
     }
 
-    /// Carries an order out.
+    /// Executes an order.
     pub(crate) fn execute(
         &mut self,
         now_ms: u64,
@@ -376,7 +377,7 @@
             used = used.plus(running.resources);
         }
         if !self.resources.can_fit(used) {
-            // Until then its owner can't know that the room has shrunk.
+            // Before that, its owner cannot know that the resources were reduced.
             let since_ms = self.resized_ms.max(promises.disturbed_ms);
             let is_told = since_ms == 0 || now_ms >= since_ms + RESOURCES_REPORTED_MS;
             promises.refused_room += u32::from(is_told);
--- a/tests/fleet/worker_faults.rs
+++ b/tests/fleet/worker_faults.rs
@@ -1,4 +1,4 @@
-//! WorkerFaults of workers: tasks that take down whoever starts them, and rooms that shrink and grow.
+//! Injected faults of workers: tasks that crash their workers, and resources that change.
 
 use crate::fleet::Fleet;
 use goldcrestway_dispatch::Resources;
@@ -6,28 +6,29 @@
 use goldcrestway_dispatch::TaskId;
 use std::collections::BTreeMap;
 
-/// Time after which a worker that has crashed is back at its address, as another incarnation.
+/// Time after which a crashed worker is restarted at its address, as another incarnation.
 const RESTART_MS: u64 = 3_400;
-/// Time after which the platform no longer lists a worker that is silent.
+/// Time after which the platform no longer lists a silent worker.
 const UNLISTED_MS: u64 = 3_000;
-/// Time between two reports of a worker about itself.
+/// Interval between two reports of a worker about itself.
 const REPORT_INTERVAL_MS: u64 = 1_500;
 
-/// What goes wrong with workers of a fleet.
+/// Injected faults of the workers of a fleet, and those that are still to be applied.
 pub(super) struct WorkerFaults {
-    /// Tasks that crash their workers, and after how much time there.
+    /// Tasks that crash their workers, and the time for which they run before that.
     poisoned: BTreeMap<TaskId, u64>,
     back_ms: u64,
-    /// Workers that are back have the ids that they had.
+    /// Whether restarted workers keep their ids.
     keeps_ids: bool,
-    /// Their clocks are then set back by so much for each start.
+    /// Time by which their clocks are then set back for each restart.
     set_back_ms: u64,
-    /// Time after which they report themselves.
+    /// Time after which restarted workers report themselves.
     report_ms: u64,
-    /// Workers that will be back, and entries that will lapse.
+    /// Workers that will be restarted, and entries in the list of workers that will be removed,
+    /// with the time.
     returns: Vec<(u64, Box<str>)>,
     unlistings: Vec<(u64, Box<str>)>,
-    /// Rooms that workers are to report, by address.
+    /// Addresses of workers that will report their resources, with the time.
     reports: Vec<(u64, Box<str>)>,
     restarts: u64,
 }
@@ -48,45 +49,45 @@
     }
 }
 
-/// Takes what is due off a list.
+/// Removes the due entries of a list and returns their texts.
 fn drain_due(list: &mut Vec<(u64, Box<str>)>, now_ms: u64) -> Vec<Box<str>> {
     let due = list.extract_if(.., |entry| entry.0 <= now_ms);
     due.map(|entry| entry.1).collect()
 }
 
 impl Fleet {
-    /// Has a task crash each worker that it has been on for so long.
+    /// Makes a task crash each worker on which it has run for `delay_ms`.
     pub(crate) fn poison(&mut self, task: TaskId, delay_ms: u64) {
         self.worker_faults.poisoned.insert(task, delay_ms);
         self.promises.poisoned.insert(task);
     }
 
-    /// Has workers that crash from now on be back after so long.
+    /// Sets the time after which workers that crash from now on are restarted.
     pub(crate) fn set_back_ms(&mut self, back_ms: u64) {
         self.worker_faults.back_ms = back_ms;
     }
 
-    /// Has workers that are back from now on have the ids that they had, or others.
+    /// Sets whether workers that are restarted from now on keep their ids.
     pub(crate) fn keep_ids(&mut self, keeps_ids: bool) {
         self.worker_faults.keeps_ids = keeps_ids;
     }
 
-    /// Has workers that start again report themselves only after so long.
+    /// Sets the time after which restarted workers report themselves.
     pub(crate) fn set_report_ms(&mut self, report_ms: u64) {
         self.worker_faults.report_ms = report_ms;
     }
 
-    /// Has the clocks of workers that start again be set back by so much more each time.
+    /// Sets the time by which the clocks of restarted workers are set back further at each restart.
     pub(crate) fn set_clocks_back(&mut self, ms: u64) {
         self.worker_faults.set_back_ms = ms;
     }
 
-    /// Has a worker report that it is about to leave.
+    /// Makes a worker report that it is about to leave.
     pub(crate) fn announce_leave(&mut self, address: &str) {
         self.report_as(address, "leaving");
     }
 
-    /// Crashes a worker: all that runs there ends unheard, and it is back later.
+    /// Crashes a worker: all its runs end unreported, and it is restarted later.
     pub(crate) fn crash(&mut self, address: &str) {
         self.fail_worker(address, true);
     }
@@ -111,7 +112,8 @@
         self.worker_faults.returns.push((back_ms, address.into()));
     }
 
-    /// Changes what a worker has. It enforces that at once and reports it with its next beat.
+    /// Changes the resources of a worker. It enforces them at once and reports them one interval
+    /// later.
     pub(crate) fn resize(&mut self, address: &str, resources: Resources) {
         let Some(worker) = self.workers.get_mut(address) else {
             return;
@@ -122,7 +124,7 @@
             .push((self.now_ms + REPORT_INTERVAL_MS, address.into()));
     }
 
-    /// Lets happen what is due.
+    /// Applies the faults that are due.
     pub(super) fn apply_worker_faults(&mut self) {
         let now_ms = self.now_ms;
         let mut crashed = Vec::new();
