--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -255,7 +255,7 @@
         true => Fleet::with_relays(case.hosts, case.workers),
         false => Fleet::new(case.hosts, case.workers),
     };
-    fleet.set_back_ms(case.back_ms);
+    fleet.set_restart_delay_ms(case.back_ms);
     fleet.keep_ids(case.keeps_ids);
     for index in case.poisoned {
         fleet.poison(task(JOB, 0, *index), case.crash_ms);
@@ -418,7 +418,7 @@
             if second > 6 {
                 return;
             }
-            fleet.set_back_ms(500);
+            fleet.set_restart_delay_ms(500);
             for address in busy(fleet) {
                 fleet.announce_leave(&address);
                 fleet.run(100);
--- a/tests/dispatch_ends.rs
+++ b/tests/dispatch_ends.rs
@@ -38,7 +38,7 @@
         step: STEPS as u16 - 1,
         index: 0,
     };
-    while fleet.promises.ends_of(last) == 0 && fleet.now_ms < began_ms + 60_000 {
+    while fleet.promises.completions_of(last) == 0 && fleet.now_ms < began_ms + 60_000 {
         fleet.run(10);
     }
     let took_ms = fleet.now_ms - began_ms;
--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -159,7 +159,7 @@
 fn crash_some(fleet: &mut Fleet, random: &mut Pcg64) {
     const AWAY_MS: [u64; 6] = [5, 30, 300, 900, BACK_MS, 8_000];
     fleet.keep_ids(random.random_range(0..4) > 0);
-    fleet.set_back_ms(AWAY_MS[random.random_range(0..AWAY_MS.len())]);
+    fleet.set_restart_delay_ms(AWAY_MS[random.random_range(0..AWAY_MS.len())]);
     fleet.set_clocks_back([0, 60_000][random.random_range(0..2)]);
     fleet.set_report_ms([0, 1_500, 5_000][random.random_range(0..3)]);
     for worker in 0..WORKERS {
@@ -343,7 +343,7 @@
         fleet.cancel_evacuation("hall-0");
     }
     if ids == Ids::OldToo {
-        fleet.set_back_ms(BACK_MS);
+        fleet.set_restart_delay_ms(BACK_MS);
     }
     if callers == Callers::Poisonous {
         resize_in_calm(&mut fleet, &mut random, &mut jobs);
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -21,7 +21,7 @@
 fn seasoned(workers: usize) -> Fleet {
     let mut fleet = Fleet::new(3, workers);
     fleet.keep_ids(true);
-    fleet.set_back_ms(BACK_MS);
+    fleet.set_restart_delay_ms(BACK_MS);
     for number in 0..3 {
         let count = 8 * workers as u32;
         fleet.submit(0, JOB + 100 + number, &job(vec![step(count, 300, &[])]));
@@ -271,7 +271,7 @@
         false => Fleet::new(3, 4),
     };
     fleet.keep_ids(true);
-    fleet.set_back_ms(case.back_ms);
+    fleet.set_restart_delay_ms(case.back_ms);
     fleet.set_clocks_back(case.set_back_ms);
     fleet.set_report_ms(case.report_ms);
     for number in 0..3 {
@@ -350,7 +350,7 @@
 fn ends_are_not_forgotten_whenever_a_worker_starts_again() {
     for offset_ms in (0..800).step_by(5) {
         let mut fleet = seasoned(2);
-        fleet.set_back_ms(5);
+        fleet.set_restart_delay_ms(5);
         fleet.run(offset_ms);
         crash_all(&mut fleet);
         fleet.submit(0, JOB, &job(vec![step(8, 10, &[])]));
@@ -373,7 +373,7 @@
                 step: 0,
                 index,
             };
-            let ends = fleet.promises.ends_of(task);
+            let ends = fleet.promises.completions_of(task);
             expect_that!(ends, eq(1), "{offset_ms} ms: {:#?}", fleet.log_lines);
         }
     }
@@ -386,7 +386,7 @@
 fn a_lease_by_the_clock_of_a_former_life_is_waited_out() {
     for offset_ms in (500..700).step_by(5) {
         let mut fleet = seasoned(2);
-        fleet.set_back_ms(5);
+        fleet.set_restart_delay_ms(5);
         // Between two looks, so that the next one extends leases as if nothing had happened.
         fleet.run(offset_ms);
         crash_all(&mut fleet);
--- a/tests/dispatch_waits.rs
+++ b/tests/dispatch_waits.rs
@@ -117,7 +117,7 @@
             name: "workers have started again and not reported themselves",
             cause: |fleet| {
                 fleet.keep_ids(true);
-                fleet.set_back_ms(50);
+                fleet.set_restart_delay_ms(50);
                 fleet.set_report_ms(6_000);
                 for address in addresses(fleet) {
                     fleet.crash(&address);
@@ -264,7 +264,7 @@
     let all = addresses(fleet);
     let address = &all[random.random_range(0..WORKERS)];
     fleet.keep_ids(random.random_range(0..3) > 0);
-    fleet.set_back_ms([5, 400, 3_400][random.random_range(0..3)]);
+    fleet.set_restart_delay_ms([5, 400, 3_400][random.random_range(0..3)]);
     match random.random_range(0..8) {
         0 => {
             fleet.kill(host);
--- a/tests/fleet/actions.rs
+++ b/tests/fleet/actions.rs
@@ -127,7 +127,7 @@
             } => self.answer_permits(number, ticket, workers),
             Action::Answer { request, reply } => {
                 if reply == Reply::Stored
-                    && let Some(job) = self.asked.get(&request)
+                    && let Some(job) = self.submission_jobs.get(&request)
                 {
                     self.promises.accepted.insert(*job);
                 }
--- a/tests/fleet/callers.rs
+++ b/tests/fleet/callers.rs
@@ -15,7 +15,7 @@
         let request = self.requests;
         let job = JobId(id);
         self.promises.submitted.insert(job, submission.clone());
-        self.asked.insert(request, job);
+        self.submission_jobs.insert(request, job);
         let event = Event::Submit {
             request,
             job,
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -150,7 +150,7 @@
     /// Replies by request.
     pub(crate) replies: BTreeMap<u64, Reply>,
     /// Job that a submission is about, by request.
-    asked: BTreeMap<u64, JobId>,
+    submission_jobs: BTreeMap<u64, JobId>,
     /// If set, orders to workers are executed after this delay and not answered.
     pub(crate) order_delay_ms: Option<u64>,
     /// Delayed orders are also executed if their worker was restarted under its id meanwhile.
@@ -218,7 +218,7 @@
             deliveries: Vec::new(),
             requests: 0,
             replies: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            submission_jobs: BTreeMap::new(),
             order_delay_ms: None,
             late_orders_outlive_restarts: false,
             answer_delays: None,
--- a/tests/fleet/promises.rs
+++ b/tests/fleet/promises.rs
@@ -37,7 +37,7 @@
     /// Jobs that callers tried to cancel.
     pub(crate) cancelled: BTreeSet<JobId>,
     /// Tasks with a successful exit that the owner has acknowledged.
-    done: BTreeSet<TaskId>,
+    acknowledged: BTreeSet<TaskId>,
     /// Tasks that started again after a successful exit, with the number of the first such run.
     restarted: BTreeMap<TaskId, u32>,
     failures: BTreeMap<TaskId, u32>,
@@ -79,15 +79,15 @@
     /// Records that a worker is ordered to start a run, and returns the properties of the task.
     pub(crate) fn record_start_attempt(&mut self, worker: &str, task: TaskId, run: u32) -> Plan {
         self.starts.push((worker.into(), task, run));
-        if self.done.contains(&task) {
+        if self.acknowledged.contains(&task) {
             self.broken.push(format!(
-                "{task} run {run} starts at {worker} after its end was noted"
+                "{task} run {run} starts at {worker} after its exit was acknowledged"
             ));
         }
         let reported_ms = self.reported_ms.get(&task);
         if self.is_calm && reported_ms.is_some_and(|at_ms| self.now_ms > at_ms + REPORTED_MS) {
             self.broken.push(format!(
-                "{task} run {run} starts at {worker} after its end was listed"
+                "{task} run {run} starts at {worker} after its exit was reported"
             ));
         }
         let Some(job) = self.submitted.get(&task.job) else {
@@ -113,14 +113,14 @@
         }
         for before in &step.after {
             for index in 0..job.steps[*before as usize].count {
-                let earlier = TaskId {
+                let dependency = TaskId {
                     step: *before as u16,
                     index: index as u16,
                     ..task
                 };
-                if !self.ended.contains(&earlier) {
+                if !self.ended.contains(&dependency) {
                     self.broken
-                        .push(format!("{task} starts before {earlier} has ended"));
+                        .push(format!("{task} starts before {dependency} has ended"));
                 }
             }
         }
@@ -156,9 +156,9 @@
 
     /// Records that a worker crashes during a run of a task, without a cause or because of a task
     /// there.
-    pub(crate) fn record_crash(&mut self, task: TaskId, is_by_itself: bool) {
+    pub(crate) fn record_crash(&mut self, task: TaskId, is_unrelated: bool) {
         *self.crashes.entry(task).or_default() += 1;
-        if is_by_itself {
+        if is_unrelated {
             self.unrelated_victims.insert(task);
         }
     }
@@ -201,7 +201,7 @@
     }
 
     /// Returns the number of successful exits of a task.
-    pub(crate) fn ends_of(&self, task: TaskId) -> u32 {
+    pub(crate) fn completions_of(&self, task: TaskId) -> u32 {
         self.completions.get(&task).copied().unwrap_or(0)
     }
 
@@ -214,26 +214,26 @@
     }
 
     /// Records that a worker reports an exit and that its lease has not expired since.
-    pub(crate) fn record_reported_exit(&mut self, end: &RunExit) {
-        if end.exit_reason == ExitReason::Done {
-            self.reported_ms.entry(end.task).or_insert(self.now_ms);
+    pub(crate) fn record_reported_exit(&mut self, exit: &RunExit) {
+        if exit.exit_reason == ExitReason::Done {
+            self.reported_ms.entry(exit.task).or_insert(self.now_ms);
         }
     }
 
     /// Records that an exit is acknowledged to a worker. `has_expired` is whether the lease of the
     /// worker expired since the exit: then its tasks may have been given up.
-    pub(crate) fn record_acknowledged_exit(&mut self, end: &RunExit, has_expired: bool) {
-        let again = self.restarted.get(&end.task).copied();
-        let is_older = again.is_some_and(|run| end.run < run);
-        if end.exit_reason == ExitReason::Done && !has_expired && is_older {
-            let task = end.task;
+    pub(crate) fn record_acknowledged_exit(&mut self, exit: &RunExit, has_expired: bool) {
+        let again = self.restarted.get(&exit.task).copied();
+        let is_older = again.is_some_and(|run| exit.run < run);
+        if exit.exit_reason == ExitReason::Done && !has_expired && is_older {
+            let task = exit.task;
             self.broken.push(format!(
-                "{task} started again after an end that is noted now"
+                "{task} started again after an exit that is acknowledged only now"
             ));
         }
-        match end.exit_reason {
-            ExitReason::Done => drop(self.done.insert(end.task)),
-            ExitReason::Failed => *self.failures.entry(end.task).or_default() += 1,
+        match exit.exit_reason {
+            ExitReason::Done => drop(self.acknowledged.insert(exit.task)),
+            ExitReason::Failed => *self.failures.entry(exit.task).or_default() += 1,
             _ => {}
         }
     }
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -37,7 +37,7 @@
     queues: Vec<u8>,
     /// Rules that the store has not accepted yet.
     unsent: Vec<Vec<u8>>,
-    asked: Vec<PendingQuery>,
+    pending_queries: Vec<PendingQuery>,
     /// Time of the last disturbance of each host.
     disturbed_ms: Vec<u64>,
     /// Answers by rules that must no longer be applied.
@@ -62,7 +62,7 @@
             version: 1,
             queues: Vec::new(),
             unsent: Vec::new(),
-            asked: Vec::new(),
+            pending_queries: Vec::new(),
             disturbed_ms: vec![0; fleet.hosts.len()],
             broken: Vec::new(),
             definite_answers: 0,
@@ -103,7 +103,7 @@
         let Some(request) = fleet.ask_queue(number, &name(letter)) else {
             return;
         };
-        self.asked.push(PendingQuery {
+        self.pending_queries.push(PendingQuery {
             request,
             number,
             generation: fleet.hosts[number].generation,
@@ -130,22 +130,22 @@
             }
         }
         self.send(fleet);
-        for asked in std::mem::take(&mut self.asked) {
-            if fleet.hosts[asked.number].generation != asked.generation {
+        for query in std::mem::take(&mut self.pending_queries) {
+            if fleet.hosts[query.number].generation != query.generation {
                 continue;
             }
-            match fleet.replies.get(&asked.request) {
+            match fleet.replies.get(&query.request) {
                 Some(reply) => {
                     let reply = reply.clone();
-                    self.check_reply(&asked, &reply, fleet.now_ms);
+                    self.check_reply(&query, &reply, fleet.now_ms);
                 }
-                None => self.asked.push(asked),
+                None => self.pending_queries.push(query),
             }
         }
     }
 
-    fn check_reply(&mut self, asked: &PendingQuery, reply: &Reply, now_ms: u64) {
-        let was_in_touch = asked.was_in_touch && self.is_in_touch(asked.number, now_ms);
+    fn check_reply(&mut self, query: &PendingQuery, reply: &Reply, now_ms: u64) {
+        let was_in_touch = query.was_in_touch && self.is_in_touch(query.number, now_ms);
         let is_known = match reply {
             Reply::Waiting(_) => true,
             Reply::NoSuchQueue => false,
@@ -156,10 +156,10 @@
         };
         self.definite_answers += u32::from(was_in_touch);
         let verdict = self.judge.judge(&Answer {
-            host: &format!("{}/{}", asked.number, asked.generation),
-            queue: &asked.queue,
+            host: &format!("{}/{}", query.number, query.generation),
+            queue: &query.queue,
             is_known,
-            sent_ms: asked.sent_ms,
+            sent_ms: query.sent_ms,
             answered_ms: now_ms,
             was_in_touch,
         });
@@ -177,10 +177,10 @@
     /// Returns whether a host is disturbed at present.
     pub(super) fn is_disturbed(&self, number: usize) -> bool {
         let host = &self.hosts[number];
-        let is_store_well = self.store.mode == Mode::Up
+        let is_store_healthy = self.store.mode == Mode::Up
             && self.store.unavailable.is_empty()
             && self.store.answer_ms == 0;
-        !is_store_well || host.is_paused || host.is_cut_from_store || host.entry.is_none()
+        !is_store_healthy || host.is_paused || host.is_cut_from_store || host.entry.is_none()
     }
 
     /// Queries a host for the number of waiting jobs of a queue; `None` if the host does not run.
--- a/tests/fleet/store.rs
+++ b/tests/fleet/store.rs
@@ -135,11 +135,11 @@
     /// already.
     pub(crate) fn queue_ms_for(&mut self, bytes: u64, now_ms: u64) -> u64 {
         let now_us = now_ms * US_PER_MS;
-        let begins_us = self.served.done_us.max(now_us);
+        let start_us = self.served.done_us.max(now_us);
         let us_per_s = MS_PER_S * US_PER_MS;
-        self.served.done_us = begins_us + bytes * us_per_s / self.limits.read_bytes_per_s;
+        self.served.done_us = start_us + bytes * us_per_s / self.limits.read_bytes_per_s;
         self.served.bytes += bytes;
-        (begins_us - now_us) / US_PER_MS
+        (start_us - now_us) / US_PER_MS
     }
 
     /// Returns the number of bytes that were read so far.
@@ -272,10 +272,10 @@
         let topic = self.topics.entry(stream).or_default();
         let mut records = Vec::new();
         let mut has_more = false;
-        let behind = (Bound::Excluded(Box::from(after)), Bound::Unbounded);
+        let later_keys = (Bound::Excluded(Box::from(after)), Bound::Unbounded);
         for record in topic
             .newest
-            .range::<Box<str>, _>(behind)
+            .range::<Box<str>, _>(later_keys)
             .map(|(_, record)| record)
         {
             if records.len() == self.limits.page_keys {
--- a/tests/fleet/worker.rs
+++ b/tests/fleet/worker.rs
@@ -165,11 +165,11 @@
             if exit_reason == ExitReason::Done {
                 promises.record_completed(task);
             }
-            self.end(task, exit_reason);
+            self.finish(task, exit_reason);
         }
     }
 
-    fn end(&mut self, task: TaskId, exit_reason: ExitReason) {
+    fn finish(&mut self, task: TaskId, exit_reason: ExitReason) {
         let Some(running) = self.running.remove(&task) else {
             return;
         };
@@ -207,7 +207,7 @@
                 ExitReason::Done => ExitReason::Done,
                 _ => ExitReason::Broken,
             };
-            self.end(task, exit_reason);
+            self.finish(task, exit_reason);
         }
     }
 
@@ -246,8 +246,8 @@
 
     /// Returns the CPU share of each best-effort task, in percent.
     pub(crate) fn shares(&self) -> Vec<u32> {
-        let fillers = self.running.values();
-        fillers
+        let best_effort = self.running.values();
+        best_effort
             .filter(|running| !running.is_long_running)
             .map(|running| running.share_percent)
             .collect()
@@ -296,7 +296,7 @@
                     let gone_ms = now_ms - self.started_ms + self.stop_ms;
                     running.stopped_ms.get_or_insert(gone_ms);
                     if self.stop_ms == 0 {
-                        self.end(*task, ExitReason::Stopped);
+                        self.finish(*task, ExitReason::Stopped);
                     }
                 }
             }
@@ -313,26 +313,26 @@
                 if let Some(until_ms) = lease_until_ms {
                     self.extend(*until_ms, self.clock_ms(now_ms));
                 }
-                for end in self
+                for exit in self
                     .exits
                     .iter()
-                    .filter(|end| end.number <= *acknowledged_exit)
+                    .filter(|exit| exit.number <= *acknowledged_exit)
                 {
                     let has_expired = self
                         .unexpired_from_exit
-                        .is_none_or(|from| end.number < from);
-                    promises.record_acknowledged_exit(end, has_expired);
+                        .is_none_or(|from| exit.number < from);
+                    promises.record_acknowledged_exit(exit, has_expired);
                 }
-                self.exits.retain(|end| end.number > *acknowledged_exit);
-                for end in &self.exits {
+                self.exits.retain(|exit| exit.number > *acknowledged_exit);
+                for exit in &self.exits {
                     if self
                         .unexpired_from_exit
-                        .is_some_and(|from| end.number >= from)
+                        .is_some_and(|from| exit.number >= from)
                     {
-                        promises.record_reported_exit(end);
+                        promises.record_reported_exit(exit);
                     }
                 }
-                report = Some(self.list());
+                report = Some(self.build_report());
             }
         }
         OrderOutcome::Done {
@@ -400,7 +400,7 @@
         None
     }
 
-    fn list(&self) -> WorkerReport {
+    fn build_report(&self) -> WorkerReport {
         let mut interference_sum_ms = 0;
         for running in self
             .running
--- a/tests/fleet/worker_faults.rs
+++ b/tests/fleet/worker_faults.rs
@@ -17,19 +17,19 @@
 pub(super) struct WorkerFaults {
     /// Tasks that crash their workers, and the time for which they run before that.
     poisoned: BTreeMap<TaskId, u64>,
-    back_ms: u64,
+    restart_delay_ms: u64,
     /// Whether restarted workers keep their ids.
     keeps_ids: bool,
     /// Time by which their clocks are then set back for each restart.
-    set_back_ms: u64,
+    clock_setback_ms: u64,
     /// Time after which restarted workers report themselves.
     report_ms: u64,
     /// Workers that will be restarted, and entries in the list of workers that will be removed,
     /// with the time.
-    returns: Vec<(u64, Box<str>)>,
-    unlistings: Vec<(u64, Box<str>)>,
+    pending_restarts: Vec<(u64, Box<str>)>,
+    pending_unlistings: Vec<(u64, Box<str>)>,
     /// Addresses of workers that will report their resources, with the time.
-    reports: Vec<(u64, Box<str>)>,
+    pending_reports: Vec<(u64, Box<str>)>,
     restarts: u64,
 }
 
@@ -37,13 +37,13 @@
     fn default() -> Self {
         Self {
             poisoned: BTreeMap::new(),
-            back_ms: RESTART_MS,
+            restart_delay_ms: RESTART_MS,
             keeps_ids: false,
-            set_back_ms: 0,
+            clock_setback_ms: 0,
             report_ms: 0,
-            returns: Vec::new(),
-            unlistings: Vec::new(),
-            reports: Vec::new(),
+            pending_restarts: Vec::new(),
+            pending_unlistings: Vec::new(),
+            pending_reports: Vec::new(),
             restarts: 0,
         }
     }
@@ -63,8 +63,8 @@
     }
 
     /// Sets the time after which workers that crash from now on are restarted.
-    pub(crate) fn set_back_ms(&mut self, back_ms: u64) {
-        self.worker_faults.back_ms = back_ms;
+    pub(crate) fn set_restart_delay_ms(&mut self, restart_delay_ms: u64) {
+        self.worker_faults.restart_delay_ms = restart_delay_ms;
     }
 
     /// Sets whether workers that are restarted from now on keep their ids.
@@ -79,7 +79,7 @@
 
     /// Sets the time by which the clocks of restarted workers are set back further at each restart.
     pub(crate) fn set_clocks_back(&mut self, ms: u64) {
-        self.worker_faults.set_back_ms = ms;
+        self.worker_faults.clock_setback_ms = ms;
     }
 
     /// Makes a worker report that it is about to leave.
@@ -92,7 +92,7 @@
         self.fail_worker(address, true);
     }
 
-    fn fail_worker(&mut self, address: &str, is_by_itself: bool) {
+    fn fail_worker(&mut self, address: &str, is_unrelated: bool) {
         let Some(worker) = self.workers.get_mut(address) else {
             return;
         };
@@ -100,16 +100,18 @@
             return;
         }
         for task in worker.tasks() {
-            self.promises.record_crash(task, is_by_itself);
+            self.promises.record_crash(task, is_unrelated);
         }
         worker.die();
         let id = worker.id.clone();
         let now_ms = self.now_ms;
         self.worker_faults
-            .unlistings
+            .pending_unlistings
             .push((now_ms + UNLISTED_MS, id));
-        let back_ms = now_ms + self.worker_faults.back_ms;
-        self.worker_faults.returns.push((back_ms, address.into()));
+        let restart_ms = now_ms + self.worker_faults.restart_delay_ms;
+        self.worker_faults
+            .pending_restarts
+            .push((restart_ms, address.into()));
     }
 
     /// Changes the resources of a worker. It enforces them at once and reports them one interval
@@ -120,7 +122,7 @@
         };
         worker.resize(resources, self.now_ms);
         self.worker_faults
-            .reports
+            .pending_reports
             .push((self.now_ms + REPORT_INTERVAL_MS, address.into()));
     }
 
@@ -141,25 +143,27 @@
         for address in crashed {
             self.fail_worker(&address, false);
         }
-        for id in drain_due(&mut self.worker_faults.unlistings, now_ms) {
+        for id in drain_due(&mut self.worker_faults.pending_unlistings, now_ms) {
             let mut workers = self.workers.values();
             if !workers.any(|worker| worker.id == id && worker.is_alive) {
                 self.store.put(Stream::Workers, &id, &[]);
             }
         }
-        for address in drain_due(&mut self.worker_faults.returns, now_ms) {
+        for address in drain_due(&mut self.worker_faults.pending_restarts, now_ms) {
             if self.workers[&address].is_alive {
                 continue;
             }
             self.worker_faults.restarts += 1;
             if self.worker_faults.keeps_ids {
-                let started_wall_ms =
-                    self.wall_ms() - self.worker_faults.restarts * self.worker_faults.set_back_ms;
+                let started_wall_ms = self.wall_ms()
+                    - self.worker_faults.restarts * self.worker_faults.clock_setback_ms;
                 if let Some(worker) = self.workers.get_mut(&address) {
                     worker.restart(now_ms, started_wall_ms);
                 }
                 let report_ms = now_ms + self.worker_faults.report_ms;
-                self.worker_faults.reports.push((report_ms, address));
+                self.worker_faults
+                    .pending_reports
+                    .push((report_ms, address));
                 continue;
             }
             let id = format!("reborn-{}", self.worker_faults.restarts);
@@ -177,7 +181,7 @@
             }
             self.report(&address);
         }
-        for address in drain_due(&mut self.worker_faults.reports, now_ms) {
+        for address in drain_due(&mut self.worker_faults.pending_reports, now_ms) {
             self.report(&address);
         }
     }
