--- a/crates/dispatch/src/policy/interference.rs
+++ b/crates/dispatch/src/policy/interference.rs
@@ -16,8 +16,8 @@
 //! and independently for each task. Therefore changes are compared instead of levels: [`Baseline`]
 //! keeps the recent headroom of a task and the recent usage of the best-effort tasks beside it. The
 //! coefficients of a latency-critical image are the ones that best explain the deviations from this
-//! baseline, by least squares with no coefficient below 0. With levels over all polls instead, a
-//! best-effort image that happened to start while loads were high was taken for one that
+//! baseline, by least squares with no coefficient below 0. When levels over all polls were compared
+//! instead, a best-effort image that happened to start while loads were high was taken for one that
 //! interferes, and was never placed there again.
 
 use crate::policy::images::ImageKey;
--- a/crates/dispatch/src/policy/link.rs
+++ b/crates/dispatch/src/policy/link.rs
@@ -5,9 +5,9 @@
 //!
 //! **Without it** all of them are sent and queue in the network in order of arrival. Lease renewals
 //! wait behind orders that could wait: leases expire, and followers miss the owner's heartbeats and
-//! claim. It shows as answers that take as long as the queue. Therefore the owner sends no more
-//! than its link carries, and each priority leaves room for more important calls. A deferred call
-//! is decided on again a little later, by what is known then.
+//! claim ownership. It shows as answers that take as long as the queue. Therefore the owner sends
+//! no more than its link carries, and each priority leaves room for more important calls. A
+//! deferred call is decided on again a little later, by what is known then.
 //!
 //! **Limits:** the capacity of the link is a setting. At most 80 ms of it are sent at once, so that
 //! no call waits longer than that behind the owner's own bytes.
--- a/crates/dispatch/src/policy/polls.rs
+++ b/crates/dispatch/src/policy/polls.rs
@@ -8,8 +8,8 @@
 //! number to leave the owner time for its other work. The more workers there are, the later exits
 //! are known: at 6,000 workers after a second and a half, twice as long as a task takes. It shows
 //! as short jobs that take a multiple of their work although starts are fast. Therefore workers on
-//! which a task is about to end are polled continuously, and the others as often as the owner's
-//! processor allows.
+//! which a task is about to end are polled at a short fixed interval, and the others as often as
+//! the owner's processor allows.
 //!
 //! **Limits:** the death of an idle worker is detected by the next poll, or by a task that is
 //! started there and then takes one lease to be given up. Therefore the interval is bounded.
--- a/crates/dispatch/src/policy/suspicion.rs
+++ b/crates/dispatch/src/policy/suspicion.rs
@@ -7,14 +7,14 @@
 //! again on other workers forever. It shows as one task with a run on each worker that has crashed,
 //! and as tasks beside it that lose their workers repeatedly.
 //!
-//! **Limits:** a crash counts only against tasks that had not yet run for a while, since a worker
-//! has shown that it can run the others. One crash proves little, as hosts also crash by
-//! themselves. Therefore a task is blamed at the second crash if nothing else may have caused that
-//! one and if it was on another host than the first, and at the third crash on the same host. For
-//! this only runs count that the worker has confirmed: the order to start may have reached a worker
-//! that was down already. Suspected tasks are placed apart from each other, so that the next crash
-//! tells them apart. A run that works for a while clears its task. Crashes that coincide with
-//! others which nothing explains (a rack, a failure domain) raise no suspicion.
+//! **Limits:** a crash counts only against tasks that had not yet run for a while, since the worker
+//! had run the others without a crash. One crash proves little, as hosts also crash by themselves.
+//! Therefore a task is blamed at the second crash if nothing else may have caused that one and if
+//! it was on another host than the first, and at the third crash on the same host. For this only
+//! runs count that the worker has confirmed: the order to start may have reached a worker that was
+//! down already. Suspected tasks are placed apart from each other, so that the next crash tells
+//! them apart. A run that works for a while clears its task. Crashes that coincide with unexplained
+//! crashes of other workers (of a rack or a failure domain) raise no suspicion.
 //!
 //! Some tasks that crash workers cannot be told from tasks with bad luck: those that crash workers
 //! before these can answer, only after a while, always beside other suspects, or while other
