--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -376,7 +376,7 @@
             is_excused,
             is_long_running,
         };
-        let is_to_blame = state.suspicion.count(&crash) && !state.is_done;
+        let is_to_blame = state.suspicion.record_crash(&crash) && !state.is_done;
         let Suspicion {
             crashes, confirmed, ..
         } = state.suspicion;
@@ -450,7 +450,7 @@
     /// Tells whether a task has used up its starts.
     pub(super) fn is_used_up(&self, task: TaskId) -> bool {
         let state = self.task(self.suspicion_unit(task));
-        state.is_some_and(|state| state.suspicion.is_used_up())
+        state.is_some_and(|state| state.suspicion.is_exhausted())
     }
 
     /// Gives until when a task waits to know whether its workers crashed, if it does.
--- a/crates/dispatch/src/owner/placing.rs
+++ b/crates/dispatch/src/owner/placing.rs
@@ -202,7 +202,7 @@
                 continue;
             }
             let failed_on = task.failed_on;
-            if task.suspicion.is_used_up() {
+            if task.suspicion.is_exhausted() {
                 self.fail_crashing_job(key, id, now, actions);
                 return false;
             }
--- a/crates/dispatch/src/owner/shares.rs
+++ b/crates/dispatch/src/owner/shares.rs
@@ -21,7 +21,7 @@
 use crate::policy::interference::InterferenceModel;
 use crate::policy::interference::add_usage;
 use crate::policy::interference::headroom;
-use crate::policy::shares::ColocatedService;
+use crate::policy::shares::ColocatedTask;
 use crate::policy::shares::HEALTHY_HEADROOM;
 use crate::policy::shares::SuspendDelays;
 use crate::policy::shares::choose_share;
@@ -240,12 +240,12 @@
         let cores = run.cpu_milli as f64 / 1_000.0;
         let colocated = serving_tasks
             .iter()
-            .map(|(serving_image, headroom, over_ms)| ColocatedService {
+            .map(|(serving_image, headroom, over_ms)| ColocatedTask {
                 headroom: *headroom,
                 over_ms: *over_ms,
                 headroom_loss: interference.coefficient(*serving_image, run.image) * cores,
             });
-        let colocated: Vec<ColocatedService> = colocated.collect();
+        let colocated: Vec<ColocatedTask> = colocated.collect();
         run.target_share_percent = choose_share(
             before,
             &colocated,
--- a/crates/dispatch/src/owner/stragglers.rs
+++ b/crates/dispatch/src/owner/stragglers.rs
@@ -192,7 +192,7 @@
             if let Some(projected_ms) = projected_ms.filter(|_| expected.is_measured) {
                 speeds.entry(candidate.worker).or_default().push(Speed {
                     projected_ms,
-                    usual_ms: expected.total_ms,
+                    sibling_ms: expected.total_ms,
                 });
             }
         }
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -118,8 +118,8 @@
             self.begin_states_append(now_ms);
         }
         let before = actions.len();
-        let link_ms = self.link.carries_in_ms(self.writer.progress.last_bytes);
-        let extra_timeout_ms = EXTRA_TIMEOUT_FACTOR * (self.answers.usual_ms() + link_ms);
+        let link_ms = self.link.transfer_ms(self.writer.progress.last_bytes);
+        let extra_timeout_ms = EXTRA_TIMEOUT_FACTOR * (self.answers.typical_delay_ms() + link_ms);
         let Writer {
             progress, states, ..
         } = &mut self.writer;
--- a/tests/dispatch_all_lost.rs
+++ b/tests/dispatch_all_lost.rs
@@ -83,7 +83,7 @@
     store_finished_jobs(&mut fleet);
     fleet.run(1_000);
     fleet.store.limits = LIMITS;
-    let (calls_before, bytes_before) = (fleet.store_calls_made, fleet.store.given_bytes());
+    let (calls_before, bytes_before) = (fleet.store_calls_made, fleet.store.served_bytes());
     for number in 0..hosts {
         fleet.start(number);
     }
@@ -96,7 +96,7 @@
     expect_that!(unready, eq(0), "{hosts} hosts");
     let recovery = Recovery {
         calls: fleet.store_calls_made - calls_before,
-        bytes: fleet.store.given_bytes() - bytes_before,
+        bytes: fleet.store.served_bytes() - bytes_before,
         history_bytes,
     };
     // Every host knows the finished jobs and the new one, and that no other job exists.
--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -41,7 +41,7 @@
     fleet.poison(task(JOB, 0, 0), CRASH_MS);
     fleet.submit(0, JOB, &job(vec![step(4, 300, &[])]));
     fleet.run(40_000);
-    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.lines);
+    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.log_lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Failed)));
 }
 
@@ -258,7 +258,7 @@
         true => Fleet::with_relays(case.hosts, case.workers),
         false => Fleet::new(case.hosts, case.workers),
     };
-    fleet.set_back_ms(case.down_ms);
+    fleet.set_restart_delay_ms(case.down_ms);
     fleet.keep_ids(case.keeps_ids);
     for index in case.crashing_tasks {
         fleet.poison(task(JOB, 0, *index), case.crash_ms);
@@ -289,7 +289,7 @@
             some(eq(JobState::Failed)),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
         for index in case.crashing_tasks {
@@ -299,7 +299,7 @@
                 le(case.max_crashes),
                 "{}: {:#?}",
                 case.name,
-                fleet.lines
+                fleet.log_lines
             );
         }
     }
@@ -421,7 +421,7 @@
             if second > 6 {
                 return;
             }
-            fleet.set_back_ms(500);
+            fleet.set_restart_delay_ms(500);
             for address in busy_workers(fleet) {
                 fleet.announce_leave(&address);
                 fleet.run(100);
@@ -463,7 +463,7 @@
             some(eq(expected)),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
     }
@@ -493,7 +493,7 @@
             some(eq(expected)),
             "job {:x}: {:#?}",
             number + 1,
-            fleet.lines
+            fleet.log_lines
         );
     }
     expect_that!(fleet.promises.broken, is_empty());
--- a/tests/dispatch_disturbances.rs
+++ b/tests/dispatch_disturbances.rs
@@ -2,8 +2,8 @@
 
 use crate::dispatch::JOB;
 use crate::dispatch::owner;
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::Mode;
 use crate::fleet::job;
 use crate::fleet::step;
@@ -152,9 +152,9 @@
     Case {
         name: "orders carried out late",
         after_ms: 10,
-        inject: |fleet| fleet.late_ms = Some(2_000),
+        inject: |fleet| fleet.order_delay_ms = Some(2_000),
         duration_ms: 3_000,
-        recover: |fleet| fleet.late_ms = None,
+        recover: |fleet| fleet.order_delay_ms = None,
         ends_within_ms: 12_000,
     },
     // All tasks of a worker stall while it still answers each poll.
@@ -165,7 +165,7 @@
             let worker = fleet.workers.values_mut().next();
             worker
                 .into_iter()
-                .for_each(|worker| worker.manners = Manners::Hangs);
+                .for_each(|worker| worker.behaviour = Behaviour::Hangs);
         },
         duration_ms: 0,
         recover: nothing,
@@ -179,12 +179,12 @@
             let worker = fleet.workers.values_mut().next();
             worker
                 .into_iter()
-                .for_each(|worker| worker.manners = Manners::Fails);
+                .for_each(|worker| worker.behaviour = Behaviour::Fails);
         },
         duration_ms: 2_000,
         recover: |fleet| {
             for worker in fleet.workers.values_mut() {
-                worker.manners = Manners::Sound;
+                worker.behaviour = Behaviour::Healthy;
             }
         },
         ends_within_ms: 4_000,
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -21,7 +21,7 @@
 fn fleet_with_exits(workers: usize) -> Fleet {
     let mut fleet = Fleet::new(3, workers);
     fleet.keep_ids(true);
-    fleet.set_back_ms(DOWN_MS);
+    fleet.set_restart_delay_ms(DOWN_MS);
     for number in 0..3 {
         let count = 8 * workers as u32;
         fleet.submit(0, JOB + 100 + number, &job(vec![step(count, 300, &[])]));
@@ -51,7 +51,7 @@
     fleet.run(DOWN_MS + 3_000);
     fleet.submit(0, JOB, &job(vec![step(8, 1_000, &[])]));
     fleet.run(6_000);
-    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.lines);
+    expect_that!(fleet.promises.broken, is_empty(), "{:#?}", fleet.log_lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
@@ -72,7 +72,7 @@
         fleet.state(0, JOB),
         some(eq(JobState::Completed)),
         "{:#?}",
-        fleet.lines
+        fleet.log_lines
     );
 }
 
@@ -220,7 +220,7 @@
     Case {
         name: "with orders carried out late",
         disturb: |fleet, half_second| {
-            fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
+            fleet.order_delay_ms = matches!(half_second, 2..=4).then_some(2_500);
             if half_second == 4 {
                 crash_all_workers(fleet);
             }
@@ -230,8 +230,8 @@
     Case {
         name: "with orders carried out late by a later incarnation",
         disturb: |fleet, half_second| {
-            fleet.outlive_lives = true;
-            fleet.late_ms = matches!(half_second, 2..=4).then_some(2_500);
+            fleet.late_orders_outlive_restarts = true;
+            fleet.order_delay_ms = matches!(half_second, 2..=4).then_some(2_500);
             if half_second == 4 {
                 crash_all_workers(fleet);
             }
@@ -273,7 +273,7 @@
         false => Fleet::new(3, 4),
     };
     fleet.keep_ids(true);
-    fleet.set_back_ms(case.down_ms);
+    fleet.set_restart_delay_ms(case.down_ms);
     fleet.set_clocks_back(case.clock_back_ms);
     fleet.set_report_ms(case.report_ms);
     for number in 0..3 {
@@ -289,7 +289,7 @@
         fleet.run(500);
     }
     fleet.store.mode = Mode::Up;
-    fleet.late_ms = None;
+    fleet.order_delay_ms = None;
     fleet.cut_workers.clear();
     fleet.run(COMPLETION_MS);
     (fleet, jobs)
@@ -309,7 +309,7 @@
             is_empty(),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         for id in jobs {
             let request = fleet.replies.len();
@@ -319,7 +319,7 @@
                 !is_stored || state == Some(JobState::Completed),
                 "{}: job {id:x} is {state:?} after {request} answers: {:#?}",
                 case.name,
-                fleet.lines
+                fleet.log_lines
             );
         }
     }
@@ -341,7 +341,7 @@
     fleet.run(6_000);
     let starts = &fleet.promises.starts;
     let own_starts = starts.iter().filter(|(_, task, _)| task.job == JobId(JOB));
-    expect_that!(own_starts.count(), eq(8), "{:#?}", fleet.lines);
+    expect_that!(own_starts.count(), eq(8), "{:#?}", fleet.log_lines);
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     expect_that!(fleet.promises.broken, is_empty());
 }
@@ -353,7 +353,7 @@
 fn first_exits_of_a_restarted_worker_are_not_forgotten() {
     for offset_ms in (0..800).step_by(5) {
         let mut fleet = fleet_with_exits(2);
-        fleet.set_back_ms(5);
+        fleet.set_restart_delay_ms(5);
         fleet.run(offset_ms);
         crash_all_workers(&mut fleet);
         fleet.submit(0, JOB, &job(vec![step(8, 10, &[])]));
@@ -362,7 +362,7 @@
             fleet.promises.broken,
             is_empty(),
             "{offset_ms} ms: {:#?}",
-            fleet.lines
+            fleet.log_lines
         );
         expect_that!(
             fleet.state(0, JOB),
@@ -376,8 +376,8 @@
                 step: 0,
                 index,
             };
-            let ends = fleet.promises.ends_of(task);
-            expect_that!(ends, eq(1), "{offset_ms} ms: {:#?}", fleet.lines);
+            let ends = fleet.promises.completions_of(task);
+            expect_that!(ends, eq(1), "{offset_ms} ms: {:#?}", fleet.log_lines);
         }
     }
 }
@@ -389,7 +389,7 @@
 fn lease_by_the_clock_of_the_previous_incarnation_is_waited_out() {
     for offset_ms in (500..700).step_by(5) {
         let mut fleet = fleet_with_exits(2);
-        fleet.set_back_ms(5);
+        fleet.set_restart_delay_ms(5);
         // This is between two polls, so that the next one extends leases as if the worker had not
         // restarted.
         fleet.run(offset_ms);
@@ -401,7 +401,7 @@
         fleet.run(15_000);
         fleet.cut_workers.clear();
         fleet.run(35_000);
-        let lines = &fleet.lines;
+        let lines = &fleet.log_lines;
         expect_that!(fleet.promises.broken, is_empty(), "{offset_ms}: {lines:#?}");
         expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
     }
@@ -422,7 +422,12 @@
         fleet.submit(0, JOB + 1, &job(vec![step(4, 300, &[])]));
         fleet.run(1_500);
         let state = fleet.state(0, JOB + 1);
-        expect_that!(state, some(eq(JobState::Completed)), "{:#?}", fleet.lines);
+        expect_that!(
+            state,
+            some(eq(JobState::Completed)),
+            "{:#?}",
+            fleet.log_lines
+        );
         expect_that!(fleet.promises.broken, is_empty());
     }
 }
--- a/tests/dispatch_late_starts.rs
+++ b/tests/dispatch_late_starts.rs
@@ -64,10 +64,10 @@
         let mut fleet = Fleet::new(4, 3);
         let first_owner = owner(&fleet);
         let entry_host = (first_owner + 1) % 4;
-        fleet.late_ms = Some(case.late_ms);
+        fleet.order_delay_ms = Some(case.late_ms);
         fleet.submit(entry_host, 0x7, &job(vec![step(3, 60_000, &[])]));
         fleet.run(300);
-        fleet.late_ms = None;
+        fleet.order_delay_ms = None;
         fleet.run(case.cancel_ms);
         fleet.cancel(entry_host, 0x7);
         if let Some(removed_ms) = case.removed_ms {
--- a/tests/dispatch_links.rs
+++ b/tests/dispatch_links.rs
@@ -84,7 +84,11 @@
             fleet.run(case.interval_ms);
         }
         let ended = fleet.promises.ended.len();
-        let removed = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
+        let removed = fleet
+            .note_counts
+            .get(&Code::WorkerGone)
+            .copied()
+            .unwrap_or(0);
         expect_that!(fleet.promises.broken, is_empty(), "{}", case.name);
         expect_that!(removed, eq(0), "{}", case.name);
         expect_that!(fleet.claims, eq(1), "{}", case.name);
@@ -117,7 +121,7 @@
     fleet.run(8_000);
     eprintln!(
         "{:?} claims {} before {before} now {}",
-        fleet.notes, fleet.claims, fleet.now_ms
+        fleet.note_counts, fleet.claims, fleet.now_ms
     );
     // Two hosts whose turns come at the same time may both claim.
     expect_that!(fleet.claims - before, le(2));
@@ -145,7 +149,7 @@
         let mut jobs = 0;
         for _ in 0..LATE_STEPS {
             let max_ms = [100, 400, 1_000, 3_000, 10_000][random.random_range(0..5)];
-            fleet.answers_late = Some((max_ms / 10, max_ms, random.random()));
+            fleet.answer_delays = Some((max_ms / 10, max_ms, random.random()));
             if random.random_range(0..6) == 0 {
                 let host = random.random_range(0..HOSTS);
                 fleet.kill(host);
@@ -158,7 +162,7 @@
             fleet.submit(random.random_range(0..HOSTS), jobs, &submission);
             fleet.run(LATE_STEP_MS);
         }
-        fleet.answers_late = None;
+        fleet.answer_delays = None;
         fleet.run(DRAIN_MS);
         expect_that!(fleet.promises.broken, is_empty(), "seed {seed}");
         for id in fleet.promises.accepted.clone() {
--- a/tests/dispatch_outages.rs
+++ b/tests/dispatch_outages.rs
@@ -49,12 +49,12 @@
         fleet.submit(0, JOB, &job(vec![step(6, 9_000, &[]), step(2, 200, &[0])]));
         fleet.run(300);
         let starts = fleet.promises.starts.len();
-        fleet.store.away = away.to_vec();
+        fleet.store.unavailable = away.to_vec();
         let owner = owner(&fleet);
         fleet.kill(owner);
         fleet.run(8_000);
         expect_that!(fleet.owners(), eq(1), "{away:?}");
-        fleet.store.away.clear();
+        fleet.store.unavailable.clear();
         fleet.run(5_000);
         expect_that!(fleet.promises.broken, is_empty(), "{away:?}");
         let alive = (owner + 1) % 3;
@@ -74,7 +74,7 @@
 #[gtest]
 fn submissions_use_available_partitions() {
     let mut fleet = Fleet::new(3, 4);
-    fleet.store.away = vec![Stream::Jobs(0), Stream::Jobs(2)];
+    fleet.store.unavailable = vec![Stream::Jobs(0), Stream::Jobs(2)];
     let mut requests = Vec::new();
     for number in 0..12 {
         let host = number as usize % 3;
@@ -108,8 +108,8 @@
         fleet.start(owner);
         fleet.run(1_500);
     }
-    expect_that!(fleet.store_calls_most, gt(10));
-    expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
+    expect_that!(fleet.max_store_calls, gt(10));
+    expect_that!(fleet.max_store_calls, le(MAX_STORE_CALLS));
 }
 
 /// Time in which an owner that reaches the store reads what other hosts have stored.
@@ -131,7 +131,7 @@
         fleet.submit(other, 0x1, &job(vec![long_running]));
         fleet.run(2_000 + 150 * offset);
         expect_that!(fleet.promises.starts.len(), eq(4));
-        fleet.lose_calls(owner(&fleet));
+        fleet.drop_store_connections(owner(&fleet));
         fleet.run(50);
         fleet.submit(other, JOB, &job(vec![step(2, 500, &[])]));
         fleet.cancel(other, 0x1);
@@ -164,7 +164,7 @@
         }
         fleet.run(1_500);
     }
-    expect_that!(fleet.store_calls_most, le(MAX_STORE_CALLS));
+    expect_that!(fleet.max_store_calls, le(MAX_STORE_CALLS));
 }
 
 /// Callers with queries for a job that a host does not know waited for 0.9 s before they were told
@@ -256,11 +256,11 @@
         fleet.submit(owner, JOB, &submission);
         fleet.run(60);
         let starts = fleet.promises.starts.len();
-        fleet.store.away = all_partitions.clone();
+        fleet.store.unavailable = all_partitions.clone();
         fleet.kill(owner);
         fleet.run(3_000);
         expect_that!(fleet.owners(), eq(1), "partition {partition}");
-        fleet.store.away.truncate(3);
+        fleet.store.unavailable.truncate(3);
         let mut stored = fleet.submit(other, JOB, &submission);
         for _ in 0..20 {
             fleet.run(200);
@@ -275,7 +275,7 @@
             eq(starts),
             "partition {partition}"
         );
-        fleet.store.away.clear();
+        fleet.store.unavailable.clear();
         fleet.run(4_000);
         expect_that!(
             fleet.promises.starts.len(),
--- a/tests/dispatch_relays.rs
+++ b/tests/dispatch_relays.rs
@@ -46,7 +46,7 @@
     },
     Case {
         name: "the connections of a relay go silent",
-        inject_fault: |fleet, relay| fleet.silence_links(relay),
+        inject_fault: |fleet, relay| fleet.silence_connections(relay),
         end_fault: no_fault,
         ends_within_ms: 4_500,
     },
@@ -116,7 +116,11 @@
     };
     fleet.submit(owner, JOB, &job(vec![long_running]));
     fleet.run(12_000);
-    let removed = fleet.notes.get(&Code::WorkerGone).copied().unwrap_or(0);
+    let removed = fleet
+        .note_counts
+        .get(&Code::WorkerGone)
+        .copied()
+        .unwrap_or(0);
     expect_that!(removed, eq(0));
     let starts = fleet.promises.starts.len();
     expect_that!(starts, eq(20), "each task started once");
--- a/tests/dispatch_resizes.rs
+++ b/tests/dispatch_resizes.rs
@@ -115,7 +115,7 @@
     for case in CASES {
         let mut fleet = Fleet::new(4, 4);
         for worker in fleet.workers.values_mut() {
-            worker.guards = case.guards;
+            worker.enforces_resources = case.guards;
             worker.stop_ms = case.stop_ms;
         }
         fleet.submit(0, JOB, &job(vec![step(20, 9_000, &[])]));
--- a/tests/dispatch_rules.rs
+++ b/tests/dispatch_rules.rs
@@ -53,7 +53,7 @@
     },
     Case {
         name: "all connections to the store go silent",
-        inject_fault: |fleet| (0..HOSTS).for_each(|number| fleet.lose_calls(number)),
+        inject_fault: |fleet| (0..HOSTS).for_each(|number| fleet.drop_store_connections(number)),
         duration_ms: 0,
         end_fault: |_| {},
     },
@@ -61,7 +61,7 @@
         name: "history dropped, and connections go silent",
         inject_fault: |fleet| {
             fleet.store.drop_history();
-            (0..HOSTS).for_each(|number| fleet.lose_calls(number));
+            (0..HOSTS).for_each(|number| fleet.drop_store_connections(number));
         },
         duration_ms: 0,
         end_fault: |_| {},
@@ -75,7 +75,7 @@
             watch.ask(number, letter, fleet);
         }
         fleet.run(QUERY_INTERVAL_MS);
-        watch.look(fleet);
+        watch.check(fleet);
     }
 }
 
@@ -104,7 +104,12 @@
             query_for(&mut fleet, &mut watch, b'a', 100);
             watch.toggle(b'a', &mut fleet);
             query_for(&mut fleet, &mut watch, b'a', 5_000);
-            expect_that!(watch.told, gt(0), "{}, offset {offset}", case.name);
+            expect_that!(
+                watch.definite_answers,
+                gt(0),
+                "{}, offset {offset}",
+                case.name
+            );
             broken.extend(watch.broken.into_iter().take(1));
             for number in 0..HOSTS {
                 expect_that!(fleet.rules_version(number), eq(3), "{}", case.name);
@@ -135,7 +140,7 @@
             (0..HOSTS).for_each(|number| watch.disturb(number, fleet));
         }
         10 => {
-            fleet.lose_calls(host);
+            fleet.drop_store_connections(host);
             watch.disturb(host, fleet);
         }
         11 => {
@@ -183,7 +188,7 @@
             watch.ask(number, letter, &mut fleet);
         }
         fleet.run(QUERY_INTERVAL_MS);
-        watch.look(&mut fleet);
+        watch.check(&mut fleet);
     }
     watch
 }
@@ -200,9 +205,13 @@
     for seed in 0..sequences {
         let watch = run_sequence(seed);
         expect_that!(watch.broken, is_empty(), "seed {seed}");
-        expect_that!(watch.told, gt(100), "seed {seed}");
+        expect_that!(watch.definite_answers, gt(100), "seed {seed}");
         // A host that reaches the store answers queries, and rarely tells the caller to retry.
-        expect_that!(watch.deferred * 100, le(watch.told), "seed {seed}");
+        expect_that!(
+            watch.deferred_answers * 100,
+            le(watch.definite_answers),
+            "seed {seed}"
+        );
     }
 }
 
--- a/tests/dispatch_stragglers.rs
+++ b/tests/dispatch_stragglers.rs
@@ -1,8 +1,8 @@
 //! Tasks that take longer than their siblings, either by themselves or because of their worker.
 
 use crate::dispatch::JOB;
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::job;
 use crate::fleet::step;
 use goldcrestway_dispatch::JobId;
@@ -38,7 +38,7 @@
 fn tasks_of_a_slow_worker_are_restarted_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
     if let Some(worker) = fleet.workers.get_mut("10.0.0.0:80") {
-        worker.manners = Manners::Slow;
+        worker.behaviour = Behaviour::Slow;
     }
     fleet.submit(0, JOB, &job(vec![step(36, USUAL_MS, &[])]));
     fleet.run(3 * USUAL_MS);
@@ -52,7 +52,7 @@
 fn stalled_tasks_are_restarted_elsewhere() {
     let mut fleet = Fleet::new(3, 6);
     if let Some(worker) = fleet.workers.get_mut("10.0.0.0:80") {
-        worker.manners = Manners::Hangs;
+        worker.behaviour = Behaviour::Hangs;
     }
     fleet.submit(0, JOB, &job(vec![step(36, USUAL_MS, &[])]));
     fleet.run(4 * USUAL_MS);
--- a/tests/dispatch_waits.rs
+++ b/tests/dispatch_waits.rs
@@ -1,8 +1,8 @@
 //! Reasons why a task waits: each is reported, and each wait ends once its cause has ended.
 
 use crate::dispatch::JOB;
+use crate::fleet::Behaviour;
 use crate::fleet::Fleet;
-use crate::fleet::Manners;
 use crate::fleet::WORKER_RESOURCES;
 use crate::fleet::job;
 use crate::fleet::step;
@@ -65,9 +65,9 @@
     fleet.workers.keys().cloned().collect()
 }
 
-fn set_manners(fleet: &mut Fleet, manners: Manners) {
+fn set_manners(fleet: &mut Fleet, behaviour: Behaviour) {
     for worker in fleet.workers.values_mut() {
-        worker.manners = manners;
+        worker.behaviour = behaviour;
     }
 }
 
@@ -91,10 +91,10 @@
                     max_per_worker: 4,
                     ..step(8, 300, &[])
                 };
-                set_manners(fleet, Manners::Fails);
+                set_manners(fleet, Behaviour::Fails);
                 fleet.submit(0, JOB + 1, &job(vec![spread]));
                 fleet.run(30);
-                set_manners(fleet, Manners::Sound);
+                set_manners(fleet, Behaviour::Healthy);
             },
             step: wide(2),
             expected_detail: "Shunned=2",
@@ -116,7 +116,7 @@
             name: "workers have restarted and are not listed yet",
             cause: |fleet| {
                 fleet.keep_ids(true);
-                fleet.set_back_ms(50);
+                fleet.set_restart_delay_ms(50);
                 fleet.set_report_ms(6_000);
                 for address in addresses(fleet) {
                     fleet.crash(&address);
@@ -228,13 +228,13 @@
         fleet.submit(0, JOB, &job(vec![case.step.clone()]));
         fleet.run(WATCHED_MS);
         let prefix = format!("TaskWaits {:016x}.", JOB);
-        let lines = fleet.lines.iter();
+        let lines = fleet.log_lines.iter();
         let mut waits = lines.filter(|line| line.contains(&prefix));
         expect_true!(
             waits.any(|line| line.contains(case.expected_detail)),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
         (case.end)(&mut fleet);
         fleet.run(case.ends_within_ms);
@@ -248,7 +248,7 @@
             some(eq(expected)),
             "{}: {:#?}",
             case.name,
-            fleet.lines
+            fleet.log_lines
         );
     }
 }
@@ -264,7 +264,7 @@
     let all = addresses(fleet);
     let address = &all[random.random_range(0..WORKERS)];
     fleet.keep_ids(random.random_range(0..3) > 0);
-    fleet.set_back_ms([5, 400, 3_400][random.random_range(0..3)]);
+    fleet.set_restart_delay_ms([5, 400, 3_400][random.random_range(0..3)]);
     match random.random_range(0..8) {
         0 => {
             fleet.kill(host);
@@ -272,8 +272,8 @@
         }
         1 => fleet.cut_workers = vec![address.clone()],
         2 => fleet.cut_workers.clear(),
-        3 => fleet.late_ms = Some(random.random_range(500..3_000)),
-        4 => fleet.late_ms = None,
+        3 => fleet.order_delay_ms = Some(random.random_range(500..3_000)),
+        4 => fleet.order_delay_ms = None,
         5 => fleet.stop(host),
         _ => {
             for address in &all {
@@ -311,7 +311,7 @@
         for _ in 0..12 {
             disturb(&mut fleet, &mut random, &mut jobs);
         }
-        fleet.late_ms = None;
+        fleet.order_delay_ms = None;
         fleet.cut_workers.clear();
         for host in 0..3 {
             fleet.kill(host);
@@ -338,7 +338,7 @@
             expect_true!(
                 has_started(task),
                 "seed {seed}, submitted at {submitted_ms}: {:#?}",
-                fleet.lines
+                fleet.log_lines
             );
         }
         fleet.run(4_000);
@@ -353,7 +353,7 @@
             expect_true!(
                 is_well,
                 "seed {seed}: job {id:x} is {state:?}: {:#?}",
-                fleet.lines
+                fleet.log_lines
             );
         }
     }
--- a/tests/fleet/promises.rs
+++ b/tests/fleet/promises.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked as workers and callers see it.
+//! Invariants of the whole system, checked from the view of workers and callers.
 
 use goldcrestway_dispatch::ExitReason;
 use goldcrestway_dispatch::JobId;
@@ -9,85 +9,85 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// What a worker must know of a task that it starts.
+/// Properties of a task that a worker needs to simulate a run.
 pub(crate) struct Plan {
     pub(crate) resources: Resources,
     pub(crate) work_ms: u64,
     pub(crate) is_long_running: bool,
 }
 
-/// Time after which an end that was listed in an answer counts as noted, where nothing but the
-/// host itself keeps the answer from it.
-const LISTED_MS: u64 = 100;
+/// Time after which an exit that was reported in an answer counts as known to the owner, where
+/// nothing but the host itself delays the answer.
+const REPORTED_MS: u64 = 100;
 
-/// Workers that may crash under a task before its starts are counted, and starts after that
-/// which are too many.
-const CRASHES_MOST: u32 = 3;
-const STARTS_MORE: u32 = 3;
-/// Time without a disturbance after which hosts are in touch.
+/// Crashed workers after which the starts of a task are counted, and the number of further starts
+/// that is too large.
+const MAX_CRASHES: u32 = 3;
+const MAX_EXCESS_STARTS: u32 = 3;
+/// Time without a disturbance after which hosts are in contact.
 const CONTACT_MS: u64 = 3_000;
 
-/// The promises, and what was seen so far.
+/// Invariants, and the observations by which they are checked.
 #[derive(Default)]
 pub(crate) struct Promises {
-    /// All jobs that callers tried to hand in.
+    /// All jobs that callers tried to submit.
     pub(crate) submitted: BTreeMap<JobId, Submission>,
-    /// Jobs of which a caller was told that they are stored.
+    /// Jobs that were acknowledged to a caller as stored.
     pub(crate) accepted: BTreeSet<JobId>,
     /// Jobs that callers tried to cancel.
     pub(crate) cancelled: BTreeSet<JobId>,
-    /// Ends that workers were told to forget.
-    done: BTreeSet<TaskId>,
-    /// Tasks that started after they had ended well, and under which number first.
+    /// Tasks with a successful exit that the owner has acknowledged.
+    acknowledged: BTreeSet<TaskId>,
+    /// Tasks that started again after a successful exit, with the number of the first such run.
     restarted: BTreeMap<TaskId, u32>,
     failures: BTreeMap<TaskId, u32>,
-    /// Tasks that take another time than their step says.
+    /// Durations of tasks that differ from the estimate of their step.
     pub(crate) lengths: BTreeMap<TaskId, u64>,
-    /// Tasks that crash the workers that start them.
+    /// Tasks that crash each worker that starts them.
     pub(crate) poisoned: BTreeSet<TaskId>,
-    /// Jobs that no worker understands, and jobs whose tasks fail at once.
+    /// Jobs that every worker rejects as faulty, and jobs whose tasks fail at once.
     pub(crate) faulty: BTreeSet<JobId>,
     pub(crate) failing: BTreeSet<JobId>,
-    /// Workers that have crashed under a task, whether it was the cause or not.
+    /// Number of workers that have crashed during a run of a task, whatever the cause.
     pub(crate) crashes: BTreeMap<TaskId, u32>,
-    /// Tasks under which a worker has crashed for no cause of theirs or their neighbours'.
-    pub(crate) luckless: BTreeSet<TaskId>,
-    /// Starts of poisoned tasks after too many workers had crashed under them.
-    excess: BTreeMap<TaskId, u32>,
-    /// Tasks that have ended well, noted or not.
+    /// Tasks that lost a worker to a crash that no task caused.
+    pub(crate) unrelated_victims: BTreeSet<TaskId>,
+    /// Starts of poisoned tasks after too many of their workers had crashed.
+    excess_starts: BTreeMap<TaskId, u32>,
+    /// Tasks with a successful exit, whether acknowledged or not.
     pub(crate) ended: BTreeSet<TaskId>,
-    /// How often tasks have ended well.
-    well_ended: BTreeMap<TaskId, u32>,
-    /// Starts, in order.
+    /// Number of successful exits by task.
+    completions: BTreeMap<TaskId, u32>,
+    /// Starts in order, as worker, task and run.
     pub(crate) starts: Vec<(Box<str>, TaskId, u32)>,
-    /// When something was last disturbed, which keeps owners from knowing what workers have.
+    /// Time of the last disturbance that may keep owners from knowing what workers have.
     pub(crate) disturbed_ms: u64,
-    /// Starts that lacked room, refused or not.
+    /// Starts that exceeded the resources of a worker, whether refused or not.
     pub(crate) refused_room: u32,
-    /// Starts that were refused for want of a permit.
+    /// Starts that were refused because they had no permit.
     pub(crate) refused_permits: u32,
-    /// Nothing disturbs: a host must take note of what workers list, however late its answers.
+    /// Nothing is disturbed: a host must process what workers report, however late the answers are.
     pub(crate) is_calm: bool,
     pub(crate) now_ms: u64,
-    /// When an end that went well was first listed, before its worker's lease ran out.
-    listed_ms: BTreeMap<TaskId, u64>,
-    /// Promises that were broken.
+    /// Time of the first report of a successful exit before the lease of its worker expired.
+    reported_ms: BTreeMap<TaskId, u64>,
+    /// Descriptions of violated invariants.
     pub(crate) broken: Vec<String>,
 }
 
 impl Promises {
-    /// Notes that a worker begins a run, and says what it needs.
-    pub(crate) fn note_start(&mut self, worker: &str, task: TaskId, run: u32) -> Plan {
+    /// Records that a worker is ordered to start a run, and returns the properties of the task.
+    pub(crate) fn record_start_attempt(&mut self, worker: &str, task: TaskId, run: u32) -> Plan {
         self.starts.push((worker.into(), task, run));
-        if self.done.contains(&task) {
+        if self.acknowledged.contains(&task) {
             self.broken.push(format!(
-                "{task} run {run} starts at {worker} after its end was noted"
+                "{task} run {run} starts at {worker} after its exit was acknowledged"
             ));
         }
-        let listed_ms = self.listed_ms.get(&task);
-        if self.is_calm && listed_ms.is_some_and(|at_ms| self.now_ms > at_ms + LISTED_MS) {
+        let reported_ms = self.reported_ms.get(&task);
+        if self.is_calm && reported_ms.is_some_and(|at_ms| self.now_ms > at_ms + REPORTED_MS) {
             self.broken.push(format!(
-                "{task} run {run} starts at {worker} after its end was listed"
+                "{task} run {run} starts at {worker} after its exit was reported"
             ));
         }
         let Some(job) = self.submitted.get(&task.job) else {
@@ -113,14 +113,14 @@
         }
         for before in &step.after {
             for index in 0..job.steps[*before as usize].count {
-                let earlier = TaskId {
+                let dependency = TaskId {
                     step: *before as u16,
                     index: index as u16,
                     ..task
                 };
-                if !self.ended.contains(&earlier) {
+                if !self.ended.contains(&dependency) {
                     self.broken
-                        .push(format!("{task} starts before {earlier} has ended"));
+                        .push(format!("{task} starts before {dependency} has ended"));
                 }
             }
         }
@@ -135,37 +135,39 @@
         }
     }
 
-    /// Notes that a run has begun.
-    pub(crate) fn note_begun(&mut self, task: TaskId) {
+    /// Records that a run has started.
+    pub(crate) fn record_start(&mut self, task: TaskId) {
         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
-        if !self.poisoned.contains(&task) || crashes < CRASHES_MOST {
+        if !self.poisoned.contains(&task) || crashes < MAX_CRASHES {
             return;
         }
-        // Hosts that are disturbed are not in touch, and need not know of all crashes.
+        // Disturbed hosts are not in contact and need not know of all crashes.
         if self.disturbed_ms > 0 && self.now_ms < self.disturbed_ms + CONTACT_MS {
             return;
         }
-        let excess = self.excess.entry(task).or_default();
-        *excess += 1;
-        if *excess == STARTS_MORE {
+        let excess_starts = self.excess_starts.entry(task).or_default();
+        *excess_starts += 1;
+        if *excess_starts == MAX_EXCESS_STARTS {
             self.broken.push(format!(
-                "{task} started {STARTS_MORE} times more after {CRASHES_MOST} workers had crashed under it"
+                "{task} started {MAX_EXCESS_STARTS} times more after {MAX_CRASHES} workers had crashed under it"
             ));
         }
     }
 
-    /// Notes that a worker crashes under a task, by itself or since some task there took it down.
-    pub(crate) fn note_crash(&mut self, task: TaskId, is_by_itself: bool) {
+    /// Records that a worker crashes during a run of a task, without a cause or because of a task
+    /// there.
+    pub(crate) fn record_crash(&mut self, task: TaskId, is_unrelated: bool) {
         *self.crashes.entry(task).or_default() += 1;
-        if is_by_itself {
-            self.luckless.insert(task);
+        if is_unrelated {
+            self.unrelated_victims.insert(task);
         }
     }
 
-    /// Tells whether a job may be shown as failed: a task of it has failed too often, or two
-    /// workers have crashed under one that crashes whoever starts it, or that had bad luck. Those
-    /// that merely stood beside such tasks may not, unless so many workers have crashed under them,
-    /// too, that nothing tells them apart within the starts that a poisoned task may have.
+    /// Returns whether a job may be reported as failed: one of its tasks has failed too often, or
+    /// has lost two workers and either crashes its workers or had crashes that no task caused.
+    /// Tasks that merely ran beside a poisoned one must not fail their job, unless so many of their
+    /// workers have crashed as well that they cannot be told apart within the starts that a
+    /// poisoned task may have.
     pub(crate) fn may_fail(&self, id: JobId) -> bool {
         let is_of = |task: &TaskId| task.job == id;
         let max_attempts = self.submitted[&id].max_attempts;
@@ -173,64 +175,65 @@
         let mut crashes = self.crashes.iter().filter(|(task, _)| is_of(task));
         failures.any(|(_, count)| *count >= max_attempts)
             || crashes.any(|(task, count)| {
-                let is_doubtful = self.poisoned.contains(task) || self.luckless.contains(task);
-                *count >= 2 && is_doubtful || *count > CRASHES_MOST
+                let may_be_blamed =
+                    self.poisoned.contains(task) || self.unrelated_victims.contains(task);
+                *count >= 2 && may_be_blamed || *count > MAX_CRASHES
             })
     }
 
-    /// Gives how many workers all poisoned tasks together have taken down.
+    /// Returns how many workers all poisoned tasks together have crashed.
     pub(crate) fn crashes_of_poisoned(&self) -> u32 {
         let crashes = self.crashes.iter();
         let poisoned = crashes.filter(|(task, _)| self.poisoned.contains(task));
         poisoned.map(|(_, count)| count).sum()
     }
 
-    /// Tells whether a task starts on permitted workers only.
+    /// Returns whether a task may start only on permitted workers.
     pub(crate) fn needs_permit(&self, task: TaskId) -> bool {
         let job = self.submitted.get(&task.job);
         job.is_some_and(|job| job.permit_validity_ms > 0)
     }
 
-    /// Notes that a run of a task has ended well.
-    pub(crate) fn note_well_ended(&mut self, task: TaskId) {
+    /// Records a successful exit of a task.
+    pub(crate) fn record_completed(&mut self, task: TaskId) {
         self.ended.insert(task);
-        *self.well_ended.entry(task).or_default() += 1;
+        *self.completions.entry(task).or_default() += 1;
     }
 
-    /// Gives how many runs of a task have ended well.
-    pub(crate) fn ends_of(&self, task: TaskId) -> u32 {
-        self.well_ended.get(&task).copied().unwrap_or(0)
+    /// Returns the number of successful exits of a task.
+    pub(crate) fn completions_of(&self, task: TaskId) -> u32 {
+        self.completions.get(&task).copied().unwrap_or(0)
     }
 
-    /// Notes that a gang has ended well, which one end of a member stands for.
-    pub(crate) fn note_gang_done(&mut self, member: TaskId) {
+    /// Records the successful exit of a gang, for which the exit of one member stands.
+    pub(crate) fn record_gang_completed(&mut self, member: TaskId) {
         let count = self.submitted[&member.job].steps[usize::from(member.step)].count;
         for index in 0..count as u16 {
             self.ended.insert(TaskId { index, ..member });
         }
     }
 
-    /// Notes that a worker lists an end, and that its lease has not run out since.
-    pub(crate) fn note_listed(&mut self, end: &RunExit) {
-        if end.exit_reason == ExitReason::Done {
-            self.listed_ms.entry(end.task).or_insert(self.now_ms);
+    /// Records that a worker reports an exit and that its lease has not expired since.
+    pub(crate) fn record_reported_exit(&mut self, exit: &RunExit) {
+        if exit.exit_reason == ExitReason::Done {
+            self.reported_ms.entry(exit.task).or_insert(self.now_ms);
         }
     }
 
-    /// Notes that a worker is told to forget an end, and whether its lease ran out since: then
-    /// its tasks may have been given up.
-    pub(crate) fn note_end(&mut self, end: &RunExit, has_lapsed: bool) {
-        let again = self.restarted.get(&end.task).copied();
-        let is_older = again.is_some_and(|run| end.run < run);
-        if end.exit_reason == ExitReason::Done && !has_lapsed && is_older {
-            let task = end.task;
+    /// Records that an exit is acknowledged to a worker. `has_expired` is whether the lease of the
+    /// worker expired since the exit: then its tasks may have been given up.
+    pub(crate) fn record_acknowledged_exit(&mut self, exit: &RunExit, has_expired: bool) {
+        let again = self.restarted.get(&exit.task).copied();
+        let is_older = again.is_some_and(|run| exit.run < run);
+        if exit.exit_reason == ExitReason::Done && !has_expired && is_older {
+            let task = exit.task;
             self.broken.push(format!(
-                "{task} started again after an end that is noted now"
+                "{task} started again after an exit that is acknowledged only now"
             ));
         }
-        match end.exit_reason {
-            ExitReason::Done => drop(self.done.insert(end.task)),
-            ExitReason::Failed => *self.failures.entry(end.task).or_default() += 1,
+        match exit.exit_reason {
+            ExitReason::Done => drop(self.acknowledged.insert(exit.task)),
+            ExitReason::Failed => *self.failures.entry(exit.task).or_default() += 1,
             _ => {}
         }
     }
--- a/tests/fleet/reading.rs
+++ b/tests/fleet/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of hosts on their way to the store, held by it, answered, or lost.
+//! Reads and loads of hosts: sent to the store, waiting there, answered, or lost.
 
 use crate::fleet::CALL_MS;
 use crate::fleet::Delivery;
@@ -12,23 +12,23 @@
 use goldcrestway_dispatch::ReadOutcome;
 use goldcrestway_dispatch::Stream;
 
-/// A read that waits for a record.
+/// A read that may wait for a record.
 pub(super) struct Reader {
     pub(super) number: usize,
-    pub(super) life: u64,
+    pub(super) generation: u64,
     pub(super) ticket: u64,
     pub(super) stream: Stream,
     pub(super) from: u64,
     pub(super) until_ms: u64,
     pub(super) sent_ms: u64,
-    /// When the host gives it up.
+    /// Time at which the host gives it up.
     pub(super) give_up_ms: u64,
 }
 
 /// A load of a page.
 pub(super) struct Loader {
     pub(super) number: usize,
-    pub(super) life: u64,
+    pub(super) generation: u64,
     pub(super) ticket: u64,
     pub(super) stream: Stream,
     pub(super) after: Box<str>,
@@ -62,7 +62,7 @@
                     ReadOutcome::Records { records, .. } => read_bytes(records),
                     _ => 0,
                 };
-                let queue_ms = self.store.give_ms(bytes, self.now_ms);
+                let queue_ms = self.store.queue_ms_for(bytes, self.now_ms);
                 let link_ms = self.hosts[reader.number].receiving_ms(self.now_ms, bytes);
                 match self.now_ms + queue_ms > reader.give_up_ms {
                     true => (reader.give_up_ms, ReadOutcome::Failed(ReadFault::NoAnswer)),
@@ -73,7 +73,7 @@
         };
         let ticket = reader.ticket;
         let event = Event::Read { ticket, outcome };
-        let delivery = Delivery::ToEntry(reader.number, reader.life, event);
+        let delivery = Delivery::ToEntry(reader.number, reader.generation, event);
         self.deliveries.push((at_ms, delivery));
     }
 
@@ -87,7 +87,7 @@
         };
         let mut queue_ms = 0;
         if let Ok(Page { records, .. }) = &page {
-            queue_ms = self.store.give_ms(read_bytes(records), self.now_ms);
+            queue_ms = self.store.queue_ms_for(read_bytes(records), self.now_ms);
         }
         if self.now_ms + queue_ms > loader.give_up_ms {
             page = Err(ReadFault::NoAnswer);
@@ -106,23 +106,23 @@
             ticket,
             outcome: page,
         };
-        let delivery = Delivery::ToEntry(loader.number, loader.life, event);
+        let delivery = Delivery::ToEntry(loader.number, loader.generation, event);
         self.deliveries.push((at_ms, delivery));
     }
 
-    /// Tells whether a call of a host to the store, sent at that time, gets no answer.
+    /// Returns whether a call of a host to the store, sent at `sent_ms`, gets no answer.
     fn is_lost(&self, number: usize, sent_ms: u64) -> bool {
         let host = &self.hosts[number];
         host.is_cut_from_store || sent_ms < host.lost_until_ms
     }
 
-    /// Has all connections of a host to the store go silent; new ones work.
-    pub(crate) fn lose_calls(&mut self, number: usize) {
+    /// Makes all present connections of a host to the store go silent; new ones work.
+    pub(crate) fn drop_store_connections(&mut self, number: usize) {
         self.hosts[number].lost_until_ms = self.now_ms;
         self.hosts[number].disturbed_ms = self.now_ms;
     }
 
-    /// Gives when an answer that the store gives now is with its host.
+    /// Returns the time at which an answer that the store sends now reaches its host.
     fn answered_ms(&self) -> u64 {
         self.now_ms + CALL_MS + self.store.answer_ms
     }
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that change in series, and callers who show which ones each host goes by.
+//! Rules that change repeatedly, and callers that show which version each host applies.
 
 use crate::fleet::Fleet;
 use crate::fleet::Mode;
@@ -11,45 +11,45 @@
 use goldcrestway_judge::Limits;
 use goldcrestway_judge::RulesJudge;
 
-/// Time in which rules are in force at hosts that are in touch.
+/// Time after which rules are in force at hosts that are in contact.
 pub(crate) const IN_FORCE_MS: u64 = 2_000;
-/// Time without disturbance after which a host is in touch.
+/// Time without a disturbance after which a host is in contact.
 pub(crate) const CONTACT_MS: u64 = 3_000;
-/// Time in which answers of a host may overtake one another.
+/// Time within which answers of a host may overtake one another.
 const ORDER_SLACK_MS: u64 = 250;
 
-/// A caller's question on its way.
-struct Asked {
+/// A query of a caller that is not answered yet.
+struct PendingQuery {
     request: u64,
     number: usize,
-    /// Which life of the host was asked.
-    life: u64,
+    /// Instance of the host to which it was sent.
+    generation: u64,
     queue: Box<str>,
     sent_ms: u64,
     was_in_touch: bool,
 }
 
-/// What callers were told, judged by what was published.
+/// Answers to callers, checked against the published rules.
 pub(crate) struct RulesWatch {
     judge: RulesJudge,
     version: u8,
     /// Letters of the queues of the newest rules.
     queues: Vec<u8>,
-    /// Rules that the store has not taken yet.
+    /// Rules that the store has not accepted yet.
     unsent: Vec<Vec<u8>>,
-    asked: Vec<Asked>,
-    /// When each host was last disturbed.
+    pending_queries: Vec<PendingQuery>,
+    /// Time of the last disturbance of each host.
     disturbed_ms: Vec<u64>,
-    /// What was answered by rules that must not decide any more.
+    /// Answers by rules that must no longer be applied.
     pub(crate) broken: Vec<String>,
-    /// Answers of hosts in touch: those that tell whether the queue is there, and those that
-    /// only say when to come again.
-    pub(crate) told: u32,
-    pub(crate) deferred: u32,
+    /// Number of answers of hosts in contact: those that state whether the queue exists, and those
+    /// that only state when to retry.
+    pub(crate) definite_answers: u32,
+    pub(crate) deferred_answers: u32,
 }
 
 impl RulesWatch {
-    /// Begins to watch a fleet that goes by its first rules.
+    /// Starts to check a fleet that applies its first rules.
     pub(crate) fn new(fleet: &Fleet) -> Self {
         let mut judge = RulesJudge::new(Limits {
             in_force_ms: IN_FORCE_MS,
@@ -62,16 +62,16 @@
             version: 1,
             queues: Vec::new(),
             unsent: Vec::new(),
-            asked: Vec::new(),
+            pending_queries: Vec::new(),
             disturbed_ms: vec![0; fleet.hosts.len()],
             broken: Vec::new(),
-            told: 0,
-            deferred: 0,
+            definite_answers: 0,
+            deferred_answers: 0,
         }
     }
 
-    /// Publishes rules that add a queue, or drop it if it is there. A store that does not
-    /// answer gets them once it does.
+    /// Publishes rules that add a queue, or remove it if it exists. A store that does not answer
+    /// gets them once it does.
     pub(crate) fn toggle(&mut self, letter: u8, fleet: &mut Fleet) {
         match self.queues.iter().position(|known| *known == letter) {
             Some(at) => drop(self.queues.remove(at)),
@@ -88,8 +88,8 @@
     }
 
     fn send(&mut self, fleet: &mut Fleet) {
-        let is_away = fleet.store.away.contains(&Stream::Rules);
-        if fleet.store.mode != Mode::Up || is_away {
+        let is_unavailable = fleet.store.unavailable.contains(&Stream::Rules);
+        if fleet.store.mode != Mode::Up || is_unavailable {
             return;
         }
         for value in self.unsent.drain(..) {
@@ -98,15 +98,15 @@
         }
     }
 
-    /// Has a caller ask a host for a queue, on a connection that it keeps.
+    /// Queries a host for a queue, on a connection that stays open.
     pub(crate) fn ask(&mut self, number: usize, letter: u8, fleet: &mut Fleet) {
         let Some(request) = fleet.ask_queue(number, &name(letter)) else {
             return;
         };
-        self.asked.push(Asked {
+        self.pending_queries.push(PendingQuery {
             request,
             number,
-            life: fleet.hosts[number].life,
+            generation: fleet.hosts[number].generation,
             queue: name(letter).into(),
             sent_ms: fleet.now_ms,
             was_in_touch: self.is_in_touch(number, fleet.now_ms),
@@ -117,49 +117,49 @@
         now_ms >= self.disturbed_ms[number] + CONTACT_MS
     }
 
-    /// Notes a disturbance of a host that the fleet does not show, as it is over at once.
+    /// Records a disturbance of a host that the fleet does not show because it ends at once.
     pub(crate) fn disturb(&mut self, number: usize, fleet: &Fleet) {
         self.disturbed_ms[number] = fleet.now_ms;
     }
 
-    /// Looks at what disturbs hosts, and judges the answers that came.
-    pub(crate) fn look(&mut self, fleet: &mut Fleet) {
+    /// Records disturbed hosts, and checks the answers that arrived.
+    pub(crate) fn check(&mut self, fleet: &mut Fleet) {
         for number in 0..self.disturbed_ms.len() {
             if fleet.is_disturbed(number) {
                 self.disturb(number, fleet);
             }
         }
         self.send(fleet);
-        for asked in std::mem::take(&mut self.asked) {
-            if fleet.hosts[asked.number].life != asked.life {
+        for query in std::mem::take(&mut self.pending_queries) {
+            if fleet.hosts[query.number].generation != query.generation {
                 continue;
             }
-            match fleet.replies.get(&asked.request) {
+            match fleet.replies.get(&query.request) {
                 Some(reply) => {
                     let reply = reply.clone();
-                    self.take(&asked, &reply, fleet.now_ms);
+                    self.check_reply(&query, &reply, fleet.now_ms);
                 }
-                None => self.asked.push(asked),
+                None => self.pending_queries.push(query),
             }
         }
     }
 
-    fn take(&mut self, asked: &Asked, reply: &Reply, now_ms: u64) {
-        let was_in_touch = asked.was_in_touch && self.is_in_touch(asked.number, now_ms);
+    fn check_reply(&mut self, query: &PendingQuery, reply: &Reply, now_ms: u64) {
+        let was_in_touch = query.was_in_touch && self.is_in_touch(query.number, now_ms);
         let is_known = match reply {
             Reply::Waiting(_) => true,
             Reply::NoSuchQueue => false,
             _ => {
-                self.deferred += u32::from(was_in_touch);
+                self.deferred_answers += u32::from(was_in_touch);
                 return;
             }
         };
-        self.told += u32::from(was_in_touch);
+        self.definite_answers += u32::from(was_in_touch);
         let verdict = self.judge.judge(&Answer {
-            host: &format!("{}/{}", asked.number, asked.life),
-            queue: &asked.queue,
+            host: &format!("{}/{}", query.number, query.generation),
+            queue: &query.queue,
             is_known,
-            sent_ms: asked.sent_ms,
+            sent_ms: query.sent_ms,
             answered_ms: now_ms,
             was_in_touch,
         });
@@ -174,15 +174,16 @@
 }
 
 impl Fleet {
-    /// Tells whether something disturbs a host just now.
+    /// Returns whether a host is disturbed at present.
     pub(super) fn is_disturbed(&self, number: usize) -> bool {
         let host = &self.hosts[number];
-        let is_store_well =
-            self.store.mode == Mode::Up && self.store.away.is_empty() && self.store.answer_ms == 0;
-        !is_store_well || host.is_paused || host.is_cut_from_store || host.entry.is_none()
+        let is_store_healthy = self.store.mode == Mode::Up
+            && self.store.unavailable.is_empty()
+            && self.store.answer_ms == 0;
+        !is_store_healthy || host.is_paused || host.is_cut_from_store || host.entry.is_none()
     }
 
-    /// Asks a host how many jobs of a queue wait; `None` if it is not there to be asked.
+    /// Queries a host for the number of waiting jobs of a queue; `None` if the host does not run.
     fn ask_queue(&mut self, number: usize, name: &str) -> Option<u64> {
         let host = &self.hosts[number];
         let entry = host.entry.as_ref().filter(|_| !host.is_paused)?;
@@ -202,7 +203,7 @@
         Some(request)
     }
 
-    /// Gives the version of the rules that a host goes by; 0 for none.
+    /// Returns the version of the rules that a host applies; 0 for none.
     pub(crate) fn rules_version(&self, number: usize) -> u64 {
         let entry = self.hosts[number].entry.as_ref();
         entry
--- a/tests/fleet/worker.rs
+++ b/tests/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a worker: tokens, leases, runs, ends, orders that come late.
+//! A stand-in of a worker with tokens, leases, runs, exits and late orders.
 
 use crate::fleet::promises::Promises;
 use goldcrestway_dispatch::ExitReason;
@@ -13,124 +13,125 @@
 use goldcrestway_dispatch::WorkerReport;
 use std::collections::BTreeMap;
 
-/// How a worker behaves.
+/// Behaviour of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Manners {
-    /// It works.
-    Sound,
-    /// It answers, and what runs there stands still.
+pub(crate) enum Behaviour {
+    /// Tasks run normally.
+    Healthy,
+    /// The worker answers, but its tasks make no progress.
     Hangs,
-    /// It fails all that it starts.
+    /// All tasks fail when they start.
     Fails,
-    /// It works, and what runs there takes six times as long.
+    /// Tasks take six times as long.
     Slow,
 }
 
-/// What runs there.
+/// A running task.
 #[derive(Debug, Clone)]
 struct Running {
     run: u32,
-    begun_ms: u64,
+    task_started_ms: u64,
     resources: Resources,
-    left_ms: u64,
+    remaining_ms: u64,
     work_ms: u64,
     is_long_running: bool,
     share_percent: u32,
-    /// When it is gone, once it was told to stop.
+    /// Time at which it has ended, once it is being stopped.
     stopped_ms: Option<u64>,
 }
 
-/// One incarnation of a worker.
+/// An incarnation of a worker.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) id: Box<str>,
     pub(crate) is_alive: bool,
-    pub(crate) manners: Manners,
+    pub(crate) behaviour: Behaviour,
     pub(crate) resources: Resources,
-    /// When its room last changed.
+    /// Time of the last change of its resources.
     resized_ms: u64,
-    /// When it started, which is when its clock began to count.
+    /// Time of its start, at which its clock began to count.
     started_ms: u64,
-    /// What it says of that.
-    pub(crate) born_wall_ms: u64,
-    /// It refuses what does not fit.
-    pub(crate) guards: bool,
+    /// Wall-clock time of its start as it reports it.
+    pub(crate) started_wall_ms: u64,
+    /// Whether it refuses tasks that exceed its resources.
+    pub(crate) enforces_resources: bool,
     token: u64,
     lease_until_ms: u64,
     running: BTreeMap<TaskId, Running>,
-    barred: BTreeMap<TaskId, u32>,
+    fenced_runs: BTreeMap<TaskId, u32>,
     exits: Vec<RunExit>,
     next_exit: u64,
-    /// The first end since the lease ran out; none while it is over.
-    unlapsed_from: Option<u64>,
-    /// Ends that other members of a gang may have to follow.
-    broken_off: Vec<(TaskId, u32, ExitReason)>,
-    /// Tail of serving tasks without fillers, and with each filler's share on top.
+    /// First exit since the lease expired; `None` while the lease is expired.
+    unexpired_from_exit: Option<u64>,
+    /// Exits that may end the other members of a gang.
+    recent_exits: Vec<(TaskId, u32, ExitReason)>,
+    /// Tail latency of latency-critical tasks without best-effort tasks, and the latency that each
+    /// best-effort task at full share adds.
     pub(crate) tail_ms: u64,
-    pub(crate) press_ms: u64,
-    /// Time that a stop takes; what is being stopped still takes its room.
+    pub(crate) interference_ms: u64,
+    /// Time that a stop takes; a task that is being stopped still uses its resources.
     pub(crate) stop_ms: u64,
 }
 
-/// Time after which a room that has shrunk counts: a worker is out of touch for 3 s, and one
-/// beat later it has reported itself.
-const ROOM_TOLD_MS: u64 = 4_500;
-/// How many times as long tasks take on a slow worker.
+/// Time after which reduced resources count: a worker is out of contact for 3 s, and has reported
+/// itself one report interval later.
+const RESOURCES_REPORTED_MS: u64 = 4_500;
+/// Factor by which tasks take longer on a slow worker.
 const SLOW_FACTOR: u64 = 6;
 /// Longest lease that a worker grants.
-const LEASE_MOST_MS: u64 = 6_000;
+const MAX_LEASE_MS: u64 = 6_000;
 
 impl Worker {
     pub(crate) fn new(id: &str, resources: Resources) -> Self {
         Self {
             id: id.into(),
             is_alive: true,
-            manners: Manners::Sound,
+            behaviour: Behaviour::Healthy,
             resources,
             resized_ms: 0,
             started_ms: 0,
-            born_wall_ms: 0,
-            guards: true,
+            started_wall_ms: 0,
+            enforces_resources: true,
             token: 0,
             lease_until_ms: 0,
             running: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            fenced_runs: BTreeMap::new(),
             exits: Vec::new(),
             next_exit: 1,
-            unlapsed_from: None,
-            broken_off: Vec::new(),
+            unexpired_from_exit: None,
+            recent_exits: Vec::new(),
             tail_ms: 5,
-            press_ms: 0,
+            interference_ms: 0,
             stop_ms: 0,
         }
     }
 
-    /// Starts again under its id: it holds and knows nothing of before, and its counts and its
-    /// clock begin anew.
-    pub(crate) fn start_again(&mut self, now_ms: u64, born_wall_ms: u64) {
+    /// Restarts under the same id: all previous state is lost, and its counters and its clock start
+    /// again.
+    pub(crate) fn restart(&mut self, now_ms: u64, started_wall_ms: u64) {
         *self = Self {
             started_ms: now_ms,
-            born_wall_ms,
+            started_wall_ms,
             resized_ms: 0,
-            guards: self.guards,
+            enforces_resources: self.enforces_resources,
             stop_ms: self.stop_ms,
             ..Self::new(&self.id, self.resources)
         };
     }
 
-    /// Gives the time of its clock.
+    /// Returns the time of its clock.
     fn clock_ms(&self, now_ms: u64) -> u64 {
         now_ms - self.started_ms
     }
 
-    /// Lets time pass.
+    /// Advances the time of its runs.
     pub(crate) fn advance(&mut self, now_ms: u64, step_ms: u64, promises: &mut Promises) {
         if !self.is_alive {
             return;
         }
         let now_ms = self.clock_ms(now_ms);
         if now_ms > self.lease_until_ms {
-            self.unlapsed_from = None;
+            self.unexpired_from_exit = None;
         }
         let mut ended = Vec::new();
         for (task, running) in &mut self.running {
@@ -144,17 +145,17 @@
                 }
                 continue;
             }
-            match self.manners {
-                Manners::Hangs => continue,
-                Manners::Fails => ended.push((*task, ExitReason::Failed)),
-                Manners::Sound if promises.failing.contains(&task.job) => {
+            match self.behaviour {
+                Behaviour::Hangs => continue,
+                Behaviour::Fails => ended.push((*task, ExitReason::Failed)),
+                Behaviour::Healthy if promises.failing.contains(&task.job) => {
                     ended.push((*task, ExitReason::Failed));
                 }
-                Manners::Sound | Manners::Slow if running.is_long_running => {}
-                Manners::Slow if !(now_ms / step_ms).is_multiple_of(SLOW_FACTOR) => {}
-                Manners::Sound | Manners::Slow => {
-                    running.left_ms = running.left_ms.saturating_sub(step_ms);
-                    if running.left_ms == 0 {
+                Behaviour::Healthy | Behaviour::Slow if running.is_long_running => {}
+                Behaviour::Slow if !(now_ms / step_ms).is_multiple_of(SLOW_FACTOR) => {}
+                Behaviour::Healthy | Behaviour::Slow => {
+                    running.remaining_ms = running.remaining_ms.saturating_sub(step_ms);
+                    if running.remaining_ms == 0 {
                         ended.push((*task, ExitReason::Done));
                     }
                 }
@@ -162,19 +163,19 @@
         }
         for (task, exit_reason) in ended {
             if exit_reason == ExitReason::Done {
-                promises.note_well_ended(task);
+                promises.record_completed(task);
             }
-            self.end(task, exit_reason);
+            self.finish(task, exit_reason);
         }
     }
 
-    fn end(&mut self, task: TaskId, exit_reason: ExitReason) {
+    fn finish(&mut self, task: TaskId, exit_reason: ExitReason) {
         let Some(running) = self.running.remove(&task) else {
             return;
         };
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(running.run);
-        self.broken_off.push((task, running.run, exit_reason));
+        let fenced_runs = self.fenced_runs.entry(task).or_default();
+        *fenced_runs = (*fenced_runs).max(running.run);
+        self.recent_exits.push((task, running.run, exit_reason));
         self.exits.push(RunExit {
             number: self.next_exit,
             task,
@@ -185,75 +186,75 @@
         self.next_exit += 1;
     }
 
-    /// Takes the ends since the last time.
-    pub(crate) fn take_ends(&mut self) -> Vec<(TaskId, u32, ExitReason)> {
-        std::mem::take(&mut self.broken_off)
+    /// Removes and returns the exits since the last call.
+    pub(crate) fn drain_recent_exits(&mut self) -> Vec<(TaskId, u32, ExitReason)> {
+        std::mem::take(&mut self.recent_exits)
     }
 
-    /// Ends the members of a gang that run there, as another one has ended.
-    pub(crate) fn follow(&mut self, other: TaskId, run: u32, exit_reason: ExitReason) {
-        let is_mate = |(task, running): &(&TaskId, &Running)| {
+    /// Ends the members of a gang that run there, as another member has ended.
+    pub(crate) fn end_gang_members(&mut self, other: TaskId, run: u32, exit_reason: ExitReason) {
+        let is_member = |(task, running): &(&TaskId, &Running)| {
             task.job == other.job && task.step == other.step && running.run == run
         };
-        let mates: Vec<TaskId> = self
+        let members: Vec<TaskId> = self
             .running
             .iter()
-            .filter(is_mate)
-            .map(|mate| *mate.0)
+            .filter(is_member)
+            .map(|member| *member.0)
             .collect();
-        for task in mates {
+        for task in members {
             let exit_reason = match exit_reason {
                 ExitReason::Done => ExitReason::Done,
                 _ => ExitReason::Broken,
             };
-            self.end(task, exit_reason);
+            self.finish(task, exit_reason);
         }
     }
 
-    /// Dies: all that runs there ends unheard.
+    /// Stops without notice: its runs end unreported.
     pub(crate) fn die(&mut self) {
         for (task, running) in &self.running {
-            self.broken_off
+            self.recent_exits
                 .push((*task, running.run, ExitReason::Broken));
         }
         self.is_alive = false;
         self.running.clear();
     }
 
-    /// Changes its room.
+    /// Changes its resources.
     pub(crate) fn resize(&mut self, resources: Resources, now_ms: u64) {
         self.resources = resources;
         self.resized_ms = now_ms;
     }
 
-    /// Gives when a task that runs there began.
-    pub(crate) fn begun_ms(&self, task: TaskId) -> u64 {
+    /// Returns the start time of a running task; 0 if it does not run there.
+    pub(crate) fn task_started_ms(&self, task: TaskId) -> u64 {
         self.running
             .get(&task)
-            .map_or(0, |running| running.begun_ms)
+            .map_or(0, |running| running.task_started_ms)
     }
 
-    /// Tells whether a task runs there.
+    /// Returns whether a task runs there.
     pub(crate) fn runs(&self, task: TaskId) -> bool {
         self.is_alive && self.running.contains_key(&task)
     }
 
-    /// Lists the tasks that run there.
+    /// Returns the tasks that run there.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
         self.running.keys().copied().filter(|_| self.is_alive)
     }
 
-    /// Gives the share at which each filler may work.
+    /// Returns the CPU share of each best-effort task, in percent.
     pub(crate) fn shares(&self) -> Vec<u32> {
-        let fillers = self.running.values();
-        fillers
+        let best_effort = self.running.values();
+        best_effort
             .filter(|running| !running.is_long_running)
             .map(|running| running.share_percent)
             .collect()
     }
 
-    /// Carries an order out.
-    pub(crate) fn obey(
+    /// Executes an order.
+    pub(crate) fn execute(
         &mut self,
         now_ms: u64,
         token: u64,
@@ -287,15 +288,15 @@
                 }
             }
             WorkerCall::Stop { task, run } => {
-                let barred = self.barred.entry(*task).or_default();
-                *barred = (*barred).max(*run);
+                let fenced_runs = self.fenced_runs.entry(*task).or_default();
+                *fenced_runs = (*fenced_runs).max(*run);
                 if let Some(running) = self.running.get_mut(task)
                     && running.run <= *run
                 {
                     let gone_ms = now_ms - self.started_ms + self.stop_ms;
                     running.stopped_ms.get_or_insert(gone_ms);
                     if self.stop_ms == 0 {
-                        self.end(*task, ExitReason::Stopped);
+                        self.finish(*task, ExitReason::Stopped);
                     }
                 }
             }
@@ -312,21 +313,26 @@
                 if let Some(until_ms) = lease_until_ms {
                     self.extend(*until_ms, self.clock_ms(now_ms));
                 }
-                for end in self
+                for exit in self
                     .exits
                     .iter()
-                    .filter(|end| end.number <= *acknowledged_exit)
+                    .filter(|exit| exit.number <= *acknowledged_exit)
                 {
-                    let has_lapsed = self.unlapsed_from.is_none_or(|from| end.number < from);
-                    promises.note_end(end, has_lapsed);
+                    let has_expired = self
+                        .unexpired_from_exit
+                        .is_none_or(|from| exit.number < from);
+                    promises.record_acknowledged_exit(exit, has_expired);
                 }
-                self.exits.retain(|end| end.number > *acknowledged_exit);
-                for end in &self.exits {
-                    if self.unlapsed_from.is_some_and(|from| end.number >= from) {
-                        promises.note_listed(end);
+                self.exits.retain(|exit| exit.number > *acknowledged_exit);
+                for exit in &self.exits {
+                    if self
+                        .unexpired_from_exit
+                        .is_some_and(|from| exit.number >= from)
+                    {
+                        promises.record_reported_exit(exit);
                     }
                 }
-                report = Some(self.list());
+                report = Some(self.build_report());
             }
         }
         OrderOutcome::Done {
@@ -336,10 +342,8 @@
     }
 
     fn extend(&mut self, until_ms: u64, now_ms: u64) {
-        self.lease_until_ms = self
-            .lease_until_ms
-            .max(until_ms.min(now_ms + LEASE_MOST_MS));
-        self.unlapsed_from.get_or_insert(self.next_exit);
+        self.lease_until_ms = self.lease_until_ms.max(until_ms.min(now_ms + MAX_LEASE_MS));
+        self.unexpired_from_exit.get_or_insert(self.next_exit);
     }
 
     fn start(
@@ -357,32 +361,36 @@
         {
             return None;
         }
-        if self.barred.get(&task).is_some_and(|barred| run <= *barred) {
+        if self
+            .fenced_runs
+            .get(&task)
+            .is_some_and(|fenced_runs| run <= *fenced_runs)
+        {
             return Some(Refusal::Old);
         }
         if until_ms < self.clock_ms(now_ms) {
             return Some(Refusal::Late);
         }
-        let plan = promises.note_start(&self.id, task, run);
+        let plan = promises.record_start_attempt(&self.id, task, run);
         let mut used = plan.resources;
         for running in self.running.values() {
             used = used.plus(running.resources);
         }
         if !self.resources.can_fit(used) {
-            // Until then its owner can't know that the room has shrunk.
+            // Before that, its owner cannot know that the resources were reduced.
             let since_ms = self.resized_ms.max(promises.disturbed_ms);
-            let is_told = since_ms == 0 || now_ms >= since_ms + ROOM_TOLD_MS;
+            let is_told = since_ms == 0 || now_ms >= since_ms + RESOURCES_REPORTED_MS;
             promises.refused_room += u32::from(is_told);
-            if self.guards {
+            if self.enforces_resources {
                 return Some(Refusal::Room);
             }
         }
-        promises.note_begun(task);
+        promises.record_start(task);
         let running = Running {
             run,
-            begun_ms: now_ms,
+            task_started_ms: now_ms,
             resources: plan.resources,
-            left_ms: plan.work_ms,
+            remaining_ms: plan.work_ms,
             work_ms: plan.work_ms.max(1),
             is_long_running: plan.is_long_running,
             share_percent: 100,
@@ -392,21 +400,21 @@
         None
     }
 
-    fn list(&self) -> WorkerReport {
-        let mut pressure_ms = 0;
+    fn build_report(&self) -> WorkerReport {
+        let mut interference_sum_ms = 0;
         for running in self
             .running
             .values()
             .filter(|running| !running.is_long_running)
         {
-            pressure_ms += self.press_ms * u64::from(running.share_percent) / 100;
+            interference_sum_ms += self.interference_ms * u64::from(running.share_percent) / 100;
         }
         let mut runs = Vec::new();
         for (task, running) in &self.running {
             let (percent, gauge) = match running.is_long_running {
-                true => (100, self.tail_ms + pressure_ms),
+                true => (100, self.tail_ms + interference_sum_ms),
                 false => {
-                    let done_ms = running.work_ms - running.left_ms.min(running.work_ms);
+                    let done_ms = running.work_ms - running.remaining_ms.min(running.work_ms);
                     let use_milli = 10 * u64::from(running.share_percent);
                     ((done_ms * 100 / running.work_ms) as u32, use_milli)
                 }
@@ -420,7 +428,7 @@
             });
         }
         WorkerReport {
-            incarnation: Incarnation::new(self.born_wall_ms),
+            incarnation: Incarnation::new(self.started_wall_ms),
             runs,
             exits: self.exits.clone(),
         }
--- a/tests/policy_suspicion.rs
+++ b/tests/policy_suspicion.rs
@@ -1,11 +1,11 @@
-//! What crashes of workers say of a task that was there, and when it is to blame.
+//! Tests what crashes of workers prove against a task that ran there, and when the task is blamed.
 
 use goldcrestway_dispatch::policy::suspicion::Crash;
 use goldcrestway_dispatch::policy::suspicion::Suspicion;
 use googletest::prelude::*;
 
-/// A crash under a task that may be the cause, and nothing else.
-const ALONE: Crash<'_> = Crash {
+/// A crash during a confirmed run of which only this task may be the cause.
+const SOLE_SUSPECT: Crash<'_> = Crash {
     run: 1,
     address: "10.0.0.1:80",
     is_suspect: true,
@@ -15,88 +15,88 @@
     is_long_running: false,
 };
 
-/// The same beside others that may be the cause.
-const SHARED: Crash<'_> = Crash {
+/// The same beside other tasks that may be the cause.
+const ONE_OF_SUSPECTS: Crash<'_> = Crash {
     is_sole_suspect: false,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
-/// The same under a run of which the worker never said that it is there.
+/// The same during a run that the worker never confirmed.
 const UNCONFIRMED: Crash<'_> = Crash {
     is_confirmed: false,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
-/// The same when other workers crashed, too.
+/// The same while other workers crash as well.
 const EXCUSED: Crash<'_> = Crash {
     is_excused: true,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
-/// The same under a run that had been at work for a while.
-const SOUND: Crash<'_> = Crash {
+/// The same during a run that had worked for a while.
+const STABLE: Crash<'_> = Crash {
     is_suspect: false,
     is_sole_suspect: false,
-    ..ALONE
+    ..SOLE_SUSPECT
 };
 
-/// Crashes in a row, each of another host and a later run unless said otherwise.
+/// Consecutive crashes, each of another host and during a later run unless stated otherwise.
 struct Case {
     name: &'static str,
     crashes: &'static [Crash<'static>],
     is_same_host: bool,
     is_same_run: bool,
-    /// A run is sound before the last crash.
+    /// Whether a run becomes stable before the last crash.
     is_cleared: bool,
     is_long_running: bool,
-    /// Crash at which the task is to blame; 0 for none of them.
-    to_blame_at: usize,
+    /// Number of the crash at which the task is blamed; 0 for none.
+    blamed_at: usize,
 }
 
 const CASE: Case = Case {
     name: "",
-    crashes: &[ALONE, ALONE],
+    crashes: &[SOLE_SUSPECT, SOLE_SUSPECT],
     is_same_host: false,
     is_same_run: false,
     is_cleared: false,
     is_long_running: false,
-    to_blame_at: 0,
+    blamed_at: 0,
 };
 
 const CASES: &[Case] = &[
     Case {
         name: "one crash",
-        crashes: &[ALONE],
+        crashes: &[SOLE_SUSPECT],
         ..CASE
     },
     Case {
-        name: "alone twice",
-        to_blame_at: 2,
+        name: "as the only suspect twice",
+        blamed_at: 2,
         ..CASE
     },
     Case {
-        name: "beside others, then alone",
-        crashes: &[SHARED, ALONE],
-        to_blame_at: 2,
+        name: "beside other suspects, then as the only one",
+        crashes: &[ONE_OF_SUSPECTS, SOLE_SUSPECT],
+        blamed_at: 2,
         ..CASE
     },
     Case {
-        name: "beside others twice",
-        crashes: &[SHARED, SHARED],
+        name: "beside other suspects twice",
+        crashes: &[ONE_OF_SUSPECTS, ONE_OF_SUSPECTS],
         ..CASE
     },
     Case {
-        name: "alone, and there for certain only the last time",
-        crashes: &[UNCONFIRMED, ALONE],
+        name: "as the only suspect, and confirmed only the last time",
+        crashes: &[UNCONFIRMED, SOLE_SUSPECT],
         ..CASE
     },
     Case {
-        name: "never there for certain, three times",
+        name: "never confirmed, three times",
         crashes: &[UNCONFIRMED, UNCONFIRMED, UNCONFIRMED],
         ..CASE
     },
     Case {
-        name: "never there for certain, too often for luck",
+        name: "never confirmed, too often for chance",
         crashes: &[
             UNCONFIRMED,
             UNCONFIRMED,
@@ -104,7 +104,7 @@
             UNCONFIRMED,
             UNCONFIRMED,
         ],
-        to_blame_at: 5,
+        blamed_at: 5,
         ..CASE
     },
     Case {
@@ -113,32 +113,44 @@
         ..CASE
     },
     Case {
-        name: "with other workers, too often for luck",
+        name: "with other workers, too often for chance",
         crashes: &[EXCUSED, EXCUSED, EXCUSED, EXCUSED, EXCUSED],
-        to_blame_at: 5,
+        blamed_at: 5,
         ..CASE
     },
     Case {
-        name: "with a failure domain, then alone",
-        crashes: &[EXCUSED, ALONE],
+        name: "with a failure domain, then as the only suspect",
+        crashes: &[EXCUSED, SOLE_SUSPECT],
         ..CASE
     },
     Case {
-        name: "beside others three times",
-        crashes: &[SHARED, SHARED, SHARED],
+        name: "beside other suspects three times",
+        crashes: &[ONE_OF_SUSPECTS, ONE_OF_SUSPECTS, ONE_OF_SUSPECTS],
         ..CASE
     },
     Case {
-        name: "beside others, too often for luck",
-        crashes: &[SHARED, SHARED, SHARED, SHARED, SHARED],
-        to_blame_at: 5,
+        name: "beside other suspects, too often for chance",
+        crashes: &[
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+        ],
+        blamed_at: 5,
         ..CASE
     },
     Case {
-        name: "a task that lasts, beside others, too often for luck",
-        crashes: &[SHARED, SHARED, SHARED, SHARED, SHARED],
+        name: "a long-running task, beside other suspects, too often for chance",
+        crashes: &[
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+            ONE_OF_SUSPECTS,
+        ],
         is_long_running: true,
-        to_blame_at: 5,
+        blamed_at: 5,
         ..CASE
     },
     Case {
@@ -147,98 +159,113 @@
         ..CASE
     },
     Case {
-        name: "three times on one host",
-        crashes: &[ALONE, ALONE, ALONE],
+        name: "three times on the same host",
+        crashes: &[SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT],
         is_same_host: true,
-        to_blame_at: 3,
+        blamed_at: 3,
         ..CASE
     },
     Case {
         name: "several members of a gang in one run",
-        crashes: &[ALONE, ALONE, ALONE, ALONE],
+        crashes: &[SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT, SOLE_SUSPECT],
         is_same_run: true,
         ..CASE
     },
     Case {
-        name: "a sound run in between",
+        name: "a stable run between two crashes",
         is_cleared: true,
         ..CASE
     },
     Case {
-        name: "under sound runs, which luck explains four times",
-        crashes: &[SOUND, SOUND, SOUND, SOUND],
+        name: "during stable runs, which chance explains four times",
+        crashes: &[STABLE, STABLE, STABLE, STABLE],
         ..CASE
     },
     Case {
-        name: "under sound runs, too often for luck",
-        crashes: &[SOUND, SOUND, SOUND, SOUND, SOUND],
-        to_blame_at: 5,
+        name: "during stable runs, too often for chance",
+        crashes: &[STABLE, STABLE, STABLE, STABLE, STABLE],
+        blamed_at: 5,
         ..CASE
     },
     Case {
-        name: "under a task that lasts, often",
-        crashes: &[SOUND, SOUND, SOUND, SOUND, SOUND, SOUND, SOUND, SOUND],
+        name: "during stable runs of a long-running task, often",
+        crashes: &[
+            STABLE, STABLE, STABLE, STABLE, STABLE, STABLE, STABLE, STABLE,
+        ],
         is_long_running: true,
         ..CASE
     },
     Case {
-        name: "a task that lasts and crashes whoever starts it",
+        name: "a long-running task that crashes each worker that starts it",
         is_long_running: true,
-        to_blame_at: 2,
+        blamed_at: 2,
         ..CASE
     },
 ];
 
-/// Symptom: a task that crashes its workers is started once too often. Sequence: what became of a
-/// worker is known only after the next one has crashed under the task. Cause: only crashes under
-/// newer runs than the newest counted one were taken for new.
+/// Guards against one start too many of a task that crashes its workers. The crash of a worker may
+/// become known only after the next worker has crashed; it must count although it belongs to an
+/// older run than the newest counted one.
 #[gtest]
-fn a_crash_that_is_known_late_counts_too() {
+fn crash_that_is_known_late_is_counted() {
     let mut suspicion = Suspicion::default();
-    expect_that!(suspicion.count(&Crash { run: 2, ..ALONE }), eq(false));
+    expect_that!(
+        suspicion.record_crash(&Crash {
+            run: 2,
+            ..SOLE_SUSPECT
+        }),
+        eq(false)
+    );
     let late = Crash {
         run: 1,
         address: "10.0.0.2:80",
-        ..ALONE
+        ..SOLE_SUSPECT
     };
-    expect_that!(suspicion.count(&late), eq(true));
-    expect_that!(suspicion.count(&Crash { run: 2, ..ALONE }), eq(false));
+    expect_that!(suspicion.record_crash(&late), eq(true));
+    expect_that!(
+        suspicion.record_crash(&Crash {
+            run: 2,
+            ..SOLE_SUSPECT
+        }),
+        eq(false)
+    );
     expect_that!(suspicion.crashes, eq(2));
 }
 
-/// Symptom: a task is started again and again as its crashes can't be told from bad luck. After the
-/// third one that it may have caused it has two starts left, whether they come to something or not.
+/// Guards against endless restarts of a task whose crashes cannot be told from bad luck. After the
+/// third crash that it may have caused it has two starts left, whatever their result.
 #[gtest]
-fn a_task_that_may_have_crashed_three_workers_has_two_starts_left() {
+fn task_has_two_starts_left_after_three_possible_crashes() {
     let mut suspicion = Suspicion::default();
     for number in 1..=3 {
         suspicion.record_start(0);
         let crash = Crash {
             run: number,
-            ..SHARED
+            ..ONE_OF_SUSPECTS
         };
-        expect_that!(suspicion.count(&crash), eq(false), "crash {number}");
+        expect_that!(suspicion.record_crash(&crash), eq(false), "crash {number}");
     }
     suspicion.record_start(0);
-    expect_that!(suspicion.is_used_up(), eq(false));
-    let mut sound = suspicion.clone();
-    // A start that the worker refused was none.
+    expect_that!(suspicion.is_exhausted(), eq(false));
+    let mut stable = suspicion.clone();
+    // A refused start does not count.
     suspicion.record_start(0);
     suspicion.undo_start();
-    expect_that!(suspicion.is_used_up(), eq(false));
+    expect_that!(suspicion.is_exhausted(), eq(false));
     suspicion.record_start(0);
-    expect_that!(suspicion.is_used_up(), eq(true));
-    sound.clear(false);
-    sound.record_start(0);
-    expect_that!(sound.is_used_up(), eq(false));
+    expect_that!(suspicion.is_exhausted(), eq(true));
+    stable.clear(false);
+    stable.record_start(0);
+    expect_that!(stable.is_exhausted(), eq(false));
 }
 
-/// Symptom: a task goes on crashing workers, or is given up for what it did not do.
+/// Guards against a task that keeps crashing workers, and against a task that is given up for
+/// crashes that it did not cause.
 #[gtest]
-fn a_task_is_to_blame_once_nothing_else_explains_the_crashes() {
+fn task_is_blamed_when_nothing_else_explains_the_crashes() {
     for case in CASES {
         let mut suspicion = Suspicion::default();
-        let mut to_blame_at = 0;
+        let mut blamed_at = 0;
         for (number, crash) in case.crashes.iter().enumerate() {
             if case.is_cleared && number + 1 == case.crashes.len() {
                 suspicion.clear(case.is_long_running);
@@ -258,34 +285,50 @@
                 ..*crash
             };
             suspicion.record_start(0);
-            if suspicion.count(&crash) && to_blame_at == 0 {
-                to_blame_at = number + 1;
+            if suspicion.record_crash(&crash) && blamed_at == 0 {
+                blamed_at = number + 1;
             }
         }
-        expect_that!(to_blame_at, eq(case.to_blame_at), "{}", case.name);
+        expect_that!(blamed_at, eq(case.blamed_at), "{}", case.name);
     }
 }
 
-/// Symptom: a task is started again and again while its workers are away for longer than their
-/// leases, as no crash is known yet. Losses count towards its last starts; then it waits for what
-/// became of the workers, and is given up only for crashes that are known.
+/// Guards against endless restarts of a task while its workers are away for longer than their
+/// leases, as no crash is known then. Lost runs count towards its last starts. After these it waits
+/// for the outcome of its workers, and it is given up only for known crashes.
 #[gtest]
-fn losses_that_may_be_crashes_count_towards_the_last_starts() {
+fn unresolved_crashes_count_towards_the_last_starts() {
     let mut suspicion = Suspicion::default();
     for unresolved_crashes in 0..4 {
         expect_that!(
-            suspicion.awaits(unresolved_crashes),
+            suspicion.must_await_resolution(unresolved_crashes),
             eq(false),
             "{unresolved_crashes} lost"
         );
         suspicion.record_start(unresolved_crashes);
     }
     suspicion.record_start(4);
-    expect_that!(suspicion.awaits(5), eq(true));
-    expect_that!(suspicion.is_used_up(), eq(false));
-    expect_that!(suspicion.awaits(2), eq(false), "the others were cut off");
+    expect_that!(suspicion.must_await_resolution(5), eq(true));
+    expect_that!(suspicion.is_exhausted(), eq(false));
+    expect_that!(
+        suspicion.must_await_resolution(2),
+        eq(false),
+        "the others were cut off"
+    );
     for run in 1..=2 {
-        expect_that!(suspicion.count(&Crash { run, ..SHARED }), eq(false));
+        expect_that!(
+            suspicion.record_crash(&Crash {
+                run,
+                ..ONE_OF_SUSPECTS
+            }),
+            eq(false)
+        );
     }
-    expect_that!(suspicion.count(&Crash { run: 3, ..SHARED }), eq(true));
+    expect_that!(
+        suspicion.record_crash(&Crash {
+            run: 3,
+            ..ONE_OF_SUSPECTS
+        }),
+        eq(true)
+    );
 }
