--- a/crates/dispatch/src/tail/age.rs
+++ b/crates/dispatch/src/tail/age.rs
@@ -1,14 +1,15 @@
-//! How old what is known of a stream is.
+//! Age of a host's view of a stream.
 
 use crate::tail::flight::Flight;
 
-/// Up to when it is certain what stood in a stream.
+/// Time up to which a host has read a stream completely.
 #[derive(Debug, Default)]
 pub(super) struct Age {
-    /// When nothing stood there that has not been read.
+    /// All records that were stored by this time have been read; `None` if no read has reached the
+    /// end of the stream.
     known_ms: Option<u64>,
-    /// Ticket of the read that told so. Tickets rise with each action of the host, so they
-    /// tell what came after what within a millisecond, too.
+    /// Highest ticket of a read that has reached the end. Tickets increase with each action of the
+    /// host, so they order reads and other actions within a millisecond, too.
     ticket: u64,
 }
 
@@ -22,13 +23,13 @@
             .map(|known_ms| now_ms.saturating_sub(known_ms))
     }
 
-    /// Tells whether a read sent after the given ticket has reached the end.
+    /// Returns whether a read sent after the given ticket has reached the end of the stream.
     pub(super) fn is_after(&self, ticket: u64) -> bool {
         self.ticket > ticket
     }
 
-    /// Notes that a read has reached the end of the stream. The store answered it after it was
-    /// sent; if it found nothing until the wait was over, after the wait.
+    /// Records that a read has reached the end of the stream. The store has answered after the read
+    /// was sent, and if a long poll timed out without a record, after the wait.
     pub(super) fn record_end(&mut self, flight: Flight, is_empty: bool, now_ms: u64) {
         self.ticket = self.ticket.max(flight.ticket);
         if flight.is_from_before {
@@ -42,7 +43,7 @@
         self.known_ms = self.known_ms.max(Some(known_ms));
     }
 
-    /// Makes what is known older by a time that the steady clock does not show.
+    /// Adds time to the age that the steady clock has not counted, as while the host was suspended.
     pub(super) fn grow_by(&mut self, ms: u64) {
         self.known_ms = self.known_ms.and_then(|known_ms| known_ms.checked_sub(ms));
     }
--- a/crates/dispatch/src/tail/backoff.rs
+++ b/crates/dispatch/src/tail/backoff.rs
@@ -1,30 +1,30 @@
-//! Loads that are late or fail, and when to load again.
+//! Retries of loads that are late or have failed.
 //!
-//! Load: all hosts start at once and load the same, more than the store gives out in the time in
-//! which an answer usually comes. A load that is given up is no less work for the store, and the
-//! one that takes its place makes all others later: where each host gives up and begins anew, no
-//! load ever ends. So a load that is late stays under way; another goes out beside it, as the
-//! first may be lost, but so few that the store has an end of them. Hosts that are refused come
-//! back at times of their own.
+//! When all hosts start at once, they all load the same streams, which is more than the store can
+//! answer in the usual time. The store still processes a load that its host has abandoned, and the
+//! load that replaces it delays all others: if each host abandoned and repeated its loads, no load
+//! would ever complete. A late load therefore remains under way. Since its answer may be lost,
+//! another load is sent beside it, but so few and so late that the store can answer all of them.
+//! Hosts whose loads were refused retry after delays that differ between hosts.
 
 use crate::event::ReadTimeouts;
 use crate::tail::flight::Flight;
 use crate::tail::flight::timeouts;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Loads of one page under way at once.
+/// Maximum number of concurrent loads of one page.
 const MAX_LOADS: usize = 3;
-/// Time after which a second load goes out, and half of the time from there to the third.
+/// Time after which a second load is sent. The third is sent after twice this time from the second.
 const LATE_MS: u64 = 1_200;
-/// How many times longer than for a read the answer to a load is awaited: the store may have the
-/// loads of all hosts to answer.
+/// Timeout until the first byte of a load as a multiple of that of a read: the store may have to
+/// answer the loads of all hosts.
 const LOAD_TIMEOUT_FACTOR: u64 = 8;
-/// Pause after the first failure; half of it is the same on all hosts.
+/// Maximum delay after the first failure. Half of it is fixed, the other half is random.
 const PAUSE_MS: u64 = 250;
-/// Failures in a row after which the pause no longer doubles.
+/// Consecutive failures after which the delay no longer doubles.
 const MAX_DOUBLINGS: u32 = 2;
 
-/// Tells whether a load may go out beside those under way.
+/// Returns whether another load may be sent beside those under way.
 pub(super) fn may_load(loads: &[Flight], now_ms: u64) -> bool {
     let Some(newest) = loads.last() else {
         return true;
@@ -33,7 +33,7 @@
     loads.len() < MAX_LOADS && now_ms >= newest.sent_ms + late_ms
 }
 
-/// Gives how long the answer to a load is awaited.
+/// Returns the timeouts of a load.
 pub(super) fn load_timeouts() -> ReadTimeouts {
     let once = timeouts(0);
     ReadTimeouts {
@@ -42,7 +42,7 @@
     }
 }
 
-/// How often loads of a stream have failed in a row.
+/// Exponential backoff of the loads of a stream.
 #[derive(Debug)]
 pub(super) struct Backoff {
     salt: u64,
@@ -50,17 +50,17 @@
 }
 
 impl Backoff {
-    /// Hosts must differ in their salt.
+    /// Creates a backoff without failures. The salt must differ between hosts.
     pub(super) fn new(salt: u64) -> Self {
         Self { salt, failures: 0 }
     }
 
-    /// Tells whether the latest load has failed.
+    /// Returns whether the latest load has failed.
     pub(super) fn has_failed(&self) -> bool {
         self.failures > 0
     }
 
-    /// Notes a failure, and gives the pause before the next load.
+    /// Records a failure, and returns the delay before the next load.
     pub(super) fn fail(&mut self, ticket: u64) -> u64 {
         let max_ms = PAUSE_MS << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
@@ -68,7 +68,7 @@
         max_ms / 2 + drawn % (max_ms / 2)
     }
 
-    /// Notes that a load has come through.
+    /// Records that a load has succeeded.
     pub(super) fn end(&mut self) {
         self.failures = 0;
     }
--- a/crates/dispatch/src/tail/failures.rs
+++ b/crates/dispatch/src/tail/failures.rs
@@ -1,41 +1,42 @@
-//! Reads that brought nothing, and what is said of them.
+//! Failed reads, and how often they are reported.
 
 use crate::event::ReadFault;
 use crate::tail::flight::Flight;
 
-/// Pause between two reports on a stream. While the store is away a host's reads of all
-/// streams fail several times a second.
+/// Minimum interval between reports on a stream. While the store is unavailable, a host's reads of
+/// all streams fail several times a second.
 const REPORT_MS: u64 = 1_000;
 
-/// A read that brought nothing.
+/// Report of a failed read.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Failure {
     pub(crate) fault: ReadFault,
-    /// How long ago it was sent.
+    /// Time since it was sent.
     pub(crate) sent_age_ms: u64,
-    /// The store was to hold it back until a record came.
+    /// It was a long poll: the store delays the answer until there is a record.
     pub(crate) waits: bool,
-    /// Reads of this stream that failed since the last report, this one included.
+    /// Number of failed reads of this stream since the last report, including this one.
     pub(crate) failures: u64,
 }
 
 /// Failed reads of a stream.
 #[derive(Debug, Default)]
 pub(super) struct Failures {
-    /// When the newest of them was sent.
+    /// When the newest of the failed reads was sent.
     sent_ms: Option<u64>,
-    /// Those that no report has told of yet, and when the next report may be.
+    /// Number of failures since the last report.
     unreported: u64,
+    /// Earliest time of the next report.
     report_ms: u64,
 }
 
 impl Failures {
-    /// Tells whether a read sent at `since_ms` or later has failed.
+    /// Returns whether a read sent at `since_ms` or later has failed.
     pub(super) fn is_since(&self, since_ms: u64) -> bool {
         self.sent_ms.is_some_and(|sent_ms| sent_ms >= since_ms)
     }
 
-    /// Notes a failed read, and gives what is to be said about it, if that is due.
+    /// Records a failed read, and returns the report if one is due.
     pub(super) fn note(
         &mut self,
         flight: Flight,
--- a/crates/dispatch/src/tail/flight.rs
+++ b/crates/dispatch/src/tail/flight.rs
@@ -1,16 +1,16 @@
-//! A read under way, and for how long its answer is awaited.
+//! A read under way, and its timeouts.
 
 use crate::event::ReadTimeouts;
 
-/// Time in which the answer to a read without a wait must begin. The store answers in
-/// 4 ms, and in 240 ms when it is sixty times slower.
+/// Timeout until the first byte of the answer to a read, in addition to the wait of a long poll.
+/// The store answers in 4 ms, and in 240 ms when it is sixty times slower.
 const FIRST_BYTE_MS: u64 = 1_200;
-/// The same where another read can take its place: one on a connection that is dead is worth
-/// no longer wait.
+/// The same timeout for a read that another one can replace: a longer wait would be wasted if its
+/// connection is dead.
 const BRIEF_FIRST_BYTE_MS: u64 = 600;
-/// Longest pause between bytes of an answer that has begun. On a link of 10 Mbit/s that is
-/// shared with a dozen other answers bytes come every few milliseconds; a connection that
-/// was cut gives no more.
+/// Longest pause between bytes of an answer that has begun. On a link of 10 Mbit/s that is shared
+/// with a dozen other answers, bytes arrive every few milliseconds; a broken connection delivers no
+/// more.
 const STALL_MS: u64 = 1_200;
 
 /// A read or load under way.
@@ -18,9 +18,10 @@
 pub(super) struct Flight {
     pub(super) ticket: u64,
     pub(super) sent_ms: u64,
-    /// Time that the store may hold it back.
+    /// Time for which the store may delay the answer until there is a record; 0 for an immediate
+    /// answer.
     pub(super) wait_ms: u64,
-    /// The host was suspended since.
+    /// The host was suspended after it was sent, so the age of its answer is not known.
     pub(super) is_from_before: bool,
 }
 
@@ -34,18 +35,18 @@
         }
     }
 
-    /// Tells whether the store holds it back until there is a record.
+    /// Returns whether the store delays the answer until there is a record.
     pub(super) fn waits(&self) -> bool {
         self.wait_ms > 0
     }
 
-    /// Gives when the store answers it at the latest.
+    /// Returns the time until which the store may delay the answer.
     pub(super) fn held_until_ms(&self) -> u64 {
         self.sent_ms + self.wait_ms
     }
 }
 
-/// Gives how long an answer is awaited that the store holds back for up to `wait_ms`.
+/// Returns the timeouts of a read whose answer the store may delay by up to `wait_ms`.
 pub(super) fn timeouts(wait_ms: u64) -> ReadTimeouts {
     ReadTimeouts {
         first_byte_ms: wait_ms + FIRST_BYTE_MS,
@@ -53,8 +54,7 @@
     }
 }
 
-/// Gives how long an answer is awaited where another read can take its place, from a store
-/// that takes `slow_ms` on top.
+/// Returns the timeouts of a read that another one can replace. A slow store gets `slow_ms` more.
 pub(super) fn brief_timeouts(slow_ms: u64) -> ReadTimeouts {
     ReadTimeouts {
         first_byte_ms: BRIEF_FIRST_BYTE_MS + slow_ms,
--- a/crates/dispatch/src/tail/latency.rs
+++ b/crates/dispatch/src/tail/latency.rs
@@ -1,14 +1,14 @@
-//! What answers of the store take.
+//! Latency of the store's answers.
 
 use crate::tail::flight::Flight;
 
-/// Answers of late of which the fastest tells what they take. One that a host itself was late
-/// to read, after it stood still, must not make it patient.
+/// Number of recent answers whose minimum latency counts as typical. An answer that the host itself
+/// read late, because it was paused, must not lengthen its timeouts.
 const LATEST: usize = 4;
-/// What answers take counts up to this: past it a store is away rather than slow.
+/// Upper limit of the typical latency: beyond it, the store is unavailable rather than slow.
 const MAX_MS: u64 = 1_000;
 
-/// What answers of late took, without the time for which the store held them back.
+/// Latency of recent answers, without the time by which the store delayed them on purpose.
 #[derive(Debug, Default)]
 pub(super) struct Latency {
     average_ms: u64,
@@ -17,20 +17,20 @@
 }
 
 impl Latency {
-    /// Gives the moving average of reads without a wait.
+    /// Returns the moving average over reads that are answered immediately.
     pub(super) fn average_ms(&self) -> u64 {
         self.average_ms
     }
 
-    /// Gives what an answer takes at least, of late.
+    /// Returns the minimum latency of recent answers, up to [`MAX_MS`].
     pub(super) fn typical_ms(&self) -> u64 {
         let fastest = self.latest_ms.iter().copied().min();
         fastest.unwrap_or(0).min(MAX_MS)
     }
 
-    /// Notes an answer.
+    /// Records the latency of an answer.
     pub(super) fn note(&mut self, flight: Flight, now_ms: u64) {
-        // A read that waits is answered early when there is a record.
+        // The store answers a long poll early when there is a record; the latency is then unknown.
         let Some(latency_ms) = now_ms.checked_sub(flight.held_until_ms()) else {
             return;
         };
--- a/crates/dispatch/src/tail/mod.rs
+++ b/crates/dispatch/src/tail/mod.rs
@@ -1,7 +1,8 @@
-//! Following a keyed stream: load the newest record of each key, then read on.
+//! Follows a keyed stream: loads the newest record of each key, then reads the records after it.
 //!
-//! Reads that wait at the store bring what is new; what is known has an age all the same, as a
-//! read may be lost and then nothing tells that from a stream in which nothing happens.
+//! Long polls return new records. Since a lost read looks like a stream without new records, the
+//! tail also tracks the age of its view: the time since the stream was last known to be read to its
+//! end.
 
 mod age;
 mod backoff;
@@ -29,32 +30,33 @@
 use std::fmt::Display;
 use std::fmt::Formatter;
 
-/// Pause after a failed read, which keeps a store in trouble from being pressed.
+/// Delay after a failed read, which limits the load on a store in trouble.
 const RETRY_MS: u64 = 250;
-/// Time by which the answer to a read that waits may be overdue before another read goes out
-/// beside it: three turns of a host that has nothing else to do.
+/// Time by which the answer to a long poll may be overdue before another read is sent beside it:
+/// three ticks of an idle host.
 const OVERDUE_MS: u64 = 150;
-/// How many times what answers take may be added to that, and to the patience with such a
+/// Multiple of the typical latency that is added to [`OVERDUE_MS`] and to the timeout of such a
 /// read.
 const SLOW_FACTOR: u64 = 2;
-/// Pause between two reads that only find out whether the store is back. A host is back as
-/// much later than the store: 0.48 s on average with reads of all streams, 0.08 s with these.
+/// Interval between reads that check whether the store is available again. A host recovers later
+/// than the store: by 0.48 s on average with the ordinary reads of all streams, by 0.08 s with
+/// these.
 const PROBE_GAP_MS: u64 = 200;
-/// Reads of a stream that are to be answered at once and are under way, at most. Each question
-/// of a caller needs one that was sent after it, and while nothing is answered they would pile
-/// up: 131 calls of one host, which kept the first ones after an outage waiting.
+/// Maximum number of concurrent reads of a stream that the store is to answer immediately. Each
+/// query of a caller needs a read that was sent after it. Without a limit, reads accumulated during
+/// an outage, up to 131 calls of one host, and delayed the first ones after it.
 const MAX_READS: usize = 3;
 
-/// What came of a read.
+/// Result of a read or of a load.
 #[derive(Debug, Default)]
 pub(crate) struct Progress {
     /// New records, in order.
     pub(crate) records: Vec<StoredRecord>,
-    /// The state was loaded anew: keys that are not among the records are gone.
+    /// The whole stream was loaded: keys that are not among the records have been deleted.
     pub(crate) is_reloaded: bool,
-    /// How old what was known of the stream was when the read ended.
+    /// Age of the view of the stream just before this result.
     pub(crate) previous_age_ms: Option<u64>,
-    /// The read brought nothing.
+    /// Report of a failed read, if one is due.
     pub(crate) failure: Option<Failure>,
 }
 
@@ -64,41 +66,42 @@
     }
 }
 
-/// One stream that is followed.
+/// A keyed stream that a host follows.
 #[derive(Debug)]
 pub(crate) struct Tail {
     stream: Stream,
-    /// Loads bring the keys behind this one; all if it is empty.
+    /// Loads return the keys after this one; all keys if it is empty.
     after_key: Box<str>,
-    /// Offset from which to read on; `None` until loaded.
+    /// Offset of the next record to read; `None` until loaded.
     next: Option<u64>,
-    /// While loading: records so far, where the stream ended first, last key.
+    /// While loading: records so far, end of the stream at the first page, last key.
     loading: Option<(Vec<StoredRecord>, u64, Box<str>)>,
-    /// Loads under way, all of the same page; the first answer counts.
+    /// Loads under way, all of the same page; only the first answer is used.
     loads: Vec<Flight>,
     backoff: Backoff,
-    /// Records that loads have brought so far.
+    /// Number of records that loads have returned so far.
     arrived: usize,
     reads: Vec<Flight>,
-    /// Since when the store answers this host. Reads from before may have been dropped.
+    /// Time since which the store has answered this host without an interruption. Reads that were
+    /// sent earlier may be lost.
     contact_ms: u64,
     retry_ms: u64,
-    /// When the next probe may go out.
+    /// Earliest time of the next check whether the store is available.
     probe_ms: u64,
     age: Age,
-    /// When the newest answer came.
+    /// When the newest answer arrived.
     pub(crate) answered_ms: Option<u64>,
     latency: Latency,
     failures: Failures,
 }
 
 impl Tail {
-    /// Makes the tail of a whole stream. The salt must differ between hosts.
+    /// Creates the tail of a whole stream. The salt must differ between hosts.
     pub(crate) fn new(stream: Stream, salt: u64) -> Self {
         Self::after_key(stream, "", salt)
     }
 
-    /// Makes the tail of a stream of which only keys behind the given one are loaded.
+    /// Creates the tail of a stream of which only the keys after the given one are loaded.
     pub(crate) fn after_key(stream: Stream, key: &str, salt: u64) -> Self {
         Self {
             stream,
@@ -119,7 +122,8 @@
         }
     }
 
-    /// Gives how long ago it was known, at the latest, that nothing newer stood there.
+    /// Returns the age of the view: all records that were stored before have been read. `None` if
+    /// the stream was never read to its end.
     pub(crate) fn age_ms(&self, now_ms: u64) -> Option<u64> {
         self.age.at(now_ms)
     }
@@ -128,47 +132,48 @@
         self.next.is_some()
     }
 
-    /// Tells whether a load is under way that the store has not failed to answer.
+    /// Returns whether the stream is being loaded and no load is late or has failed.
     pub(crate) fn is_arriving(&self) -> bool {
         self.next.is_none() && !self.backoff.has_failed() && self.loads.len() < 2
     }
 
-    /// Gives how many records loads have brought so far.
+    /// Returns the number of records that loads have returned so far.
     pub(crate) fn arrived(&self) -> usize {
         self.arrived
     }
 
-    /// Gives the offset of the next record to read.
+    /// Returns the offset of the next record to read; 0 until loaded.
     pub(crate) fn next(&self) -> u64 {
         self.next.unwrap_or(0)
     }
 
-    /// Gives up to when it is certain what stood in the stream.
+    /// Returns the time up to which the stream was read: all records stored by then are known.
     pub(crate) fn known_ms(&self) -> Option<u64> {
         self.age.known_ms()
     }
 
-    /// Tells whether all that stood in the stream at `since_ms` has been read.
+    /// Returns whether all records that were stored by `since_ms` have been read.
     pub(crate) fn is_fresh_since(&self, since_ms: u64) -> bool {
         self.known_ms().is_some_and(|known_ms| known_ms >= since_ms)
     }
 
-    /// Tells whether a read that was sent after the given ticket has reached the end.
+    /// Returns whether a read that was sent after the given ticket has reached the end of the
+    /// stream.
     pub(crate) fn is_fresh_after(&self, ticket: u64) -> bool {
         self.age.is_after(ticket)
     }
 
-    /// Tells whether a read sent at `since_ms` or later has brought nothing.
+    /// Returns whether a read sent at `since_ms` or later has failed.
     pub(crate) fn has_failed_since(&self, since_ms: u64) -> bool {
         self.failures.is_since(since_ms)
     }
 
-    /// Gives what an answer takes at least, of late.
+    /// Returns the minimum latency of recent answers.
     pub(crate) fn typical_latency_ms(&self) -> u64 {
         self.latency.typical_ms()
     }
 
-    /// Gives what reads without a wait take of late.
+    /// Returns the moving average of the latency of reads that are answered immediately.
     pub(crate) fn average_latency_ms(&self) -> u64 {
         self.latency.average_ms()
     }
@@ -177,8 +182,8 @@
         SLOW_FACTOR * self.typical_latency_ms()
     }
 
-    /// Notes since when the store answers this host. Failures from before are no reason to
-    /// wait with the next read.
+    /// Records the time since which the store has answered this host. Failures before an outage
+    /// ended do not delay the next read.
     pub(crate) fn record_contact(&mut self, contact_ms: u64) {
         if contact_ms > self.contact_ms {
             self.retry_ms = 0;
@@ -186,8 +191,8 @@
         self.contact_ms = contact_ms;
     }
 
-    /// Makes what is known older by a time that the steady clock does not show. What reads
-    /// under way bring may be from before that time, too.
+    /// Adds time to the age that the steady clock has not counted, as while the host was suspended.
+    /// The answers to reads under way may be as old.
     pub(crate) fn age_by(&mut self, ms: u64) {
         self.age.grow_by(ms);
         for flight in self.reads.iter_mut().chain(&mut self.loads) {
@@ -195,12 +200,12 @@
         }
     }
 
-    /// Goes on loading, if that is due.
+    /// Sends a load of the next page if one is due.
     pub(crate) fn load(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
         if self.next.is_some() || now_ms < self.retry_ms {
             return;
         }
-        // One from before the store's return may have been dropped there.
+        // A load that was sent before the store recovered may be lost.
         self.loads
             .retain(|flight| flight.sent_ms >= self.contact_ms);
         if !may_load(&self.loads, now_ms) {
@@ -220,7 +225,8 @@
         });
     }
 
-    /// Reads at once, unless a read sent at `since_ms` or later is under way.
+    /// Sends a read that is answered immediately, unless one sent at `since_ms` or later is under
+    /// way.
     pub(crate) fn read_now(
         &mut self,
         since_ms: u64,
@@ -232,7 +238,8 @@
         self.read_unless(is_enough, timeouts(0), 0, now_ms, tickets, actions);
     }
 
-    /// Reads at once, unless a read sent after the given ticket is under way.
+    /// Sends a read that is answered immediately, unless one sent after the given ticket is under
+    /// way.
     pub(crate) fn read_now_after(
         &mut self,
         ticket: u64,
@@ -244,8 +251,8 @@
         self.read_unless(is_enough, timeouts(0), 0, now_ms, tickets, actions);
     }
 
-    /// Keeps one read under way that waits for a record. One from before the store's return may
-    /// have been dropped there, and is not counted.
+    /// Sends a long poll unless one is under way. A long poll from before the store recovered may
+    /// be lost and does not count.
     pub(crate) fn long_poll(
         &mut self,
         wait_ms: u64,
@@ -259,8 +266,8 @@
         self.read_unless(is_enough, timeouts, wait_ms, now_ms, tickets, actions);
     }
 
-    /// Reads beside the read that waits, once that one should have been answered: it may be
-    /// lost. A read that was sent since the store answers again is given its time.
+    /// Sends an immediate read beside the long poll once the answer to that is overdue, as it may
+    /// be lost. None is sent while an earlier one from after the store's recovery is under way.
     pub(crate) fn confirm(
         &mut self,
         wait_ms: u64,
@@ -279,17 +286,17 @@
         self.read_unless(is_enough, timeouts, 0, now_ms, tickets, actions);
     }
 
-    /// Counts the reads under way that the store is to answer at once, without those from
-    /// before its return: these may have been dropped there.
+    /// Counts the reads under way that the store is to answer immediately, without those from
+    /// before the store recovered, which may be lost.
     fn short_reads(&self) -> usize {
         let is_short = |flight: &&Flight| !flight.waits() && flight.sent_ms >= self.contact_ms;
         self.reads.iter().filter(is_short).count()
     }
 
-    /// Reads again and again, to find out whether the store is back.
+    /// Sends a read at a fixed interval, to check whether the store is available again.
     pub(crate) fn probe(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
         let is_due = now_ms >= self.probe_ms && self.short_reads() < MAX_READS;
-        // That a read has just failed is no reason to put a probe off.
+        // `retry_ms` is ignored: a read that has just failed does not delay a check.
         if self.next.is_none() || !is_due {
             return;
         }
@@ -298,7 +305,7 @@
         self.read(timeouts, 0, now_ms, tickets, actions);
     }
 
-    /// Reads, unless a read under way is enough or none may be sent now.
+    /// Sends a read, unless one under way is enough or none may be sent now.
     fn read_unless(
         &mut self,
         is_enough: impl Fn(&Flight) -> bool,
@@ -336,7 +343,7 @@
         });
     }
 
-    /// Takes in the end of a read, if it is one of this stream.
+    /// Handles the outcome of a read. Returns `None` if it is not a read of this tail.
     pub(crate) fn handle_read(
         &mut self,
         ticket: u64,
@@ -354,7 +361,8 @@
         };
         match std::mem::replace(outcome, ReadOutcome::Trimmed) {
             ReadOutcome::Failed(fault) => progress.failure = self.fail(flight, fault, now_ms),
-            // The history was dropped: the newest record of each key is still there.
+            // The store has trimmed the records to read next, but it retains the newest record of
+            // each key, so the stream is loaded again.
             ReadOutcome::Trimmed => {
                 self.next = None;
                 self.loading = None;
@@ -382,17 +390,17 @@
         Some(progress)
     }
 
-    /// Notes a read that brought nothing, and gives what is to be said about it, if that is
-    /// due.
+    /// Records a failed read, and returns the report if one is due.
     fn fail(&mut self, flight: Flight, fault: ReadFault, now_ms: u64) -> Option<Failure> {
-        // What was dropped before the store's return says nothing of the store as it is now.
+        // The failure of a read from before the store recovered says nothing about its present
+        // state.
         if flight.sent_ms >= self.contact_ms {
             self.retry_ms = now_ms + RETRY_MS;
         }
         self.failures.note(flight, fault, now_ms)
     }
 
-    /// Takes in a page, if it is one of this stream.
+    /// Handles the outcome of loading a page. Returns `None` if it is not a load of this tail.
     pub(crate) fn handle_page(
         &mut self,
         ticket: u64,
@@ -434,7 +442,8 @@
             self.loading = Some((records, first_end, last));
             return Some(progress);
         }
-        // Pages are no snapshot: what changed since the first one is read again.
+        // The pages are not a consistent snapshot, so reading resumes at the end of the stream as
+        // of the first page.
         self.next = Some(first_end);
         if first_end == page.end {
             self.age.record_end(flight, false, now_ms);
