--- a/crates/dispatch/src/appender.rs
+++ b/crates/dispatch/src/appender.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    pub(crate) fn may_begin(&self, now_ms: u64, gap_ms: u64) -> bool {
-        self.records.is_none() && now_ms >= self.last_ms + gap_ms
+    pub(crate) fn may_begin(&self, now_ms: u64, interval_ms: u64) -> bool {
+        self.records.is_none() && now_ms >= self.last_ms + interval_ms
     }
 
     pub(crate) fn begin(&mut self, records: Records, now_ms: u64) {
@@ -64,7 +64,7 @@
     pub(crate) fn send(
         &mut self,
         epoch: u64,
-        slow_ms: u64,
+        extra_timeout_ms: u64,
         now_ms: u64,
         tickets: &mut u64,
         actions: &mut Vec<Action>,
@@ -86,7 +86,7 @@
                 sequence: self.sequence,
             }),
             records: records.clone(),
-            timeout_ms: APPEND_TIMEOUT_MS + slow_ms,
+            timeout_ms: APPEND_TIMEOUT_MS + extra_timeout_ms,
         });
     }
 
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -22,45 +22,45 @@
 const LATENCY_FACTOR: u64 = 5;
 /// Period over which the claims of hosts are spread, in an order that is derived from their names,
 /// so that the first claim makes the others unnecessary.
-const SPREAD_MS: u64 = 300;
+const CLAIM_SPREAD_MS: u64 = 300;
 /// The same period if the owner is leaving. It still acts meanwhile, so there is no haste.
-const LEAVING_SPREAD_MS: u64 = 400;
+const LEAVING_CLAIM_SPREAD_MS: u64 = 400;
 /// Interval between reads of a watcher while the owner is healthy.
-const POLL_MS: u64 = 250;
+const READ_INTERVAL_MS: u64 = 250;
 /// Hosts that monitor the owner: the owner itself and the seven hosts that would claim first. Each
 /// read costs processor time; when all of 34 hosts monitored the owner, these reads were half of
 /// all calls.
 const WATCHERS: usize = 8;
 /// Interval between reads of a host that is no watcher. If all watchers are down, a claim is later
 /// by up to this time.
-const IDLE_POLL_MS: u64 = 1_000;
+const IDLE_READ_INTERVAL_MS: u64 = 1_000;
 /// Interval between reads while heartbeats are overdue.
-const SUSPECT_POLL_MS: u64 = 100;
+const OVERDUE_READ_INTERVAL_MS: u64 = 100;
 /// CPU share of the strongest host, in percent of a host's own, from which the host delays its
 /// claims.
-const STRONGER_PERCENT: u64 = 150;
+const MIN_STRONGER_PERCENT: u64 = 150;
 /// Time by which a weaker host delays its claims, so that stronger hosts claim first. Ownership
 /// takes processor time: with 0.12 cores instead of 0.5, a fleet of 490 workers earned a third less
 /// for its short jobs.
-const WEAKER_MS: u64 = 400;
+const WEAKER_DELAY_MS: u64 = 400;
 /// The same delay if there has never been an owner.
-const FIRST_WEAKER_MS: u64 = 2_500;
+const FIRST_WEAKER_DELAY_MS: u64 = 2_500;
 /// Time for which hosts announce themselves before the first claim ever. They start within 0.3 s
 /// of one another, and there is no work yet that a later claim would delay.
-const FIRST_WAIT_MS: u64 = 1_200;
+const FIRST_CLAIM_DELAY_MS: u64 = 1_200;
 /// Period over which the first claims are spread.
-const FIRST_SPREAD_MS: u64 = 1_500;
+const FIRST_CLAIM_SPREAD_MS: u64 = 1_500;
 /// Low bits of an epoch, which differ between hosts that claim at the same moment.
-const EPOCH_SPREAD_BITS: u32 = 16;
+const EPOCH_SUFFIX_BITS: u32 = 16;
 
 /// Returns a host's position in the order of claims, in thousandths.
-fn spread_permille(host: &str) -> u64 {
+fn position_permille(host: &str) -> u64 {
     xxh3_64(host.as_bytes()) % 1_000
 }
 
 /// Returns whether a host with this CPU share lets the strongest host claim first.
 fn is_weaker(cpu_permille: u64, strongest_permille: u64) -> bool {
-    strongest_permille * 100 >= cpu_permille * STRONGER_PERCENT
+    strongest_permille * 100 >= cpu_permille * MIN_STRONGER_PERCENT
 }
 
 /// Summary of all hosts that the owner publishes, so that each host can compute its own position in
@@ -92,7 +92,7 @@
 pub(crate) struct Election {
     cpu_permille: u64,
     /// This host's position in the order of claims.
-    spread_permille: u64,
+    position_permille: u64,
     /// Stronger hosts have announced themselves, so this one delays its claims.
     is_weaker: bool,
     /// This host is among the first to claim, and monitors the owner.
@@ -106,7 +106,7 @@
     claims: u64,
     /// Token that the next epoch must exceed. It may be above the owner's known token, since an
     /// owner without a heartbeat is known only by the store's rejection of a claim.
-    floor: u64,
+    min_token: u64,
     /// Recent latency of reads of the stream.
     latency_ms: u64,
 }
@@ -115,14 +115,14 @@
     pub(crate) fn new(host: &str, bounds: &Bounds, salt: u64) -> Self {
         Self {
             cpu_permille: bounds.cpu_permille,
-            spread_permille: spread_permille(host),
+            position_permille: position_permille(host),
             is_weaker: false,
             is_watcher: true,
             salt,
             heartbeat_ms: None,
             leaving_ms: None,
             claims: 0,
-            floor: 0,
+            min_token: 0,
             latency_ms: 0,
         }
     }
@@ -137,10 +137,10 @@
         let strongest_permille = HostSurvey::of(hosts).strongest_permille;
         let is_weaker = |cpu_permille| is_weaker(cpu_permille, strongest_permille);
         self.is_weaker = is_weaker(self.cpu_permille);
-        let own = (self.is_weaker, self.spread_permille);
+        let own = (self.is_weaker, self.position_permille);
         let mut earlier = 0;
         for (name, host) in hosts {
-            let other = (is_weaker(host.cpu_permille), spread_permille(name));
+            let other = (is_weaker(host.cpu_permille), position_permille(name));
             earlier += usize::from(other < own);
         }
         self.is_watcher = earlier < WATCHERS;
@@ -150,7 +150,7 @@
     /// same as with [`Election::update_hosts`].
     pub(crate) fn apply_survey(&mut self, survey: HostSurvey) {
         self.is_weaker = is_weaker(self.cpu_permille, survey.strongest_permille);
-        let is_early = self.spread_permille * survey.strong_hosts < WATCHERS as u64 * 1_000;
+        let is_early = self.position_permille * survey.strong_hosts < WATCHERS as u64 * 1_000;
         self.is_watcher = is_early && !self.is_weaker;
     }
 
@@ -192,25 +192,30 @@
     pub(crate) fn turn_ms(&self, owner: &OwnerRecord) -> Option<u64> {
         let heartbeat_ms = self.heartbeat_ms?;
         let slow_ms = self.latency_ms * LATENCY_FACTOR;
-        let leaving_wait_ms = self.spread_permille * (LEAVING_SPREAD_MS + slow_ms) / 1_000;
+        let leaving_spread_ms =
+            self.position_permille * (LEAVING_CLAIM_SPREAD_MS + slow_ms) / 1_000;
         if owner.token == 0 {
-            let weaker_ms = if self.is_weaker { FIRST_WEAKER_MS } else { 0 };
-            let spread_ms = self.spread_permille * FIRST_SPREAD_MS / 1_000;
-            return Some(heartbeat_ms + FIRST_WAIT_MS + weaker_ms + spread_ms);
+            let weaker_ms = if self.is_weaker {
+                FIRST_WEAKER_DELAY_MS
+            } else {
+                0
+            };
+            let spread_ms = self.position_permille * FIRST_CLAIM_SPREAD_MS / 1_000;
+            return Some(heartbeat_ms + FIRST_CLAIM_DELAY_MS + weaker_ms + spread_ms);
         }
-        let weaker_ms = if self.is_weaker { WEAKER_MS } else { 0 };
+        let weaker_ms = if self.is_weaker { WEAKER_DELAY_MS } else { 0 };
         if let Some(leaving_ms) = self.leaving_ms {
-            return Some(leaving_ms + weaker_ms + leaving_wait_ms);
+            return Some(leaving_ms + weaker_ms + leaving_spread_ms);
         }
-        let spread_ms = self.spread_permille * (SPREAD_MS + slow_ms) / 1_000;
+        let spread_ms = self.position_permille * (CLAIM_SPREAD_MS + slow_ms) / 1_000;
         Some(heartbeat_ms + weaker_ms + SILENCE_MS + slow_ms + spread_ms)
     }
 
     /// Returns whether to claim: a read that was sent after the time of this host's claim, at
-    /// `fresh_ms`, has reached the end of the stream and found no other owner.
-    pub(crate) fn should_claim(&self, fresh_ms: Option<u64>, owner: &OwnerRecord) -> bool {
-        match (self.turn_ms(owner), fresh_ms) {
-            (Some(claim_ms), Some(fresh_ms)) => fresh_ms >= claim_ms,
+    /// `known_ms`, has reached the end of the stream and found no other owner.
+    pub(crate) fn should_claim(&self, known_ms: Option<u64>, owner: &OwnerRecord) -> bool {
+        match (self.turn_ms(owner), known_ms) {
+            (Some(claim_ms), Some(known_ms)) => known_ms >= claim_ms,
             _ => false,
         }
     }
@@ -225,10 +230,10 @@
     pub(crate) fn poll_ms(&self, now_ms: u64, owner: &OwnerRecord) -> u64 {
         match self.heartbeat_ms {
             // There has never been an owner, so no heartbeat is overdue.
-            Some(_) if owner.token == 0 => POLL_MS,
-            Some(_) if !self.is_watcher => IDLE_POLL_MS,
-            Some(heartbeat_ms) if now_ms < heartbeat_ms + 2 * POLL_MS => POLL_MS,
-            _ => SUSPECT_POLL_MS,
+            Some(_) if owner.token == 0 => READ_INTERVAL_MS,
+            Some(_) if !self.is_watcher => IDLE_READ_INTERVAL_MS,
+            Some(heartbeat_ms) if now_ms < heartbeat_ms + 2 * READ_INTERVAL_MS => READ_INTERVAL_MS,
+            _ => OVERDUE_READ_INTERVAL_MS,
         }
     }
 
@@ -236,18 +241,19 @@
     /// that no heartbeat has shown: the owner of that epoch may have died before its first
     /// heartbeat.
     pub(crate) fn raise_floor(&mut self) {
-        self.floor += 1 << EPOCH_SPREAD_BITS;
+        self.min_token += 1 << EPOCH_SUFFIX_BITS;
     }
 
     /// Returns a fence whose epoch is above the owner's and is used by no other host.
     pub(crate) fn fence(&mut self, owner: &OwnerRecord) -> Fence {
         self.claims += 1;
-        let mixed = xxh3_64(&[self.salt.to_le_bytes(), self.claims.to_le_bytes()].concat());
-        self.floor = self.floor.max(owner.token);
-        let spread = mixed & ((1 << EPOCH_SPREAD_BITS) - 1);
+        let hash = xxh3_64(&[self.salt.to_le_bytes(), self.claims.to_le_bytes()].concat());
+        self.min_token = self.min_token.max(owner.token);
+        let suffix = hash & ((1 << EPOCH_SUFFIX_BITS) - 1);
         Fence {
-            epoch: (((owner.token.max(self.floor) >> EPOCH_SPREAD_BITS) + 1) << EPOCH_SPREAD_BITS)
-                | spread,
+            epoch: (((owner.token.max(self.min_token) >> EPOCH_SUFFIX_BITS) + 1)
+                << EPOCH_SUFFIX_BITS)
+                | suffix,
             sequence: 0,
         }
     }
--- a/crates/dispatch/src/evacuations.rs
+++ b/crates/dispatch/src/evacuations.rs
@@ -55,22 +55,22 @@
         if previous.is_some_and(|previous| previous.version >= version) {
             return false;
         }
-        let is_news = is_in_force || self.covers(failure_domain);
+        let is_change = is_in_force || self.covers(failure_domain);
         let evacuation = Evacuation {
             key: key.into(),
             version,
             is_in_force,
         };
         self.by_domain.insert(failure_domain.into(), evacuation);
-        is_news
+        is_change
     }
 
     /// Removes evacuations whose key is not among those of a complete reload. Returns the failure
     /// domains whose evacuation was in force until then, since no record has revoked it.
     pub(crate) fn retain_keys(&mut self, keys: &BTreeSet<&str>) -> Vec<Box<str>> {
         let rows = &mut self.by_domain;
-        let dropped = rows.extract_if(.., |_, evacuation| !keys.contains(&*evacuation.key));
-        let in_force = dropped.filter(|(_, evacuation)| evacuation.is_in_force);
+        let removed = rows.extract_if(.., |_, evacuation| !keys.contains(&*evacuation.key));
+        let in_force = removed.filter(|(_, evacuation)| evacuation.is_in_force);
         in_force.map(|(domain, _)| domain).collect()
     }
 }
--- a/crates/dispatch/src/job_table.rs
+++ b/crates/dispatch/src/job_table.rs
@@ -137,10 +137,10 @@
     /// Applies a record. Records of a key may be repeated and may come in any order.
     pub(crate) fn apply(&mut self, record: &StoredRecord) -> Change {
         match Key::parse(&record.key) {
-            Some(Key::Submitted(id)) => self.submit(id, &record.value),
-            Some(Key::Cancelled(id)) => self.cancel(id, &record.value),
-            Some(Key::State(id)) => self.state(id, &record.value),
-            Some(Key::Owner) => self.own(record),
+            Some(Key::Submitted(id)) => self.apply_submission(id, &record.value),
+            Some(Key::Cancelled(id)) => self.apply_cancellation(id, &record.value),
+            Some(Key::State(id)) => self.apply_state(id, &record.value),
+            Some(Key::Owner) => self.apply_owner(record),
             Some(Key::Host(name)) => {
                 // A record that can't be decoded counts as a host without processor time.
                 let host = HostRecord::decode(&*record.value).unwrap_or_default();
@@ -151,7 +151,7 @@
         }
     }
 
-    fn submit(&mut self, id: JobId, value: &[u8]) -> Change {
+    fn apply_submission(&mut self, id: JobId, value: &[u8]) -> Change {
         if value.is_empty() {
             self.jobs.remove(&id);
             return Change::Nothing;
@@ -168,7 +168,7 @@
         Change::Submitted(id)
     }
 
-    fn cancel(&mut self, id: JobId, value: &[u8]) -> Change {
+    fn apply_cancellation(&mut self, id: JobId, value: &[u8]) -> Change {
         if value.is_empty() {
             return Change::Nothing;
         }
@@ -180,7 +180,7 @@
         Change::Cancelled(id)
     }
 
-    fn state(&mut self, id: JobId, value: &[u8]) -> Change {
+    fn apply_state(&mut self, id: JobId, value: &[u8]) -> Change {
         if let Ok(state) = StateRecord::decode(value)
             && !value.is_empty()
         {
@@ -198,7 +198,7 @@
         }
     }
 
-    fn own(&mut self, record: &StoredRecord) -> Change {
+    fn apply_owner(&mut self, record: &StoredRecord) -> Change {
         let Ok(owner) = OwnerRecord::decode(&*record.value) else {
             return Change::Nothing;
         };
--- a/crates/dispatch/src/tail/age.rs
+++ b/crates/dispatch/src/tail/age.rs
@@ -32,19 +32,19 @@
     /// was sent, and if a long poll timed out without a record, after the wait.
     pub(super) fn record_end(&mut self, flight: Flight, is_empty: bool, now_ms: u64) {
         self.ticket = self.ticket.max(flight.ticket);
-        if flight.is_from_before {
+        if flight.precedes_suspension {
             return;
         }
-        let held_until_ms = flight.held_until_ms();
-        let known_ms = match is_empty && now_ms >= held_until_ms {
-            true => held_until_ms,
+        let delayed_until_ms = flight.delayed_until_ms();
+        let known_ms = match is_empty && now_ms >= delayed_until_ms {
+            true => delayed_until_ms,
             false => flight.sent_ms,
         };
         self.known_ms = self.known_ms.max(Some(known_ms));
     }
 
     /// Adds time to the age that the steady clock has not counted, as while the host was suspended.
-    pub(super) fn grow_by(&mut self, ms: u64) {
+    pub(super) fn increase(&mut self, ms: u64) {
         self.known_ms = self.known_ms.and_then(|known_ms| known_ms.checked_sub(ms));
     }
 }
--- a/crates/dispatch/src/tail/backoff.rs
+++ b/crates/dispatch/src/tail/backoff.rs
@@ -15,12 +15,12 @@
 /// Maximum number of concurrent loads of one page.
 const MAX_LOADS: usize = 3;
 /// Time after which a second load is sent. The third is sent after twice this time from the second.
-const LATE_MS: u64 = 1_200;
+const LATE_LOAD_MS: u64 = 1_200;
 /// Timeout until the first byte of a load as a multiple of that of a read: the store may have to
 /// answer the loads of all hosts.
 const LOAD_TIMEOUT_FACTOR: u64 = 8;
 /// Maximum delay after the first failure. Half of it is fixed, the other half is random.
-const PAUSE_MS: u64 = 250;
+const MAX_FIRST_DELAY_MS: u64 = 250;
 /// Consecutive failures after which the delay no longer doubles.
 const MAX_DOUBLINGS: u32 = 2;
 
@@ -29,16 +29,16 @@
     let Some(newest) = loads.last() else {
         return true;
     };
-    let late_ms = LATE_MS << (loads.len() - 1);
+    let late_ms = LATE_LOAD_MS << (loads.len() - 1);
     loads.len() < MAX_LOADS && now_ms >= newest.sent_ms + late_ms
 }
 
 /// Returns the timeouts of a load.
 pub(super) fn load_timeouts() -> ReadTimeouts {
-    let once = timeouts(0);
+    let read_timeouts = timeouts(0);
     ReadTimeouts {
-        first_byte_ms: once.first_byte_ms * LOAD_TIMEOUT_FACTOR,
-        ..once
+        first_byte_ms: read_timeouts.first_byte_ms * LOAD_TIMEOUT_FACTOR,
+        ..read_timeouts
     }
 }
 
@@ -61,15 +61,15 @@
     }
 
     /// Records a failure, and returns the delay before the next load.
-    pub(super) fn fail(&mut self, ticket: u64) -> u64 {
-        let max_ms = PAUSE_MS << self.failures.min(MAX_DOUBLINGS);
+    pub(super) fn record_failure(&mut self, ticket: u64) -> u64 {
+        let max_delay_ms = MAX_FIRST_DELAY_MS << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        let drawn = xxh3_64_with_seed(&ticket.to_le_bytes(), self.salt);
-        max_ms / 2 + drawn % (max_ms / 2)
+        let hash = xxh3_64_with_seed(&ticket.to_le_bytes(), self.salt);
+        max_delay_ms / 2 + hash % (max_delay_ms / 2)
     }
 
     /// Records that a load has succeeded.
-    pub(super) fn end(&mut self) {
+    pub(super) fn record_success(&mut self) {
         self.failures = 0;
     }
 }
--- a/crates/dispatch/src/tail/failures.rs
+++ b/crates/dispatch/src/tail/failures.rs
@@ -5,7 +5,7 @@
 
 /// Minimum interval between reports on a stream. While the store is unavailable, a host's reads of
 /// all streams fail several times a second.
-const REPORT_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
 /// Report of a failed read.
 #[derive(Debug, Clone, Copy)]
@@ -23,32 +23,33 @@
 #[derive(Debug, Default)]
 pub(super) struct Failures {
     /// When the newest of the failed reads was sent.
-    sent_ms: Option<u64>,
+    newest_sent_ms: Option<u64>,
     /// Number of failures since the last report.
     unreported: u64,
     /// Earliest time of the next report.
-    report_ms: u64,
+    next_report_ms: u64,
 }
 
 impl Failures {
     /// Returns whether a read sent at `since_ms` or later has failed.
-    pub(super) fn is_since(&self, since_ms: u64) -> bool {
-        self.sent_ms.is_some_and(|sent_ms| sent_ms >= since_ms)
+    pub(super) fn any_since(&self, since_ms: u64) -> bool {
+        self.newest_sent_ms
+            .is_some_and(|sent_ms| sent_ms >= since_ms)
     }
 
     /// Records a failed read, and returns the report if one is due.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         flight: Flight,
         fault: ReadFault,
         now_ms: u64,
     ) -> Option<Failure> {
-        self.sent_ms = self.sent_ms.max(Some(flight.sent_ms));
+        self.newest_sent_ms = self.newest_sent_ms.max(Some(flight.sent_ms));
         self.unreported += 1;
-        if now_ms < self.report_ms {
+        if now_ms < self.next_report_ms {
             return None;
         }
-        self.report_ms = now_ms + REPORT_MS;
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS;
         Some(Failure {
             fault,
             sent_age_ms: now_ms.saturating_sub(flight.sent_ms),
--- a/crates/dispatch/src/tail/flight.rs
+++ b/crates/dispatch/src/tail/flight.rs
@@ -22,7 +22,7 @@
     /// answer.
     pub(super) wait_ms: u64,
     /// The host was suspended after it was sent, so the age of its answer is not known.
-    pub(super) is_from_before: bool,
+    pub(super) precedes_suspension: bool,
 }
 
 impl Flight {
@@ -31,7 +31,7 @@
             ticket,
             sent_ms,
             wait_ms,
-            is_from_before: false,
+            precedes_suspension: false,
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Returns the time until which the store may delay the answer.
-    pub(super) fn held_until_ms(&self) -> u64 {
+    pub(super) fn delayed_until_ms(&self) -> u64 {
         self.sent_ms + self.wait_ms
     }
 }
--- a/crates/dispatch/src/tail/mod.rs
+++ b/crates/dispatch/src/tail/mod.rs
@@ -41,7 +41,7 @@
 /// Interval between reads that check whether the store is available again. A host recovers later
 /// than the store: by 0.48 s on average with the ordinary reads of all streams, by 0.08 s with
 /// these.
-const PROBE_GAP_MS: u64 = 200;
+const CHECK_INTERVAL_MS: u64 = 200;
 /// Maximum number of concurrent reads of a stream that the store is to answer immediately. Each
 /// query of a caller needs a read that was sent after it. Without a limit, reads accumulated during
 /// an outage, up to 131 calls of one host, and delayed the first ones after it.
@@ -73,7 +73,7 @@
     /// Loads return the keys after this one; all keys if it is empty.
     after_key: Box<str>,
     /// Offset of the next record to read; `None` until loaded.
-    next: Option<u64>,
+    next_offset: Option<u64>,
     /// While loading: records so far, end of the stream at the first page, last key.
     loading: Option<(Vec<StoredRecord>, u64, Box<str>)>,
     /// Loads under way, all of the same page; only the first answer is used.
@@ -84,10 +84,10 @@
     reads: Vec<Flight>,
     /// Time since which the store has answered this host without an interruption. Reads that were
     /// sent earlier may be lost.
-    contact_ms: u64,
+    contact_since_ms: u64,
     retry_ms: u64,
     /// Earliest time of the next check whether the store is available.
-    probe_ms: u64,
+    next_check_ms: u64,
     age: Age,
     /// When the newest answer arrived.
     pub(crate) answered_ms: Option<u64>,
@@ -106,15 +106,15 @@
         Self {
             stream,
             after_key: key.into(),
-            next: None,
+            next_offset: None,
             loading: None,
             loads: Vec::new(),
             backoff: Backoff::new(salt),
             arrived: 0,
             reads: Vec::new(),
-            contact_ms: 0,
+            contact_since_ms: 0,
             retry_ms: 0,
-            probe_ms: 0,
+            next_check_ms: 0,
             age: Age::default(),
             answered_ms: None,
             latency: Latency::default(),
@@ -129,12 +129,12 @@
     }
 
     pub(crate) fn is_loaded(&self) -> bool {
-        self.next.is_some()
+        self.next_offset.is_some()
     }
 
     /// Returns whether the stream is being loaded and no load is late or has failed.
     pub(crate) fn is_arriving(&self) -> bool {
-        self.next.is_none() && !self.backoff.has_failed() && self.loads.len() < 2
+        self.next_offset.is_none() && !self.backoff.has_failed() && self.loads.len() < 2
     }
 
     /// Returns the number of records that loads have returned so far.
@@ -143,8 +143,8 @@
     }
 
     /// Returns the offset of the next record to read; 0 until loaded.
-    pub(crate) fn next(&self) -> u64 {
-        self.next.unwrap_or(0)
+    pub(crate) fn next_offset(&self) -> u64 {
+        self.next_offset.unwrap_or(0)
     }
 
     /// Returns the time up to which the stream was read: all records stored by then are known.
@@ -165,7 +165,7 @@
 
     /// Returns whether a read sent at `since_ms` or later has failed.
     pub(crate) fn has_failed_since(&self, since_ms: u64) -> bool {
-        self.failures.is_since(since_ms)
+        self.failures.any_since(since_ms)
     }
 
     /// Returns the minimum latency of recent answers.
@@ -184,30 +184,30 @@
 
     /// Records the time since which the store has answered this host. Failures before an outage
     /// ended do not delay the next read.
-    pub(crate) fn record_contact(&mut self, contact_ms: u64) {
-        if contact_ms > self.contact_ms {
+    pub(crate) fn record_contact(&mut self, contact_since_ms: u64) {
+        if contact_since_ms > self.contact_since_ms {
             self.retry_ms = 0;
         }
-        self.contact_ms = contact_ms;
+        self.contact_since_ms = contact_since_ms;
     }
 
     /// Adds time to the age that the steady clock has not counted, as while the host was suspended.
     /// The answers to reads under way may be as old.
     pub(crate) fn age_by(&mut self, ms: u64) {
-        self.age.grow_by(ms);
+        self.age.increase(ms);
         for flight in self.reads.iter_mut().chain(&mut self.loads) {
-            flight.is_from_before = true;
+            flight.precedes_suspension = true;
         }
     }
 
     /// Sends a load of the next page if one is due.
     pub(crate) fn load(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
-        if self.next.is_some() || now_ms < self.retry_ms {
+        if self.next_offset.is_some() || now_ms < self.retry_ms {
             return;
         }
         // A load that was sent before the store recovered may be lost.
         self.loads
-            .retain(|flight| flight.sent_ms >= self.contact_ms);
+            .retain(|flight| flight.sent_ms >= self.contact_since_ms);
         if !may_load(&self.loads, now_ms) {
             return;
         }
@@ -260,8 +260,8 @@
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        let contact_ms = self.contact_ms;
-        let is_enough = |flight: &Flight| flight.waits() && flight.sent_ms >= contact_ms;
+        let contact_since_ms = self.contact_since_ms;
+        let is_enough = |flight: &Flight| flight.waits() && flight.sent_ms >= contact_since_ms;
         let timeouts = timeouts(wait_ms);
         self.read_unless(is_enough, timeouts, wait_ms, now_ms, tickets, actions);
     }
@@ -281,26 +281,27 @@
             return;
         }
         let timeouts = brief_timeouts(slow_ms);
-        let contact_ms = self.contact_ms;
-        let is_enough = |flight: &Flight| !flight.waits() && flight.sent_ms >= contact_ms;
+        let contact_since_ms = self.contact_since_ms;
+        let is_enough = |flight: &Flight| !flight.waits() && flight.sent_ms >= contact_since_ms;
         self.read_unless(is_enough, timeouts, 0, now_ms, tickets, actions);
     }
 
     /// Counts the reads under way that the store is to answer immediately, without those from
     /// before the store recovered, which may be lost.
-    fn short_reads(&self) -> usize {
-        let is_short = |flight: &&Flight| !flight.waits() && flight.sent_ms >= self.contact_ms;
-        self.reads.iter().filter(is_short).count()
+    fn immediate_reads(&self) -> usize {
+        let is_immediate =
+            |flight: &&Flight| !flight.waits() && flight.sent_ms >= self.contact_since_ms;
+        self.reads.iter().filter(is_immediate).count()
     }
 
     /// Sends a read at a fixed interval, to check whether the store is available again.
     pub(crate) fn probe(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
-        let is_due = now_ms >= self.probe_ms && self.short_reads() < MAX_READS;
+        let is_due = now_ms >= self.next_check_ms && self.immediate_reads() < MAX_READS;
         // `retry_ms` is ignored: a read that has just failed does not delay a check.
-        if self.next.is_none() || !is_due {
+        if self.next_offset.is_none() || !is_due {
             return;
         }
-        self.probe_ms = now_ms + PROBE_GAP_MS;
+        self.next_check_ms = now_ms + CHECK_INTERVAL_MS;
         let timeouts = brief_timeouts(self.slow_ms());
         self.read(timeouts, 0, now_ms, tickets, actions);
     }
@@ -315,10 +316,11 @@
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        if self.next.is_none() || now_ms < self.retry_ms || self.reads.iter().any(is_enough) {
+        if self.next_offset.is_none() || now_ms < self.retry_ms || self.reads.iter().any(is_enough)
+        {
             return;
         }
-        if wait_ms == 0 && self.short_reads() >= MAX_READS {
+        if wait_ms == 0 && self.immediate_reads() >= MAX_READS {
             return;
         }
         self.read(timeouts, wait_ms, now_ms, tickets, actions);
@@ -337,7 +339,7 @@
         actions.push(Action::Read {
             ticket: *tickets,
             stream: self.stream,
-            from: self.next(),
+            from: self.next_offset(),
             wait_ms,
             timeouts,
         });
@@ -350,39 +352,39 @@
         now_ms: u64,
         outcome: &mut ReadOutcome,
     ) -> Option<Progress> {
-        let at = self
+        let index = self
             .reads
             .iter()
             .position(|flight| flight.ticket == ticket)?;
-        let flight = self.reads.remove(at);
+        let flight = self.reads.remove(index);
         let mut progress = Progress {
             previous_age_ms: self.age_ms(now_ms),
             ..Progress::default()
         };
         match std::mem::replace(outcome, ReadOutcome::Trimmed) {
-            ReadOutcome::Failed(fault) => progress.failure = self.fail(flight, fault, now_ms),
+            ReadOutcome::Failed(fault) => progress.failure = self.on_failure(flight, fault, now_ms),
             // The store has trimmed the records to read next, but it retains the newest record of
             // each key, so the stream is loaded again.
             ReadOutcome::Trimmed => {
-                self.next = None;
+                self.next_offset = None;
                 self.loading = None;
             }
             ReadOutcome::Records { records, end } => {
                 self.answered_ms = Some(now_ms);
-                self.latency.note(flight, now_ms);
+                self.latency.record(flight, now_ms);
                 let is_empty = records.is_empty();
-                let Some(mut next) = self.next else {
+                let Some(mut next_offset) = self.next_offset else {
                     return Some(progress);
                 };
                 for record in records {
-                    if record.offset < next {
+                    if record.offset < next_offset {
                         continue;
                     }
-                    next = record.offset + 1;
+                    next_offset = record.offset + 1;
                     progress.records.push(record);
                 }
-                self.next = Some(next);
-                if next >= end {
+                self.next_offset = Some(next_offset);
+                if next_offset >= end {
                     self.age.record_end(flight, is_empty, now_ms);
                 }
             }
@@ -391,13 +393,13 @@
     }
 
     /// Records a failed read, and returns the report if one is due.
-    fn fail(&mut self, flight: Flight, fault: ReadFault, now_ms: u64) -> Option<Failure> {
+    fn on_failure(&mut self, flight: Flight, fault: ReadFault, now_ms: u64) -> Option<Failure> {
         // The failure of a read from before the store recovered says nothing about its present
         // state.
-        if flight.sent_ms >= self.contact_ms {
+        if flight.sent_ms >= self.contact_since_ms {
             self.retry_ms = now_ms + RETRY_MS;
         }
-        self.failures.note(flight, fault, now_ms)
+        self.failures.record(flight, fault, now_ms)
     }
 
     /// Handles the outcome of loading a page. Returns `None` if it is not a load of this tail.
@@ -407,11 +409,11 @@
         now_ms: u64,
         outcome: &mut LoadOutcome,
     ) -> Option<Progress> {
-        let at = self
+        let index = self
             .loads
             .iter()
             .position(|flight| flight.ticket == ticket)?;
-        let flight = self.loads.remove(at);
+        let flight = self.loads.remove(index);
         let mut progress = Progress {
             previous_age_ms: self.age_ms(now_ms),
             ..Progress::default()
@@ -419,13 +421,13 @@
         let page = match std::mem::replace(outcome, Err(ReadFault::NoAnswer)) {
             Ok(page) => page,
             Err(fault) => {
-                let pause_ms = self.backoff.fail(flight.ticket);
-                progress.failure = self.fail(flight, fault, now_ms);
-                self.retry_ms = self.retry_ms.max(now_ms + pause_ms);
+                let delay_ms = self.backoff.record_failure(flight.ticket);
+                progress.failure = self.on_failure(flight, fault, now_ms);
+                self.retry_ms = self.retry_ms.max(now_ms + delay_ms);
                 return Some(progress);
             }
         };
-        self.backoff.end();
+        self.backoff.record_success();
         self.loads.clear();
         self.arrived += page.records.len();
         self.answered_ms = Some(now_ms);
@@ -444,7 +446,7 @@
         }
         // The pages are not a consistent snapshot, so reading resumes at the end of the stream as
         // of the first page.
-        self.next = Some(first_end);
+        self.next_offset = Some(first_end);
         if first_end == page.end {
             self.age.record_end(flight, false, now_ms);
         }
