--- a/crates/dispatch/src/appender.rs
+++ b/crates/dispatch/src/appender.rs
@@ -30,7 +30,7 @@
     ticket: Option<u64>,
     retry_ms: u64,
     pub(crate) sent_ms: u64,
-    pub(crate) last_ms: u64,
+    pub(crate) last_begin_ms: u64,
     /// Size of the latest records.
     pub(crate) last_bytes: u64,
 }
@@ -44,13 +44,13 @@
             ticket: None,
             retry_ms: 0,
             sent_ms: now_ms,
-            last_ms: now_ms,
+            last_begin_ms: now_ms,
             last_bytes: 0,
         }
     }
 
     pub(crate) fn may_begin(&self, now_ms: u64, interval_ms: u64) -> bool {
-        self.records.is_none() && now_ms >= self.last_ms + interval_ms
+        self.records.is_none() && now_ms >= self.last_begin_ms + interval_ms
     }
 
     pub(crate) fn begin(&mut self, records: Records, now_ms: u64) {
@@ -58,7 +58,7 @@
         self.last_bytes = records_bytes(rows);
         self.records = Some(records);
         self.retry_ms = 0;
-        self.last_ms = now_ms;
+        self.last_begin_ms = now_ms;
     }
 
     pub(crate) fn send(
@@ -92,7 +92,7 @@
 
     /// Handles the outcome of an append. Returns whether its records are stored, or `None` if this
     /// appender did not send it.
-    pub(crate) fn take(
+    pub(crate) fn handle_outcome(
         &mut self,
         ticket: u64,
         outcome: AppendOutcome,
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -182,14 +182,14 @@
 
     /// Restarts the timeouts: heartbeats could not have been read so far, or another host has
     /// claimed first.
-    pub(crate) fn restart(&mut self, now_ms: u64) {
+    pub(crate) fn restart_timeouts(&mut self, now_ms: u64) {
         self.heartbeat_ms = self.heartbeat_ms.map(|_| now_ms);
         self.leaving_ms = self.leaving_ms.map(|_| now_ms);
     }
 
     /// Returns the time from which this host may claim, unless it then reads a heartbeat. `None`
     /// before the stream was read to its end.
-    pub(crate) fn turn_ms(&self, owner: &OwnerRecord) -> Option<u64> {
+    pub(crate) fn claim_due_ms(&self, owner: &OwnerRecord) -> Option<u64> {
         let heartbeat_ms = self.heartbeat_ms?;
         let slow_ms = self.latency_ms * LATENCY_FACTOR;
         let leaving_spread_ms =
@@ -214,20 +214,20 @@
     /// Returns whether to claim: a read that was sent after the time of this host's claim, at
     /// `known_ms`, has reached the end of the stream and found no other owner.
     pub(crate) fn should_claim(&self, known_ms: Option<u64>, owner: &OwnerRecord) -> bool {
-        match (self.turn_ms(owner), known_ms) {
+        match (self.claim_due_ms(owner), known_ms) {
             (Some(claim_ms), Some(known_ms)) => known_ms >= claim_ms,
             _ => false,
         }
     }
 
     /// Returns whether the time of this host's claim has come, so that it should read first.
-    pub(crate) fn is_due(&self, now_ms: u64, owner: &OwnerRecord) -> bool {
-        self.turn_ms(owner)
+    pub(crate) fn is_claim_due(&self, now_ms: u64, owner: &OwnerRecord) -> bool {
+        self.claim_due_ms(owner)
             .is_some_and(|claim_ms| now_ms >= claim_ms)
     }
 
     /// Returns the interval between reads of the stream.
-    pub(crate) fn poll_ms(&self, now_ms: u64, owner: &OwnerRecord) -> u64 {
+    pub(crate) fn read_interval_ms(&self, now_ms: u64, owner: &OwnerRecord) -> u64 {
         match self.heartbeat_ms {
             // There has never been an owner, so no heartbeat is overdue.
             Some(_) if owner.token == 0 => READ_INTERVAL_MS,
@@ -240,12 +240,12 @@
     /// Raises the lowest token to use, after the store rejected a claim because of a later epoch
     /// that no heartbeat has shown: the owner of that epoch may have died before its first
     /// heartbeat.
-    pub(crate) fn raise_floor(&mut self) {
+    pub(crate) fn raise_min_token(&mut self) {
         self.min_token += 1 << EPOCH_SUFFIX_BITS;
     }
 
     /// Returns a fence whose epoch is above the owner's and is used by no other host.
-    pub(crate) fn fence(&mut self, owner: &OwnerRecord) -> Fence {
+    pub(crate) fn next_fence(&mut self, owner: &OwnerRecord) -> Fence {
         self.claims += 1;
         let hash = xxh3_64(&[self.salt.to_le_bytes(), self.claims.to_le_bytes()].concat());
         self.min_token = self.min_token.max(owner.token);
--- a/crates/dispatch/src/entry/ages.rs
+++ b/crates/dispatch/src/entry/ages.rs
@@ -63,14 +63,14 @@
         let Failure {
             fault,
             sent_age_ms,
-            waits,
+            is_long_poll,
             failures,
         } = failure;
         actions.push(Action::Note(Note::new(
             Code::ReadFailed,
             format!("{stream:?}"),
             format!(
-                "why={fault:?} sent_age_ms={sent_age_ms} waits={waits} failures={failures} age_ms={}",
+                "why={fault:?} sent_age_ms={sent_age_ms} waits={is_long_poll} failures={failures} age_ms={}",
                 format_age(age_ms)
             ),
         )));
--- a/crates/dispatch/src/entry/following.rs
+++ b/crates/dispatch/src/entry/following.rs
@@ -46,8 +46,10 @@
         }
         self.rules.long_poll(long_poll_ms, now_ms, tickets, actions);
         match self.is_store_unavailable {
-            true => self.rules.probe(now_ms, tickets, actions),
-            false => self.rules.confirm(long_poll_ms, now_ms, tickets, actions),
+            true => self.rules.check_store(now_ms, tickets, actions),
+            false => self
+                .rules
+                .read_if_overdue(long_poll_ms, now_ms, tickets, actions),
         }
         let acts = self.owner.is_some() || self.claim.is_some();
         if acts {
@@ -75,7 +77,9 @@
         if self.reading.scope == Scope::All {
             self.follow_jobs(now_ms, actions);
         }
-        let pause_ms = self.election.poll_ms(now_ms, &self.job_table.owner);
+        let pause_ms = self
+            .election
+            .read_interval_ms(now_ms, &self.job_table.owner);
         if now_ms >= self.states_read_ms + pause_ms {
             self.states_read_ms = now_ms;
             self.states
@@ -131,7 +135,7 @@
             self.contact.suspect(now_ms);
         }
         if self.contact.is_in_doubt() {
-            self.rules.probe(now_ms, &mut self.tickets, actions);
+            self.rules.check_store(now_ms, &mut self.tickets, actions);
         }
     }
 
@@ -162,7 +166,7 @@
                 format!("last_answer_age_ms={age_ms}"),
             )));
             if !is_away {
-                self.election.restart(now.steady_ms);
+                self.election.restart_timeouts(now.steady_ms);
             }
         }
     }
--- a/crates/dispatch/src/entry/job_tails.rs
+++ b/crates/dispatch/src/entry/job_tails.rs
@@ -85,7 +85,7 @@
     /// Makes what is known older by a time that the steady clock does not show.
     pub(crate) fn age_by(&mut self, ms: u64) {
         for tail in &mut self.tails {
-            tail.age_by(ms);
+            tail.increase_age(ms);
         }
     }
 
@@ -133,7 +133,7 @@
         actions: &mut Vec<Action>,
     ) {
         for tail in &mut self.tails {
-            tail.confirm(wait_ms, now_ms, tickets, actions);
+            tail.read_if_overdue(wait_ms, now_ms, tickets, actions);
         }
     }
 }
--- a/crates/dispatch/src/entry/loading.rs
+++ b/crates/dispatch/src/entry/loading.rs
@@ -27,7 +27,7 @@
     /// Tells whether jobs or states still come in. A stream that the store refuses or does
     /// not answer for is not waited for: it may be away for long, and the others serve.
     pub(super) fn is_loading(&self) -> bool {
-        self.followed().any(Tail::is_arriving)
+        self.followed().any(Tail::is_loading_on_time)
     }
 
     fn followed(&self) -> impl Iterator<Item = &Tail> {
@@ -48,7 +48,7 @@
         if !is_done && !is_due {
             return;
         }
-        let records: usize = self.followed().map(Tail::arrived).sum();
+        let records: usize = self.followed().map(Tail::loaded_records).sum();
         let detail = format!("records={records} age_ms={}", now_ms - since_ms);
         let note = match is_done {
             true => Note::new(Code::StreamsLoaded, &*self.host, detail),
--- a/crates/dispatch/src/entry/mod.rs
+++ b/crates/dispatch/src/entry/mod.rs
@@ -45,8 +45,8 @@
 use crate::policy::link::MAX_LIST_PAUSE_MS;
 use crate::record::OwnerRecord;
 use crate::relay::Relay;
-use crate::tail::Progress;
 use crate::tail::Tail;
+use crate::tail::Update;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -385,7 +385,7 @@
     fn apply_records(
         &mut self,
         stream: Stream,
-        progress: Progress,
+        progress: Update,
         now: Now,
         actions: &mut Vec<Action>,
     ) {
@@ -405,7 +405,7 @@
         }
     }
 
-    fn apply_jobs(&mut self, progress: &Progress, now: Now, actions: &mut Vec<Action>) {
+    fn apply_jobs(&mut self, progress: &Update, now: Now, actions: &mut Vec<Action>) {
         let mut has_hosts = false;
         for record in &progress.records {
             let change = self.job_table.apply(record);
@@ -434,7 +434,7 @@
         }
     }
 
-    fn apply_states(&mut self, progress: &Progress, now: Now) {
+    fn apply_states(&mut self, progress: &Update, now: Now) {
         self.election
             .record_latency(self.states.average_latency_ms());
         for record in &progress.records {
--- a/crates/dispatch/src/entry/owning.rs
+++ b/crates/dispatch/src/entry/owning.rs
@@ -92,7 +92,7 @@
         }
         let owner = &self.job_table.owner;
         let is_due = self.election.should_claim(self.states.known_ms(), owner);
-        let is_turn = !is_due && self.election.is_due(now.steady_ms, owner);
+        let is_turn = !is_due && self.election.is_claim_due(now.steady_ms, owner);
         // While the store is away nothing will be read that lets this host claim.
         if self.claim.is_none() && is_turn && !self.is_store_unavailable {
             self.states
@@ -105,7 +105,7 @@
                 &*owner.host,
                 format!("token={} leaving={}", owner.token, owner.is_leaving),
             )));
-            let fence = self.election.fence(owner);
+            let fence = self.election.next_fence(owner);
             self.read_all();
             // A list from an earlier claim would be old, and its history is gone.
             self.workers = Tail::new(Stream::Workers, self.salt);
@@ -130,7 +130,11 @@
     /// announcements again and again would be a load of hosts times hosts.
     fn knows_rivals(&mut self, now: Now, actions: &mut Vec<Action>) -> bool {
         let owner = &self.job_table.owner;
-        let Some(turn_ms) = self.election.turn_ms(owner).filter(|_| owner.token == 0) else {
+        let Some(turn_ms) = self
+            .election
+            .claim_due_ms(owner)
+            .filter(|_| owner.token == 0)
+        else {
             return true;
         };
         if self.jobs.is_fresh_since(turn_ms) || now.steady_ms >= turn_ms + MAX_READ_WAIT_MS {
@@ -146,7 +150,7 @@
     /// same, so that nobody would ever own: 22 owners in a minute. A host to which the store
     /// gives nothing keeps silent, so that another one may try.
     fn send_heartbeat(&mut self, now: Now, actions: &mut Vec<Action>) {
-        let is_reading = self.progress.is_arriving();
+        let is_reading = self.progress.is_loading_on_time();
         let Some(claim) = self.claim.as_mut().filter(|claim| claim.stored.is_some()) else {
             return;
         };
@@ -256,7 +260,7 @@
         };
         if claim
             .heartbeats
-            .take(ticket, outcome, now.steady_ms)
+            .handle_outcome(ticket, outcome, now.steady_ms)
             .is_some()
         {
             if outcome == AppendOutcome::Fenced {
@@ -293,8 +297,8 @@
     /// Gives way to another host that was faster; it gets the usual time to show itself.
     fn give_up_claim(&mut self, now: Now) {
         self.claim = None;
-        self.election.raise_floor();
-        self.election.restart(now.steady_ms);
+        self.election.raise_min_token();
+        self.election.restart_timeouts(now.steady_ms);
     }
 
     /// Tells the other hosts of a claim at once, so that they make none. Should the append
@@ -335,6 +339,6 @@
         owner.close_relays(actions);
         self.past_stats = owner.stats;
         self.owner = None;
-        self.election.restart(now.steady_ms);
+        self.election.restart_timeouts(now.steady_ms);
     }
 }
--- a/crates/dispatch/src/entry/questions.rs
+++ b/crates/dispatch/src/entry/questions.rs
@@ -120,7 +120,7 @@
         let record = self.job_table.jobs.get(&job)?;
         record.submission.as_ref()?;
         let state = record.state();
-        (state.is_over() || self.owner.is_some()).then_some(state)
+        (state.is_final() || self.owner.is_some()).then_some(state)
     }
 
     /// Takes a question about a queue in.
@@ -185,7 +185,7 @@
         if let About::Cancel(job, answer_timeout_ms) = question.about
             && let Asker::Caller(request) = question.asker
             && let Reply::State(state) = reply
-            && !state.is_over()
+            && !state.is_final()
         {
             self.write_cancel(request, job, answer_timeout_ms, now, actions);
             return None;
--- a/crates/dispatch/src/entry/rules.rs
+++ b/crates/dispatch/src/entry/rules.rs
@@ -15,7 +15,7 @@
 use crate::event::Action;
 use crate::event::Now;
 use crate::event::StoredRecord;
-use crate::tail::Progress;
+use crate::tail::Update;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 use std::rc::Rc;
@@ -89,7 +89,7 @@
         actions.push(Action::Note(Note::new(code, &*self.host, detail)));
     }
 
-    pub(super) fn apply_rules(&mut self, progress: &Progress, actions: &mut Vec<Action>) {
+    pub(super) fn apply_rules(&mut self, progress: &Update, actions: &mut Vec<Action>) {
         let known = self.evacuations.clone();
         if progress.is_reloaded {
             self.drop_evacuations(&progress.records, actions);
--- a/crates/dispatch/src/entry/scope.rs
+++ b/crates/dispatch/src/entry/scope.rs
@@ -150,7 +150,7 @@
         actions.push(Action::Note(Note::new(code, &*self.host, detail)));
         if conn.is_none() && self.reading.asks_owner() {
             // Until now nobody could have been heard in the store.
-            self.election.restart(now_ms);
+            self.election.restart_timeouts(now_ms);
         }
     }
 
--- a/crates/dispatch/src/entry/suspension.rs
+++ b/crates/dispatch/src/entry/suspension.rs
@@ -26,7 +26,7 @@
         }
         self.contact.since_ms = now.steady_ms;
         for tail in [&mut self.rules, &mut self.states, &mut self.workers] {
-            tail.age_by(jump_ms);
+            tail.increase_age(jump_ms);
         }
         self.jobs.age_by(jump_ms);
         actions.push(Action::Note(Note::new(
--- a/crates/dispatch/src/entry/worker_list.rs
+++ b/crates/dispatch/src/entry/worker_list.rs
@@ -5,18 +5,13 @@
 use crate::event::Now;
 use crate::owner::records_bytes;
 use crate::policy::link::list_pause_ms;
-use crate::tail::Progress;
+use crate::tail::Update;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
 
 impl Entry {
     /// Takes in what the platform says of workers, and passes on what has changed.
-    pub(super) fn apply_workers(
-        &mut self,
-        progress: Progress,
-        now: Now,
-        actions: &mut Vec<Action>,
-    ) {
+    pub(super) fn apply_workers(&mut self, progress: Update, now: Now, actions: &mut Vec<Action>) {
         if progress.is_reloaded {
             self.worker_entries.clear();
         }
--- a/crates/dispatch/src/job_table.rs
+++ b/crates/dispatch/src/job_table.rs
@@ -34,7 +34,7 @@
 
 impl JobState {
     /// Returns whether the job has ended, so that cancelling it has no effect.
-    pub(crate) fn is_over(self) -> bool {
+    pub(crate) fn is_final(self) -> bool {
         !matches!(self, JobState::Queued | JobState::Running)
     }
 }
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -287,7 +287,7 @@
 
     fn fill_states(&mut self, now_ms: u64) {
         let is_quiet =
-            now_ms < self.writer.states.last_ms + HEARTBEAT_MS && !self.writer.must_announce;
+            now_ms < self.writer.states.last_begin_ms + HEARTBEAT_MS && !self.writer.must_announce;
         let has_news =
             !self.writer.unpublished.is_empty() || !self.writer.retired_states.is_empty();
         if !has_news && is_quiet {
@@ -332,10 +332,10 @@
         actions: &mut Vec<Action>,
     ) -> Option<Vec<(JobId, StateRecord)>> {
         let now_ms = now.steady_ms;
-        let is_progress = match self.writer.progress.take(ticket, outcome, now_ms) {
+        let is_progress = match self.writer.progress.handle_outcome(ticket, outcome, now_ms) {
             Some(is_stored) => is_stored,
             None => {
-                let is_stored = self.writer.states.take(ticket, outcome, now_ms)?;
+                let is_stored = self.writer.states.handle_outcome(ticket, outcome, now_ms)?;
                 self.apply_append_outcome(outcome, is_stored, self.writer.states.sent_ms);
                 return Some(Vec::new());
             }
--- a/crates/dispatch/src/tail/failures.rs
+++ b/crates/dispatch/src/tail/failures.rs
@@ -14,7 +14,7 @@
     /// Time since it was sent.
     pub(crate) sent_age_ms: u64,
     /// It was a long poll: the store delays the answer until there is a record.
-    pub(crate) waits: bool,
+    pub(crate) is_long_poll: bool,
     /// Number of failed reads of this stream since the last report, including this one.
     pub(crate) failures: u64,
 }
@@ -53,7 +53,7 @@
         Some(Failure {
             fault,
             sent_age_ms: now_ms.saturating_sub(flight.sent_ms),
-            waits: flight.waits(),
+            is_long_poll: flight.is_long_poll(),
             failures: std::mem::take(&mut self.unreported),
         })
     }
--- a/crates/dispatch/src/tail/flight.rs
+++ b/crates/dispatch/src/tail/flight.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns whether the store delays the answer until there is a record.
-    pub(super) fn waits(&self) -> bool {
+    pub(super) fn is_long_poll(&self) -> bool {
         self.wait_ms > 0
     }
 
--- a/crates/dispatch/src/tail/latency.rs
+++ b/crates/dispatch/src/tail/latency.rs
@@ -37,7 +37,7 @@
         if flight.precedes_suspension {
             return;
         }
-        if !flight.waits() {
+        if !flight.is_long_poll() {
             self.average_ms = (self.average_ms + latency_ms) / 2;
         }
         self.recent_ms[self.answers % RECENT_ANSWERS] = latency_ms;
--- a/crates/dispatch/src/tail/mod.rs
+++ b/crates/dispatch/src/tail/mod.rs
@@ -49,7 +49,7 @@
 
 /// Result of a read or of a load.
 #[derive(Debug, Default)]
-pub(crate) struct Progress {
+pub(crate) struct Update {
     /// New records, in order.
     pub(crate) records: Vec<StoredRecord>,
     /// The whole stream was loaded: keys that are not among the records have been deleted.
@@ -80,7 +80,7 @@
     loads: Vec<Flight>,
     backoff: Backoff,
     /// Number of records that loads have returned so far.
-    arrived: usize,
+    loaded_records: usize,
     reads: Vec<Flight>,
     /// Time since which the store has answered this host without an interruption. Reads that were
     /// sent earlier may be lost.
@@ -110,7 +110,7 @@
             loading: None,
             loads: Vec::new(),
             backoff: Backoff::new(salt),
-            arrived: 0,
+            loaded_records: 0,
             reads: Vec::new(),
             contact_since_ms: 0,
             retry_ms: 0,
@@ -133,13 +133,13 @@
     }
 
     /// Returns whether the stream is being loaded and no load is late or has failed.
-    pub(crate) fn is_arriving(&self) -> bool {
+    pub(crate) fn is_loading_on_time(&self) -> bool {
         self.next_offset.is_none() && !self.backoff.has_failed() && self.loads.len() < 2
     }
 
     /// Returns the number of records that loads have returned so far.
-    pub(crate) fn arrived(&self) -> usize {
-        self.arrived
+    pub(crate) fn loaded_records(&self) -> usize {
+        self.loaded_records
     }
 
     /// Returns the offset of the next record to read; 0 until loaded.
@@ -193,7 +193,7 @@
 
     /// Adds time to the age that the steady clock has not counted, as while the host was suspended.
     /// The answers to reads under way may be as old.
-    pub(crate) fn age_by(&mut self, ms: u64) {
+    pub(crate) fn increase_age(&mut self, ms: u64) {
         self.age.increase(ms);
         for flight in self.reads.iter_mut().chain(&mut self.loads) {
             flight.precedes_suspension = true;
@@ -234,7 +234,7 @@
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        let is_enough = |flight: &Flight| !flight.waits() && flight.sent_ms >= since_ms;
+        let is_enough = |flight: &Flight| !flight.is_long_poll() && flight.sent_ms >= since_ms;
         self.read_unless(is_enough, timeouts(0), 0, now_ms, tickets, actions);
     }
 
@@ -247,7 +247,7 @@
         tickets: &mut u64,
         actions: &mut Vec<Action>,
     ) {
-        let is_enough = |flight: &Flight| !flight.waits() && flight.ticket > ticket;
+        let is_enough = |flight: &Flight| !flight.is_long_poll() && flight.ticket > ticket;
         self.read_unless(is_enough, timeouts(0), 0, now_ms, tickets, actions);
     }
 
@@ -261,14 +261,15 @@
         actions: &mut Vec<Action>,
     ) {
         let contact_since_ms = self.contact_since_ms;
-        let is_enough = |flight: &Flight| flight.waits() && flight.sent_ms >= contact_since_ms;
+        let is_enough =
+            |flight: &Flight| flight.is_long_poll() && flight.sent_ms >= contact_since_ms;
         let timeouts = timeouts(wait_ms);
         self.read_unless(is_enough, timeouts, wait_ms, now_ms, tickets, actions);
     }
 
     /// Sends an immediate read beside the long poll once the answer to that is overdue, as it may
     /// be lost. None is sent while an earlier one from after the store's recovery is under way.
-    pub(crate) fn confirm(
+    pub(crate) fn read_if_overdue(
         &mut self,
         wait_ms: u64,
         now_ms: u64,
@@ -282,7 +283,8 @@
         }
         let timeouts = brief_timeouts(slow_ms);
         let contact_since_ms = self.contact_since_ms;
-        let is_enough = |flight: &Flight| !flight.waits() && flight.sent_ms >= contact_since_ms;
+        let is_enough =
+            |flight: &Flight| !flight.is_long_poll() && flight.sent_ms >= contact_since_ms;
         self.read_unless(is_enough, timeouts, 0, now_ms, tickets, actions);
     }
 
@@ -290,12 +292,17 @@
     /// before the store recovered, which may be lost.
     fn immediate_reads(&self) -> usize {
         let is_immediate =
-            |flight: &&Flight| !flight.waits() && flight.sent_ms >= self.contact_since_ms;
+            |flight: &&Flight| !flight.is_long_poll() && flight.sent_ms >= self.contact_since_ms;
         self.reads.iter().filter(is_immediate).count()
     }
 
     /// Sends a read at a fixed interval, to check whether the store is available again.
-    pub(crate) fn probe(&mut self, now_ms: u64, tickets: &mut u64, actions: &mut Vec<Action>) {
+    pub(crate) fn check_store(
+        &mut self,
+        now_ms: u64,
+        tickets: &mut u64,
+        actions: &mut Vec<Action>,
+    ) {
         let is_due = now_ms >= self.next_check_ms && self.immediate_reads() < MAX_READS;
         // `retry_ms` is ignored: a read that has just failed does not delay a check.
         if self.next_offset.is_none() || !is_due {
@@ -351,18 +358,18 @@
         ticket: u64,
         now_ms: u64,
         outcome: &mut ReadOutcome,
-    ) -> Option<Progress> {
+    ) -> Option<Update> {
         let index = self
             .reads
             .iter()
             .position(|flight| flight.ticket == ticket)?;
         let flight = self.reads.remove(index);
-        let mut progress = Progress {
+        let mut update = Update {
             previous_age_ms: self.age_ms(now_ms),
-            ..Progress::default()
+            ..Update::default()
         };
         match std::mem::replace(outcome, ReadOutcome::Trimmed) {
-            ReadOutcome::Failed(fault) => progress.failure = self.on_failure(flight, fault, now_ms),
+            ReadOutcome::Failed(fault) => update.failure = self.on_failure(flight, fault, now_ms),
             // The store has trimmed the records to read next, but it retains the newest record of
             // each key, so the stream is loaded again.
             ReadOutcome::Trimmed => {
@@ -374,14 +381,14 @@
                 self.latency.record(flight, now_ms);
                 let is_empty = records.is_empty();
                 let Some(mut next_offset) = self.next_offset else {
-                    return Some(progress);
+                    return Some(update);
                 };
                 for record in records {
                     if record.offset < next_offset {
                         continue;
                     }
                     next_offset = record.offset + 1;
-                    progress.records.push(record);
+                    update.records.push(record);
                 }
                 self.next_offset = Some(next_offset);
                 if next_offset >= end {
@@ -389,7 +396,7 @@
                 }
             }
         }
-        Some(progress)
+        Some(update)
     }
 
     /// Records a failed read, and returns the report if one is due.
@@ -408,28 +415,28 @@
         ticket: u64,
         now_ms: u64,
         outcome: &mut LoadOutcome,
-    ) -> Option<Progress> {
+    ) -> Option<Update> {
         let index = self
             .loads
             .iter()
             .position(|flight| flight.ticket == ticket)?;
         let flight = self.loads.remove(index);
-        let mut progress = Progress {
+        let mut update = Update {
             previous_age_ms: self.age_ms(now_ms),
-            ..Progress::default()
+            ..Update::default()
         };
         let page = match std::mem::replace(outcome, Err(ReadFault::NoAnswer)) {
             Ok(page) => page,
             Err(fault) => {
                 let delay_ms = self.backoff.record_failure(flight.ticket);
-                progress.failure = self.on_failure(flight, fault, now_ms);
+                update.failure = self.on_failure(flight, fault, now_ms);
                 self.retry_ms = self.retry_ms.max(now_ms + delay_ms);
-                return Some(progress);
+                return Some(update);
             }
         };
         self.backoff.record_success();
         self.loads.clear();
-        self.arrived += page.records.len();
+        self.loaded_records += page.records.len();
         self.answered_ms = Some(now_ms);
         let (mut records, first_end, last) =
             self.loading
@@ -442,7 +449,7 @@
         records.extend(page.records);
         if page.has_more {
             self.loading = Some((records, first_end, last));
-            return Some(progress);
+            return Some(update);
         }
         // The pages are not a consistent snapshot, so reading resumes at the end of the stream as
         // of the first page.
@@ -450,8 +457,8 @@
         if first_end == page.end {
             self.age.record_end(flight, false, now_ms);
         }
-        progress.records = records;
-        progress.is_reloaded = true;
-        Some(progress)
+        update.records = records;
+        update.is_reloaded = true;
+        Some(update)
     }
 }
