--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Decisions of the product beside their baselines. `cargo bench -p
-//! goldcrestway-bench` prints both, and their ratio at the end.
+//! Benchmarks of scheduling decisions and of simple baselines. `cargo bench -p goldcrestway-bench`
+//! prints both, and their ratio at the end.
 
 use criterion::BenchmarkId;
 use criterion::Criterion;
@@ -24,7 +24,7 @@
     accelerators: 0,
 };
 
-/// A busy fleet in which only a host far down the list has room.
+/// Returns the free resources of a busy fleet, in which only a host far down the list has any.
 fn busy_fleet(hosts: usize) -> Vec<Resources> {
     let mut free = vec![Resources::default(); hosts];
     free[hosts * 9 / 10] = NEED;
@@ -51,7 +51,7 @@
     group.finish();
 }
 
-/// An owner of jobs starts a job of ten tasks among those that its workers run.
+/// Measures the start of a job of ten tasks by an owner whose workers already run many.
 fn owner_starts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("owner");
     group.sample_size(10);
--- a/crates/bench/src/dispatching.rs
+++ b/crates/bench/src/dispatching.rs
@@ -1,5 +1,5 @@
-//! An owner of jobs with a fleet of workers around it that answer at once, to measure
-//! what its decisions take.
+//! An owner of jobs with a simulated fleet of workers that answer immediately, to measure the time
+//! of its decisions.
 
 use goldcrestway_dispatch::Action;
 use goldcrestway_dispatch::AppendOutcome;
@@ -26,19 +26,19 @@
 use goldcrestway_dispatch::WorkerReport;
 use std::collections::BTreeMap;
 
-/// What each worker has: as on the larger of the sites in use.
+/// Resources of each worker, as on the larger of the sites in use.
 const WORKER_RESOURCES: Resources = Resources {
     cpu_milli: 32_000,
     memory_mb: 125_000,
     accelerators: 1,
 };
-/// Tasks of one job that fills the fleet.
+/// Number of tasks of each job with which the fleet is filled.
 const FILL_TASKS: u32 = 20;
-/// Time between two turns; longer than any pause of the owner between appends.
+/// Time between ticks, which is longer than any interval of the owner between appends.
 const TURN_MS: u64 = 50;
 const WALL_MS: u64 = 1_700_000_000_000;
 
-/// An owner, and what its workers run.
+/// An owner and the runs of its workers.
 pub struct Fleet {
     entry: Entry,
     now_ms: u64,
@@ -73,7 +73,8 @@
 }
 
 impl Fleet {
-    /// Makes an owner of so many workers, which run so many tasks.
+    /// Creates an owner with the given number of workers, which run at least the given number of
+    /// tasks.
     pub fn new(workers: usize, tasks: usize) -> Self {
         let decoders = Decoders {
             config: decode_config,
@@ -103,7 +104,8 @@
         fleet
     }
 
-    /// Lets the owner do all that is due, and workers answer the looks that wait.
+    /// Runs several ticks, before each of which workers answer the pending polls, so that the owner
+    /// completes all work that is due.
     pub fn settle(&mut self) {
         for _ in 0..6 {
             self.answer_looks();
@@ -111,12 +113,13 @@
         }
     }
 
-    /// Tells how many orders to start were given so far.
+    /// Returns the number of orders to start a run so far.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// Submits a job of equal tasks, which a fleet with room starts within the next turns.
+    /// Submits a job of equal tasks, which a fleet with free resources starts within the next
+    /// ticks.
     pub fn submit(&mut self, tasks: u32, cpu_milli: u64) {
         self.jobs += 1;
         let step = Step {
@@ -144,7 +147,7 @@
         self.handle(event);
     }
 
-    /// Lets time pass once.
+    /// Advances the time by one tick.
     pub fn turn(&mut self) {
         self.now_ms += TURN_MS;
         self.handle(Event::Tick);
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -1,5 +1,5 @@
-//! Jobs of many tasks through owners that die, pause and are cut off, a store in trouble
-//! and workers that fail. The promises are checked as workers and callers see them.
+//! Jobs of many tasks while owners crash, pause or lose their connections, the store fails or is
+//! slow, and workers fail. Guarantees are checked as workers and callers observe them.
 
 use crate::fleet::Fleet;
 use crate::fleet::Manners;
@@ -14,12 +14,12 @@
 
 pub(crate) const JOB: u64 = 0xabc;
 
-/// Gives the owner, or any host if there is none.
+/// Returns the owner, or host 0 if there is none.
 pub(crate) fn owner(fleet: &Fleet) -> usize {
     fleet.owner().unwrap_or(0)
 }
 
-/// Symptom: a calm fleet takes long to start jobs, or keeps several owners.
+/// Guards against slow starts and several owners in a fleet without faults.
 #[gtest]
 fn a_calm_job_starts_at_once_and_ends() {
     let mut fleet = Fleet::new(5, 4);
@@ -35,7 +35,7 @@
     expect_that!(fleet.promises.refused_room, eq(0));
 }
 
-/// Symptom: a caller that repeats a submission after a lost answer gets two jobs.
+/// Guards against a second job when a caller repeats a submission after a lost answer.
 #[gtest]
 fn a_repeated_submission_remains_one_job() {
     let mut fleet = Fleet::new(3, 4);
@@ -50,15 +50,15 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Symptom: a host without the store says that a job it has not heard of does not exist,
-/// or that it accepted what it could not store. Such a host must be unready, refuse at
-/// once, and be unsure.
+/// Guards against a host without access to the store that answers that an unknown job does not
+/// exist, or that it has accepted a job that it could not store. Such a host must not be ready,
+/// must refuse submissions immediately, and must not answer queries with a state.
 #[gtest]
 fn a_host_without_the_store_is_unsure() {
     let mut fleet = Fleet::new(3, 4);
     let cut = (fleet.owner().unwrap_or(0) + 1) % 3;
     fleet.cut_from_store(cut, true);
-    // A read that waits at the store may still be answered.
+    // A long poll that is already at the store may still be answered.
     fleet.run(4_500);
     expect_false!(fleet.is_ready(cut));
     let submitted = fleet.submit(cut, JOB, &job(vec![step(1, 100, &[])]));
@@ -73,8 +73,8 @@
     expect_that!(fleet.promises.starts, is_empty());
 }
 
-/// Symptom: a submission whose append got no answer is told as refused, yet runs. The
-/// store carried it out, so the caller must hear that nobody knows.
+/// Guards against a submission that is reported as refused although it runs: the store has carried
+/// out the append, but its answer was lost. The caller must be told that the outcome is unknown.
 #[gtest]
 fn a_submission_without_an_answer_is_unknown() {
     let mut fleet = Fleet::new(3, 4);
@@ -87,7 +87,7 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// Symptom: tasks of a cancelled job run on, or start again after a change of owner.
+/// Guards against tasks of a cancelled job that continue, or start again after a change of owner.
 #[gtest]
 fn a_cancelled_job_stops_for_good() {
     let mut fleet = Fleet::new(3, 4);
@@ -111,7 +111,7 @@
     expect_that!(fleet.promises.starts.len(), eq(6));
 }
 
-/// Symptom: a job that can't be done is tried for ever, or counts against others.
+/// Guards against endless retries of a job whose tasks always fail.
 #[gtest]
 fn a_hopeless_job_fails_after_its_attempts() {
     let mut fleet = Fleet::new(3, 2);
@@ -125,7 +125,7 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Symptom: a job that fits nowhere keeps others from starting, or is not counted.
+/// Guards against a job that fits on no worker, but blocks other jobs or is not counted as waiting.
 #[gtest]
 fn a_job_too_large_for_any_worker_waits_alone() {
     let mut fleet = Fleet::new(3, 2);
@@ -142,7 +142,7 @@
     expect_that!(fleet.replies.get(&request), some(eq(&Reply::Waiting(1))));
 }
 
-/// Symptom: a worker that is about to leave gets new tasks.
+/// Guards against new tasks on a worker that is draining.
 #[gtest]
 fn a_leaving_worker_gets_nothing_new() {
     let mut fleet = Fleet::new(3, 2);
@@ -158,8 +158,9 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// Symptom: a served task stays over its target for four seconds while a filler beside it
-/// works on. Cause: what fillers do to it is not known beforehand and must be learned.
+/// Guards against a latency-critical task that exceeds its target for four seconds while
+/// best-effort tasks beside it keep their CPU share. Their interference is not known in advance and
+/// must be learned.
 #[gtest]
 fn a_filler_that_presses_a_served_task_is_slowed() {
     let mut fleet = Fleet::new(3, 1);
@@ -188,9 +189,9 @@
     }
 }
 
-/// Symptom: after each change of owner, tasks in good health are stopped and started
-/// again. Sequence: the successor meets runs that are half done, or have not begun to show
-/// progress. Cause: it took their progress for all that they had made since long ago.
+/// Guards against healthy tasks that are restarted after a change of owner. The new owner found
+/// runs that were half done, or that had not reported progress yet, and mistook that for all the
+/// progress that they had made in a long time.
 #[gtest]
 fn a_change_of_owner_starts_nothing_anew() {
     let mut fleet = Fleet::new(3, 4);
@@ -210,9 +211,9 @@
     expect_that!(fleet.promises.starts.len(), eq(8 + 12 + 4));
 }
 
-/// Symptom: when an owner announces its planned stop, several hosts become owner one after
-/// the other within a tenth of a second, and those that lose claim again without pause.
-/// Cause: they did not read whether another host had claimed before them.
+/// Guards against several claims after a planned shutdown. Hosts claimed ownership one after
+/// another within a tenth of a second, and those that lost claimed again without delay, because
+/// they did not first read whether another host had claimed.
 #[gtest]
 fn a_planned_stop_is_followed_by_one_claim() {
     let mut fleet = Fleet::new(9, 4);
@@ -224,9 +225,9 @@
     expect_that!(fleet.claims - before, le(2));
 }
 
-/// Symptom: callers are told "unknown" for most jobs while the store is forty times
-/// slower. Cause: a stream takes its appends one by one, 90 ms each then; many small
-/// appends that are repeated after a short while are more than it can take.
+/// Guards against the answer "unknown" to most submissions while the store is forty times slower. A
+/// stream processes its appends one at a time, in 90 ms each then, so many small appends that are
+/// retried after a short timeout exceed its capacity.
 #[gtest]
 fn a_slow_store_gets_few_large_appends() {
     let mut fleet = Fleet::new(5, 4);
@@ -247,8 +248,8 @@
     expect_that!(stored.count(), ge(57));
 }
 
-/// Symptom: with hundreds of workers, quick jobs are late on some days and not on others.
-/// Cause: a host with an eighth of a core had become owner where others have half a core.
+/// Guards against short jobs that are late on some days only. With hundreds of workers, a host with
+/// an eighth of a core had become the owner although others had half a core.
 #[gtest]
 fn the_strongest_host_becomes_owner() {
     let shares = [69, 69, 500, 69, 69, 500, 69, 69, 69];
@@ -264,8 +265,8 @@
     expect_that!(fleet.owners(), eq(1));
 }
 
-/// Symptom: members of a gang wait for the others, hold room meanwhile and end alone.
-/// Cause: each was placed as soon as there was room for one.
+/// Guards against members of a gang that reserve resources while they wait for the others, and then
+/// exit because the others do not start. Each was placed as soon as there were resources for one.
 #[gtest]
 fn a_gang_starts_as_a_whole_or_not_at_all() {
     let mut fleet = Fleet::new(3, 2);
@@ -286,9 +287,9 @@
     expect_that!(fleet.state(0, JOB), some(eq(JobState::Completed)));
 }
 
-/// Symptom: a task that lasts and has lost its worker does not run again while quick tasks
-/// come and go, though there is room for it all the while. Cause: its job is long past any
-/// objective and was put behind all others.
+/// Guards against a long-running task that has lost its worker and does not restart while short
+/// tasks are started, although there are resources for it. Its job has exceeded every target by far
+/// and was sorted after all others.
 #[gtest]
 fn lasting_tasks_run_again_before_quick_ones_start() {
     let mut fleet = Fleet::new(3, 2);
@@ -318,8 +319,8 @@
     expect_that!(running, eq(2));
 }
 
-/// Symptom: the store fills up, since it keeps the newest record of each key for good, and
-/// in the end refuses appends. Cause: nobody drops the keys of jobs long over.
+/// Guards against a store that fills up and finally refuses appends. It keeps the newest record of
+/// each key indefinitely, so the keys of jobs that ended long ago must be deleted.
 #[gtest]
 fn jobs_long_over_leave_the_store() {
     let mut fleet = Fleet::new(3, 2);
@@ -341,8 +342,8 @@
     expect_that!(fleet.state(1, 0x10), none());
 }
 
-/// Symptom: quick jobs find no room for the rest of the day. Cause: lasting tasks, which
-/// never give their room back, had been started until nothing was left.
+/// Guards against short jobs that find no free resources for the rest of the day, because
+/// long-running tasks, which never release theirs, were started until none were left.
 #[gtest]
 fn new_lasting_tasks_leave_room_for_quick_ones() {
     let mut fleet = Fleet::new(3, 2);
@@ -358,9 +359,9 @@
     expect_that!(fleet.state(1, 0x2), some(eq(JobState::Completed)));
 }
 
-/// Symptom: a lasting task whose worker has left does not run again for ten seconds.
-/// Sequence: the worker is gone, then one owner after the other stops as planned. Cause:
-/// each new owner waited anew until nothing could be left on a worker it never reached.
+/// Guards against a long-running task that does not restart for ten seconds after its worker has
+/// left. Several owners are shut down one after another after that, and each new one waited for the
+/// full time after which the leases on a worker that it had never reached must have expired.
 #[gtest]
 fn owners_that_change_do_not_prolong_the_wait_for_a_dead_worker() {
     let mut fleet = Fleet::new(5, 3);
@@ -389,9 +390,9 @@
     expect_that!(fleet.promises.broken, is_empty());
 }
 
-/// Symptom: while the store is slow, most hosts claim one after the other, though the
-/// owner is well, and each claim shuts the one before it out. Cause: signs of life and
-/// claims come through late, and hosts waited no longer for them than ever.
+/// Guards against claims by most hosts while the store is slow, although the owner is healthy; each
+/// claim fences the previous one. Heartbeats and claims are delayed, and hosts did not lengthen
+/// their timeouts.
 #[gtest]
 fn a_slow_store_does_not_make_hosts_claim() {
     let mut fleet = Fleet::new(20, 4);
@@ -410,10 +411,10 @@
     expect_that!(fleet.owners(), eq(1));
 }
 
-/// Symptom: a task runs in two places after a change of owner. Sequence: a worker is cut
-/// off, is given up and comes back under the same name; the owner starts tasks there and
-/// dies, and the worker is cut off once more. Cause: the record of silent workers still named it, with no time left, so the
-/// next owner gave up at once what ran there.
+/// Guards against a task that runs in two places after a change of owner. A worker loses its
+/// connections, is removed, and returns under the same id; the owner starts tasks there and
+/// crashes, and the worker is disconnected again. The record of silent workers still listed it with
+/// no time remaining, so the next owner immediately gave up the runs there.
 #[gtest]
 fn a_worker_that_comes_back_is_not_given_up_by_the_next_owner() {
     for after_ms in [30, 150, 300, 600, 1_000, 2_000] {
--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -1,7 +1,7 @@
 //! Random sequences of faults against jobs of many tasks, in virtual time.
 //!
-//! Each sequence is drawn from its seed, so a failure names the seed that repeats it. Set
-//! `DISPATCH_SEQUENCES` for more than CI runs.
+//! Each sequence is generated from a seed, which is printed with a failure and reproduces it. The
+//! environment variable `DISPATCH_SEQUENCES` sets the number of seeds; CI runs the default.
 
 use crate::dispatch_former_failures::FORMER_FAILURES;
 use crate::dispatch_former_failures::FORMER_FAILURES_POISONOUS;
@@ -25,60 +25,62 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-/// Sequences that CI runs.
+/// Number of sequences that CI runs.
 const SEQUENCES: u64 = 40;
-/// Time after which a worker that has crashed is back, where no fault makes that longer.
+/// Time after which a crashed worker restarts, unless a fault changes it.
 const BACK_MS: u64 = 3_400;
 const HOSTS: usize = 3;
 const WORKERS: usize = 4;
-/// Faults in one sequence.
+/// Number of faults in a sequence.
 const FAULTS: usize = 14;
-/// Time that a fleet without faults gets to finish all jobs: leases must run out first.
+/// Time for which a fleet runs after its faults have ended, to finish all jobs: leases must expire
+/// first.
 const HEALED_MS: u64 = 30_000;
 
-/// Who carries the owner's orders in a sequence.
+/// How the owner's orders reach workers in a sequence. Failures print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Orders {
     Direct,
-    /// Other hosts, whose connections may go silent.
+    /// Other hosts relay them; their connections may stop carrying data without being closed.
     Relayed,
 }
 
-/// Which ids workers have that start again.
+/// Under which ids workers restart. Failures print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ids {
-    /// New ones, each time.
+    /// Under a new id each time.
     New,
-    /// Now the old ones, now new ones; workers crash often, and may be back before anybody has
-    /// noticed.
+    /// Under the old id or a new one. Workers crash often, and may have restarted before any host
+    /// has detected the crash.
     OldToo,
 }
 
-/// What callers do in a sequence.
+/// What callers do in a sequence. Failures print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Callers {
-    /// They hand in rows of tasks and lasting ones.
+    /// They submit jobs of parallel tasks and of long-running tasks.
     Plain,
-    /// They hand in gangs and steps with copies too, and cancel; hosts stop as planned.
+    /// They also submit gangs and steps with speculative copies, and cancel jobs; hosts shut down
+    /// as planned.
     Restless,
-    /// They hand in jobs a second time, while parts of the store are away and connections to it
-    /// go silent.
+    /// They also repeat submissions, while partitions of the store are unavailable and connections
+    /// to it stop carrying data.
     Insistent,
-    /// They hand in jobs with tasks that crash their workers, beside all that the restless do;
-    /// workers crash by themselves, and what they have shrinks and grows.
+    /// As [`Callers::Restless`], and they submit jobs with tasks that crash their workers. Workers
+    /// also crash by themselves, and their resources shrink and grow.
     Poisonous,
 }
 
-/// Whether operators evacuate failure domains in a sequence.
+/// Whether the operator evacuates failure domains in a sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Domains {
     Open,
-    /// Now one, now the other, now both, and take that back.
+    /// One, the other or both are evacuated, and the evacuations are revoked.
     Evacuated,
 }
 
-/// Evacuates a failure domain or takes that back, now and then several times in a row. A store that
-/// is away has nobody's evacuations.
+/// Evacuates failure domains or revokes evacuations, up to three times in a row. Does nothing
+/// unless the store is available, since it could not accept them.
 fn evacuate_some(fleet: &mut Fleet, random: &mut Pcg64) {
     if fleet.store.mode != Mode::Up {
         return;
@@ -154,8 +156,8 @@
     }
 }
 
-/// Crashes workers that start again under their ids or others, soon or late, with clocks that are
-/// right or set back.
+/// Crashes workers that restart after a random time, under the same or another id, with a correct
+/// clock or one that is set back.
 fn crash_some(fleet: &mut Fleet, random: &mut Pcg64) {
     const AWAY_MS: [u64; 6] = [5, 30, 300, 900, BACK_MS, 8_000];
     fleet.keep_ids(random.random_range(0..4) > 0);
@@ -169,7 +171,8 @@
     }
 }
 
-/// Takes parts of the store away or back, loses connections, and hands jobs in again.
+/// Makes partitions of the store unavailable or available, breaks connections or crashes hosts, and
+/// repeats submissions.
 fn insist(fleet: &mut Fleet, random: &mut Pcg64, jobs: u64) {
     let host = random.random_range(0..HOSTS);
     match random.random_range(0..4) {
@@ -184,7 +187,7 @@
         _ => fleet.kill(host),
     }
     for _ in 0..2 {
-        // Callers insist on what they have handed in just before.
+        // Callers repeat their most recent submissions.
         let id = random.random_range(jobs.saturating_sub(4).max(1)..=jobs.max(1));
         if let Some(submission) = fleet.promises.submitted.get(&JobId(id)).cloned() {
             fleet.submit(random.random_range(0..HOSTS), id, &submission);
@@ -192,7 +195,8 @@
     }
 }
 
-/// Hands in a job with a task that crashes its workers, or has a worker crash or change its room.
+/// Submits a job with a task that crashes its workers, crashes a worker, or changes a worker's
+/// resources.
 fn upset(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64, address: &str) {
     match random.random_range(0..5) {
         0 => fleet.crash(address),
@@ -221,7 +225,7 @@
     }
 }
 
-/// Gives a worker another room, in which at least one task fits.
+/// Changes a worker's resources to random ones that are enough for at least one task.
 fn resize(fleet: &mut Fleet, random: &mut Pcg64, address: &str) {
     let resources = Resources {
         cpu_milli: random.random_range(1_000..=8_000),
@@ -231,7 +235,7 @@
     fleet.resize(address, resources);
 }
 
-/// Lets rooms change while nothing else is disturbed and jobs come.
+/// Changes the resources of all workers while jobs are submitted and there are no other faults.
 fn resize_in_calm(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
     fleet.promises.disturbed_ms = fleet.now_ms;
     for _ in 0..10 {
@@ -246,7 +250,7 @@
     }
 }
 
-/// Hands in jobs of other shapes, cancels some, stops hosts as planned.
+/// Submits a gang or a job with speculative copies, cancels a job, or shuts a host down as planned.
 fn stir(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
     let host = random.random_range(0..HOSTS);
     let gang = Step {
@@ -297,10 +301,10 @@
     }
 }
 
-/// Runs a sequence and gives what it broke.
+/// Runs a sequence and returns the guarantees that were violated.
 fn play(seed: u64, callers: Callers, orders: Orders, ids: Ids, domains: Domains) -> Vec<String> {
     let mut random = Pcg64::seed_from_u64(seed);
-    // Drawn apart, so that a seed has the same faults with evacuations and without.
+    // A separate generator, so that a seed has the same faults with and without evacuations.
     let mut random_domains = Pcg64::seed_from_u64(!seed);
     let mut fleet = match orders {
         Orders::Direct => Fleet::new(HOSTS, WORKERS),
@@ -312,7 +316,8 @@
         }
     }
     if callers == Callers::Poisonous {
-        // Half of them start whatever they are told to.
+        // Half of the workers start every task that they are ordered to, even beyond their
+        // resources.
         for worker in fleet.workers.values_mut().step_by(2) {
             worker.guards = false;
         }
@@ -334,7 +339,7 @@
     }
     heal(&mut fleet);
     if domains == Domains::Evacuated {
-        // For a while all has to run in one domain, where no task takes its workers down.
+        // Unless tasks crash their workers, all jobs run in one domain for a while.
         fleet.take_back("hall-1");
         if callers != Callers::Poisonous {
             fleet.evacuate("hall-0");
@@ -378,7 +383,7 @@
     broken
 }
 
-/// Gives how many sequences to play.
+/// Returns the number of sequences to run.
 fn sequences() -> u64 {
     let wanted = std::env::var("DISPATCH_SEQUENCES").ok();
     wanted
@@ -386,8 +391,8 @@
         .unwrap_or(SEQUENCES)
 }
 
-/// Symptom: after a mix of faults a task ran twice at once or after its end, more ran on a
-/// worker than it holds, or an accepted job was lost.
+/// Guards against a task that runs twice at the same time or again after its success, a worker that
+/// runs more than its resources allow, and an accepted job that is lost, under a mix of faults.
 #[gtest]
 fn promises_hold_under_random_faults() {
     for seed in 0..sequences() {
@@ -418,8 +423,8 @@
     }
 }
 
-/// Symptom: the same, or tasks of a cancelled job run on, where callers hand in gangs and
-/// steps with copies and cancel at any moment.
+/// Guards against the same failures, and against tasks of a cancelled job that continue, where
+/// callers submit gangs and steps with speculative copies and cancel jobs at any time.
 #[gtest]
 fn promises_hold_with_gangs_copies_and_cancels() {
     for seed in 0..sequences() {
@@ -437,7 +442,8 @@
     }
 }
 
-/// Symptom: the same where callers hand jobs in again, and parts of the store come and go.
+/// Guards against the same failures where callers repeat submissions, and partitions of the store
+/// are unavailable at times.
 #[gtest]
 fn promises_hold_with_jobs_handed_in_again() {
     for seed in 0..sequences() {
@@ -455,8 +461,8 @@
     }
 }
 
-/// Symptom: the same where other hosts relay the owner's orders. Relays die, stand still or go
-/// silent with orders in hand, and may carry them out seconds later.
+/// Guards against the same failures where other hosts relay the owner's orders. Relays crash, pause
+/// or lose their connections while they have orders to deliver, and may deliver them seconds later.
 #[gtest]
 fn promises_hold_while_relays_fail() {
     for seed in 0..sequences() {
@@ -470,8 +476,8 @@
     }
 }
 
-/// Symptom: a task that crashes its workers is started without end, one that does nothing is given
-/// up with it, or a worker whose room has shrunk is brought over it.
+/// Guards against endless starts of a task that crashes its workers, the failure of harmless tasks
+/// beside it, and the overload of a worker whose resources have shrunk.
 #[gtest]
 fn promises_hold_with_tasks_that_crash_workers_and_rooms_that_shrink() {
     let former = FORMER_FAILURES_POISONOUS.iter().map(|(seed, _)| *seed);
@@ -486,7 +492,8 @@
     }
 }
 
-/// Symptom: a task runs twice or stands still as its worker has started again under its id.
+/// Guards against a task that runs twice or makes no progress after its worker has restarted under
+/// the same id.
 #[gtest]
 fn promises_hold_with_workers_that_start_again_under_their_ids() {
     const CALLERS: [Callers; 4] = [
@@ -513,7 +520,8 @@
     }
 }
 
-/// Symptom: a task starts in an evacuated failure domain, or work is lost while domains come and go.
+/// Guards against starts in an evacuated failure domain, and against lost work while domains are
+/// evacuated and evacuations are revoked.
 #[gtest]
 fn promises_hold_while_failure_domains_are_evacuated() {
     const CALLERS: [Callers; 4] = [
@@ -522,7 +530,7 @@
         Callers::Insistent,
         Callers::Poisonous,
     ];
-    // Each seed is played in 16 ways.
+    // Each seed runs in 16 variants.
     for seed in 0..sequences().div_ceil(5) {
         for callers in CALLERS {
             for orders in [Orders::Direct, Orders::Relayed] {
@@ -538,7 +546,8 @@
     }
 }
 
-/// A gang is shown as failed: each of its members that went with one worker counted as a crash.
+/// Guards against a gang that fails because each of its members on one crashed worker was counted
+/// as a crash of its own.
 #[gtest]
 fn a_gang_that_went_with_one_worker_has_lost_one_worker() {
     expect_that!(
@@ -553,7 +562,9 @@
     );
 }
 
-/// Symptom: jobs still run or wait half a minute after failure domains came and went. Seeds of wide runs that are not mended.
+/// Guards against jobs that still run or wait half a minute after all faults, including
+/// evacuations, have ended. The seeds were found in runs of many sequences, and the fault is not
+/// fixed.
 #[gtest]
 fn promises_hold_in_sequences_with_evacuations_that_are_open() {
     const OPEN: [(u64, Callers, Orders); 2] = [
@@ -569,8 +580,9 @@
     }
 }
 
-/// Symptom: jobs beside several that crash their workers are given up, or such jobs are not known
-/// half a minute after all other faults have ended. Seeds of wide runs that are not mended.
+/// Guards against the failure of harmless jobs beside several that crash their workers, and against
+/// such jobs that are not identified within half a minute after all other faults have ended. The
+/// seeds were found in runs of many sequences, and the fault is not fixed.
 #[gtest]
 fn promises_hold_in_sequences_that_are_open() {
     for (seed, orders) in OPEN_FAILURES_REBORN {
--- a/tests/lib.rs
+++ b/tests/lib.rs
@@ -1,7 +1,8 @@
-//! Tests of the whole: scenarios, inventories, events, and random faults.
+//! Tests of the whole system: scenarios, inventories, events, and random faults.
 //!
-//! The daemon's actor runs as in production; only the edge around it is a small
-//! fake, in [`world`], with virtual time.
+//! The daemon's actor and the decisions of the dispatch crate run as in production. Their
+//! environment is simulated in virtual time, by [`world`] for the daemon and by [`fleet`] for the
+//! dispatch crate.
 #![cfg(test)]
 
 mod border;
