--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -21,7 +21,7 @@
 
 /// Guards against slow starts and several owners in a fleet without faults.
 #[gtest]
-fn a_calm_job_starts_at_once_and_ends() {
+fn a_job_without_faults_starts_immediately_and_completes() {
     let mut fleet = Fleet::new(5, 4);
     expect_that!(fleet.owners(), eq(1));
     fleet.submit(2, JOB, &job(vec![step(12, 300, &[]), step(6, 200, &[0])]));
@@ -54,22 +54,22 @@
 /// exist, or that it has accepted a job that it could not store. Such a host must not be ready,
 /// must refuse submissions immediately, and must not answer queries with a state.
 #[gtest]
-fn a_host_without_the_store_is_unsure() {
+fn a_host_without_the_store_accepts_no_job_and_returns_no_state() {
     let mut fleet = Fleet::new(3, 4);
-    let cut = (fleet.owner().unwrap_or(0) + 1) % 3;
-    fleet.cut_from_store(cut, true);
+    let disconnected = (fleet.owner().unwrap_or(0) + 1) % 3;
+    fleet.cut_from_store(disconnected, true);
     // A long poll that is already at the store may still be answered.
     fleet.run(4_500);
-    expect_false!(fleet.is_ready(cut));
-    let submitted = fleet.submit(cut, JOB, &job(vec![step(1, 100, &[])]));
-    let asked = fleet.query(cut, 0x123);
+    expect_false!(fleet.is_ready(disconnected));
+    let submitted = fleet.submit(disconnected, JOB, &job(vec![step(1, 100, &[])]));
+    let queried = fleet.query(disconnected, 0x123);
     fleet.run(5);
     let not_done = Reply::NotDone {
         retry_after_ms: 1_000,
     };
     expect_that!(fleet.replies.get(&submitted), some(eq(&not_done)));
     fleet.run(1_500);
-    expect_that!(fleet.replies.get(&asked), some(eq(&not_done)));
+    expect_that!(fleet.replies.get(&queried), some(eq(&not_done)));
     expect_that!(fleet.promises.starts, is_empty());
 }
 
@@ -91,11 +91,11 @@
 #[gtest]
 fn a_cancelled_job_stops_for_good() {
     let mut fleet = Fleet::new(3, 4);
-    let lasting = Step {
+    let long_running = Step {
         is_long_running: true,
         ..step(6, 1_000, &[])
     };
-    fleet.submit(0, JOB, &job(vec![lasting]));
+    fleet.submit(0, JOB, &job(vec![long_running]));
     fleet.run(500);
     expect_that!(fleet.promises.starts.len(), eq(6));
     let request = fleet.cancel(1, JOB);
@@ -113,7 +113,7 @@
 
 /// Guards against endless retries of a job whose tasks always fail.
 #[gtest]
-fn a_hopeless_job_fails_after_its_attempts() {
+fn a_job_whose_tasks_always_fail_fails_after_its_attempts() {
     let mut fleet = Fleet::new(3, 2);
     for worker in fleet.workers.values_mut() {
         worker.manners = Manners::Fails;
@@ -127,7 +127,7 @@
 
 /// Guards against a job that fits on no worker, but blocks other jobs or is not counted as waiting.
 #[gtest]
-fn a_job_too_large_for_any_worker_waits_alone() {
+fn a_job_too_large_for_any_worker_does_not_block_others() {
     let mut fleet = Fleet::new(3, 2);
     let large = Step {
         cpu_milli: 9_000,
@@ -144,7 +144,7 @@
 
 /// Guards against new tasks on a worker that is draining.
 #[gtest]
-fn a_leaving_worker_gets_nothing_new() {
+fn a_draining_worker_gets_no_new_tasks() {
     let mut fleet = Fleet::new(3, 2);
     fleet
         .store
@@ -162,25 +162,25 @@
 /// best-effort tasks beside it keep their CPU share. Their interference is not known in advance and
 /// must be learned.
 #[gtest]
-fn a_filler_that_presses_a_served_task_is_slowed() {
+fn best_effort_tasks_beside_a_task_over_its_target_are_throttled() {
     let mut fleet = Fleet::new(3, 1);
     for worker in fleet.workers.values_mut() {
         worker.press_ms = 30;
     }
-    let served = Step {
+    let latency_critical = Step {
         is_long_running: true,
-        image: "served".into(),
+        image: "latency-critical".into(),
         tail_latency_target_ms: 20,
         ..step(1, 1_000, &[])
     };
-    let filler = Step {
+    let best_effort = Step {
         is_best_effort: true,
-        image: "filler".into(),
+        image: "best-effort".into(),
         ..step(2, 60_000, &[])
     };
-    fleet.submit(0, 0x1, &job(vec![served]));
+    fleet.submit(0, 0x1, &job(vec![latency_critical]));
     fleet.run(500);
-    fleet.submit(0, 0x2, &job(vec![filler]));
+    fleet.submit(0, 0x2, &job(vec![best_effort]));
     fleet.run(3_500);
     for worker in fleet.workers.values() {
         for share in worker.shares() {
@@ -193,7 +193,7 @@
 /// runs that were half done, or that had not reported progress yet, and mistook that for all the
 /// progress that they had made in a long time.
 #[gtest]
-fn a_change_of_owner_starts_nothing_anew() {
+fn a_change_of_owner_restarts_no_task() {
     let mut fleet = Fleet::new(3, 4);
     fleet.submit(0, 0x1, &job(vec![step(8, 400, &[])]));
     fleet.run(1_500);
@@ -215,7 +215,7 @@
 /// another within a tenth of a second, and those that lost claimed again without delay, because
 /// they did not first read whether another host had claimed.
 #[gtest]
-fn a_planned_stop_is_followed_by_one_claim() {
+fn a_planned_shutdown_is_followed_by_one_claim() {
     let mut fleet = Fleet::new(9, 4);
     let owner = owner(&fleet);
     let before = fleet.claims;
@@ -291,15 +291,15 @@
 /// tasks are started, although there are resources for it. Its job has exceeded every target by far
 /// and was sorted after all others.
 #[gtest]
-fn lasting_tasks_run_again_before_quick_ones_start() {
+fn long_running_tasks_restart_before_short_ones_start() {
     let mut fleet = Fleet::new(3, 2);
-    let lasting = Step {
+    let long_running = Step {
         is_long_running: true,
         cpu_milli: 4_000,
         max_per_worker: 1,
         ..step(2, 200, &[])
     };
-    fleet.submit(0, JOB, &job(vec![lasting]));
+    fleet.submit(0, JOB, &job(vec![long_running]));
     fleet.run(2_000);
     for number in 0..60 {
         fleet.submit(0, 0x1000 + number, &job(vec![step(6, 900, &[])]));
@@ -322,11 +322,14 @@
 /// Guards against a store that fills up and finally refuses appends. It keeps the newest record of
 /// each key indefinitely, so the keys of jobs that ended long ago must be deleted.
 #[gtest]
-fn jobs_long_over_leave_the_store() {
+fn records_of_old_jobs_are_deleted_from_the_store() {
     let mut fleet = Fleet::new(3, 2);
-    let parts = [0, 1, 2, 3].map(Stream::Jobs);
+    let partitions = [0, 1, 2, 3].map(Stream::Jobs);
     let keys = |fleet: &Fleet| {
-        let jobs: usize = parts.iter().map(|part| fleet.store.keys(*part)).sum();
+        let jobs: usize = partitions
+            .iter()
+            .map(|partition| fleet.store.keys(*partition))
+            .sum();
         let states = fleet.store.keys(Stream::States);
         [jobs, states, fleet.store.keys(Stream::Progress)]
     };
@@ -345,13 +348,13 @@
 /// Guards against short jobs that find no free resources for the rest of the day, because
 /// long-running tasks, which never release theirs, were started until none were left.
 #[gtest]
-fn new_lasting_tasks_leave_room_for_quick_ones() {
+fn new_long_running_tasks_leave_resources_for_short_ones() {
     let mut fleet = Fleet::new(3, 2);
-    let lasting = Step {
+    let long_running = Step {
         is_long_running: true,
         ..step(16, 1_000, &[])
     };
-    fleet.submit(0, 0x1, &job(vec![lasting]));
+    fleet.submit(0, 0x1, &job(vec![long_running]));
     fleet.run(2_000);
     expect_that!(fleet.promises.starts.len(), lt(16));
     fleet.submit(0, 0x2, &job(vec![step(2, 300, &[])]));
@@ -363,14 +366,14 @@
 /// left. Several owners are shut down one after another after that, and each new one waited for the
 /// full time after which the leases on a worker that it had never reached must have expired.
 #[gtest]
-fn owners_that_change_do_not_prolong_the_wait_for_a_dead_worker() {
+fn changes_of_owner_do_not_prolong_the_wait_for_a_dead_worker() {
     let mut fleet = Fleet::new(5, 3);
-    let lasting = Step {
+    let long_running = Step {
         is_long_running: true,
         max_per_worker: 1,
         ..step(3, 1_000, &[])
     };
-    fleet.submit(0, JOB, &job(vec![lasting]));
+    fleet.submit(0, JOB, &job(vec![long_running]));
     fleet.run(2_000);
     expect_that!(fleet.promises.starts.len(), eq(3));
     fleet.add_worker("10.0.0.9:80", "w9-1");
@@ -416,27 +419,27 @@
 /// crashes, and the worker is disconnected again. The record of silent workers still listed it with
 /// no time remaining, so the next owner immediately gave up the runs there.
 #[gtest]
-fn a_worker_that_comes_back_is_not_given_up_by_the_next_owner() {
+fn a_worker_that_returns_is_not_removed_by_the_next_owner() {
     for after_ms in [30, 150, 300, 600, 1_000, 2_000] {
         let mut fleet = Fleet::new(3, 4);
         fleet.submit(0, JOB, &job(vec![step(6, 600, &[])]));
         fleet.run(1_000);
-        let lasting = Step {
+        let long_running = Step {
             is_long_running: true,
             max_per_worker: 2,
             ..step(4, 1_000, &[])
         };
-        fleet.submit(0, 0x1, &job(vec![lasting]));
+        fleet.submit(0, 0x1, &job(vec![long_running]));
         fleet.run(1_000);
         fleet.cut_workers = vec!["10.0.0.0:80".into()];
         fleet.run(4_800);
         fleet.cut_workers.clear();
         fleet.run(400);
-        let more = Step {
+        let additional = Step {
             is_long_running: true,
             ..step(8, 1_000, &[])
         };
-        fleet.submit(0, 0x2, &job(vec![more]));
+        fleet.submit(0, 0x2, &job(vec![additional]));
         fleet.run(after_ms);
         let owner = owner(&fleet);
         fleet.kill(owner);
--- a/tests/dispatch_faults.rs
+++ b/tests/dispatch_faults.rs
@@ -28,14 +28,14 @@
 /// Number of sequences that CI runs.
 const SEQUENCES: u64 = 40;
 /// Time after which a crashed worker restarts, unless a fault changes it.
-const BACK_MS: u64 = 3_400;
+const RESTART_MS: u64 = 3_400;
 const HOSTS: usize = 3;
 const WORKERS: usize = 4;
 /// Number of faults in a sequence.
 const FAULTS: usize = 14;
 /// Time for which a fleet runs after its faults have ended, to finish all jobs: leases must expire
 /// first.
-const HEALED_MS: u64 = 30_000;
+const RECOVERY_MS: u64 = 30_000;
 
 /// How the owner's orders reach workers in a sequence. Failures print the variants by their names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -81,20 +81,20 @@
 
 /// Evacuates failure domains or revokes evacuations, up to three times in a row. Does nothing
 /// unless the store is available, since it could not accept them.
-fn evacuate_some(fleet: &mut Fleet, random: &mut Pcg64) {
+fn change_evacuations(fleet: &mut Fleet, random: &mut Pcg64) {
     if fleet.store.mode != Mode::Up {
         return;
     }
     for _ in 0..random.random_range(0..4) {
-        let hall = ["hall-0", "hall-1"][random.random_range(0..2)];
+        let domain = ["hall-0", "hall-1"][random.random_range(0..2)];
         match random.random_range(0..2) {
-            0 => fleet.evacuate(hall),
-            _ => fleet.take_back(hall),
+            0 => fleet.evacuate(domain),
+            _ => fleet.take_back(domain),
         }
     }
 }
 
-fn strike(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64, callers: Callers) {
+fn inject_faults(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64, callers: Callers) {
     let host = random.random_range(0..HOSTS);
     let worker = random.random_range(0..WORKERS);
     let address: Box<str> = format!("10.0.0.{worker}:80").into();
@@ -134,34 +134,34 @@
         *jobs += 1;
         let width = random.random_range(1..8);
         let work_ms = random.random_range(100..1_500);
-        let lasting = Step {
+        let long_running = Step {
             is_long_running: true,
             ..step(2, 1_000, &[])
         };
         let submission = match random.random_range(0..4) {
-            0 => job(vec![lasting]),
+            0 => job(vec![long_running]),
             _ => job(vec![step(width, work_ms, &[]), step(2, 300, &[0])]),
         };
         fleet.submit(host, *jobs, &submission);
     }
     match callers {
         Callers::Plain => {}
-        Callers::Restless => stir(fleet, random, jobs),
-        Callers::Insistent => insist(fleet, random, *jobs),
+        Callers::Restless => vary_jobs(fleet, random, jobs),
+        Callers::Insistent => repeat_submissions(fleet, random, *jobs),
         Callers::Poisonous => {
             fleet.promises.disturbed_ms = fleet.now_ms;
-            upset(fleet, random, jobs, &address);
-            stir(fleet, random, jobs);
+            disturb_workers(fleet, random, jobs, &address);
+            vary_jobs(fleet, random, jobs);
         }
     }
 }
 
 /// Crashes workers that restart after a random time, under the same or another id, with a correct
 /// clock or one that is set back.
-fn crash_some(fleet: &mut Fleet, random: &mut Pcg64) {
-    const AWAY_MS: [u64; 6] = [5, 30, 300, 900, BACK_MS, 8_000];
+fn crash_workers(fleet: &mut Fleet, random: &mut Pcg64) {
+    const DOWNTIMES_MS: [u64; 6] = [5, 30, 300, 900, RESTART_MS, 8_000];
     fleet.keep_ids(random.random_range(0..4) > 0);
-    fleet.set_back_ms(AWAY_MS[random.random_range(0..AWAY_MS.len())]);
+    fleet.set_back_ms(DOWNTIMES_MS[random.random_range(0..DOWNTIMES_MS.len())]);
     fleet.set_clocks_back([0, 60_000][random.random_range(0..2)]);
     fleet.set_report_ms([0, 1_500, 5_000][random.random_range(0..3)]);
     for worker in 0..WORKERS {
@@ -173,12 +173,12 @@
 
 /// Makes partitions of the store unavailable or available, breaks connections or crashes hosts, and
 /// repeats submissions.
-fn insist(fleet: &mut Fleet, random: &mut Pcg64, jobs: u64) {
+fn repeat_submissions(fleet: &mut Fleet, random: &mut Pcg64, jobs: u64) {
     let host = random.random_range(0..HOSTS);
     match random.random_range(0..4) {
         0 => {
-            let parts = random.random_range(1..4);
-            fleet.store.away = (0..parts).map(Stream::Jobs).collect();
+            let partitions = random.random_range(1..4);
+            fleet.store.away = (0..partitions).map(Stream::Jobs).collect();
             let owner = fleet.owner().unwrap_or(host);
             fleet.kill(owner);
         }
@@ -197,7 +197,7 @@
 
 /// Submits a job with a task that crashes its workers, crashes a worker, or changes a worker's
 /// resources.
-fn upset(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64, address: &str) {
+fn disturb_workers(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64, address: &str) {
     match random.random_range(0..5) {
         0 => fleet.crash(address),
         1 | 2 => resize(fleet, random, address),
@@ -213,13 +213,13 @@
                     &[],
                 )
             };
-            let poisoned = TaskId {
+            let crashing = TaskId {
                 job: JobId(*jobs),
                 occurrence: 0,
                 step: 0,
                 index: random.random_range(0..step.count) as u16,
             };
-            fleet.poison(poisoned, random.random_range(5..700));
+            fleet.poison(crashing, random.random_range(5..700));
             fleet.submit(random.random_range(0..HOSTS), *jobs, &job(vec![step]));
         }
     }
@@ -236,7 +236,7 @@
 }
 
 /// Changes the resources of all workers while jobs are submitted and there are no other faults.
-fn resize_in_calm(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
+fn resize_without_faults(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
     fleet.promises.disturbed_ms = fleet.now_ms;
     for _ in 0..10 {
         for worker in 0..WORKERS {
@@ -251,7 +251,7 @@
 }
 
 /// Submits a gang or a job with speculative copies, cancels a job, or shuts a host down as planned.
-fn stir(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
+fn vary_jobs(fleet: &mut Fleet, random: &mut Pcg64, jobs: &mut u64) {
     let host = random.random_range(0..HOSTS);
     let gang = Step {
         is_gang: true,
@@ -261,7 +261,7 @@
             &[],
         )
     };
-    let copied = Step {
+    let speculative = Step {
         is_speculative: true,
         ..step(
             random.random_range(2..7),
@@ -276,7 +276,7 @@
         }
         2 => {
             *jobs += 1;
-            fleet.submit(host, *jobs, &job(vec![copied]));
+            fleet.submit(host, *jobs, &job(vec![speculative]));
         }
         3 => {
             fleet.cancel(host, random.random_range(1..=(*jobs).max(1)));
@@ -285,7 +285,7 @@
     }
 }
 
-fn heal(fleet: &mut Fleet) {
+fn end_faults(fleet: &mut Fleet) {
     fleet.store.mode = Mode::Up;
     fleet.store.away.clear();
     fleet.late_ms = None;
@@ -302,7 +302,13 @@
 }
 
 /// Runs a sequence and returns the guarantees that were violated.
-fn play(seed: u64, callers: Callers, orders: Orders, ids: Ids, domains: Domains) -> Vec<String> {
+fn run_sequence(
+    seed: u64,
+    callers: Callers,
+    orders: Orders,
+    ids: Ids,
+    domains: Domains,
+) -> Vec<String> {
     let mut random = Pcg64::seed_from_u64(seed);
     // A separate generator, so that a seed has the same faults with and without evacuations.
     let mut random_domains = Pcg64::seed_from_u64(!seed);
@@ -324,20 +330,20 @@
     }
     let mut jobs = 0;
     for _ in 0..FAULTS {
-        strike(&mut fleet, &mut random, &mut jobs, callers);
+        inject_faults(&mut fleet, &mut random, &mut jobs, callers);
         if ids == Ids::OldToo && random.random_range(0..2) == 0 {
             fleet.promises.disturbed_ms = fleet.now_ms;
-            crash_some(&mut fleet, &mut random);
+            crash_workers(&mut fleet, &mut random);
         }
         if domains == Domains::Evacuated {
-            evacuate_some(&mut fleet, &mut random_domains);
+            change_evacuations(&mut fleet, &mut random_domains);
         }
         if orders == Orders::Relayed && random.random_range(0..4) == 0 {
             fleet.silence_links(random.random_range(0..HOSTS));
         }
         fleet.run(random.random_range(50..1_500));
     }
-    heal(&mut fleet);
+    end_faults(&mut fleet);
     if domains == Domains::Evacuated {
         // Unless tasks crash their workers, all jobs run in one domain for a while.
         fleet.take_back("hall-1");
@@ -348,45 +354,45 @@
         fleet.take_back("hall-0");
     }
     if ids == Ids::OldToo {
-        fleet.set_back_ms(BACK_MS);
+        fleet.set_back_ms(RESTART_MS);
     }
     if callers == Callers::Poisonous {
-        resize_in_calm(&mut fleet, &mut random, &mut jobs);
+        resize_without_faults(&mut fleet, &mut random, &mut jobs);
         for worker in 0..WORKERS {
             fleet.resize(&format!("10.0.0.{worker}:80"), WORKER_RESOURCES);
         }
     }
-    fleet.run(HEALED_MS);
-    let mut broken = fleet.promises.broken.clone();
+    fleet.run(RECOVERY_MS);
+    let mut violations = fleet.promises.broken.clone();
     let accepted: Vec<_> = fleet.promises.accepted.iter().copied().collect();
     for id in accepted {
         let state = fleet.state(0, id.0);
         let is_long_running = fleet.promises.submitted[&id].steps[0].is_long_running;
-        let is_well = match state {
+        let is_expected = match state {
             Some(JobState::Completed) => true,
             Some(JobState::Running) => is_long_running,
             Some(JobState::Cancelled) => fleet.promises.cancelled.contains(&id),
             Some(JobState::Failed) => fleet.promises.may_fail(id),
             _ => false,
         };
-        if !is_well {
-            broken.push(format!("job {id} is {state:?}"));
+        if !is_expected {
+            violations.push(format!("job {id} is {state:?}"));
         }
     }
     if fleet.promises.refused_room > 0 {
-        broken.push(format!(
-            "{} starts lacked room",
+        violations.push(format!(
+            "{} starts lacked resources",
             fleet.promises.refused_room
         ));
     }
-    broken.extend(fleet.list_cancelled_runs());
-    broken
+    violations.extend(fleet.list_cancelled_runs());
+    violations
 }
 
 /// Returns the number of sequences to run.
-fn sequences() -> u64 {
-    let wanted = std::env::var("DISPATCH_SEQUENCES").ok();
-    wanted
+fn sequence_count() -> u64 {
+    let setting = std::env::var("DISPATCH_SEQUENCES").ok();
+    setting
         .and_then(|text| text.parse().ok())
         .unwrap_or(SEQUENCES)
 }
@@ -394,10 +400,10 @@
 /// Guards against a task that runs twice at the same time or again after its success, a worker that
 /// runs more than its resources allow, and an accepted job that is lost, under a mix of faults.
 #[gtest]
-fn promises_hold_under_random_faults() {
-    for seed in 0..sequences() {
+fn guarantees_hold_under_random_faults() {
+    for seed in 0..sequence_count() {
         expect_that!(
-            play(
+            run_sequence(
                 seed,
                 Callers::Plain,
                 Orders::Direct,
@@ -410,7 +416,7 @@
     }
     for (seed, cause) in FORMER_FAILURES {
         expect_that!(
-            play(
+            run_sequence(
                 *seed,
                 Callers::Plain,
                 Orders::Direct,
@@ -426,10 +432,10 @@
 /// Guards against the same failures, and against tasks of a cancelled job that continue, where
 /// callers submit gangs and steps with speculative copies and cancel jobs at any time.
 #[gtest]
-fn promises_hold_with_gangs_copies_and_cancels() {
-    for seed in 0..sequences() {
+fn guarantees_hold_with_gangs_copies_and_cancellations() {
+    for seed in 0..sequence_count() {
         expect_that!(
-            play(
+            run_sequence(
                 seed,
                 Callers::Restless,
                 Orders::Direct,
@@ -445,10 +451,10 @@
 /// Guards against the same failures where callers repeat submissions, and partitions of the store
 /// are unavailable at times.
 #[gtest]
-fn promises_hold_with_jobs_handed_in_again() {
-    for seed in 0..sequences() {
+fn guarantees_hold_with_repeated_submissions() {
+    for seed in 0..sequence_count() {
         expect_that!(
-            play(
+            run_sequence(
                 seed,
                 Callers::Insistent,
                 Orders::Direct,
@@ -464,11 +470,11 @@
 /// Guards against the same failures where other hosts relay the owner's orders. Relays crash, pause
 /// or lose their connections while they have orders to deliver, and may deliver them seconds later.
 #[gtest]
-fn promises_hold_while_relays_fail() {
-    for seed in 0..sequences() {
+fn guarantees_hold_while_relays_fail() {
+    for seed in 0..sequence_count() {
         for callers in [Callers::Plain, Callers::Restless, Callers::Insistent] {
             expect_that!(
-                play(seed, callers, Orders::Relayed, Ids::New, Domains::Open),
+                run_sequence(seed, callers, Orders::Relayed, Ids::New, Domains::Open),
                 is_empty(),
                 "seed {seed}"
             );
@@ -479,12 +485,12 @@
 /// Guards against endless starts of a task that crashes its workers, the failure of harmless tasks
 /// beside it, and the overload of a worker whose resources have shrunk.
 #[gtest]
-fn promises_hold_with_tasks_that_crash_workers_and_rooms_that_shrink() {
-    let former = FORMER_FAILURES_POISONOUS.iter().map(|(seed, _)| *seed);
-    for seed in (0..sequences()).chain(former) {
+fn guarantees_hold_with_tasks_that_crash_workers_and_shrinking_resources() {
+    let previous = FORMER_FAILURES_POISONOUS.iter().map(|(seed, _)| *seed);
+    for seed in (0..sequence_count()).chain(previous) {
         for orders in [Orders::Direct, Orders::Relayed] {
             expect_that!(
-                play(seed, Callers::Poisonous, orders, Ids::New, Domains::Open),
+                run_sequence(seed, Callers::Poisonous, orders, Ids::New, Domains::Open),
                 is_empty(),
                 "seed {seed}"
             );
@@ -495,23 +501,23 @@
 /// Guards against a task that runs twice or makes no progress after its worker has restarted under
 /// the same id.
 #[gtest]
-fn promises_hold_with_workers_that_start_again_under_their_ids() {
+fn guarantees_hold_with_workers_that_restart_under_the_same_id() {
     const CALLERS: [Callers; 4] = [
         Callers::Plain,
         Callers::Restless,
         Callers::Insistent,
         Callers::Poisonous,
     ];
-    let former = FORMER_FAILURES_REBORN.iter().map(|(seed, _)| *seed);
-    for seed in (0..sequences()).chain(former) {
+    let previous = FORMER_FAILURES_REBORN.iter().map(|(seed, _)| *seed);
+    for seed in (0..sequence_count()).chain(previous) {
         for callers in CALLERS {
             for orders in [Orders::Direct, Orders::Relayed] {
-                let is_open = OPEN_FAILURES_REBORN.contains(&(seed, orders));
-                if is_open && callers == Callers::Poisonous {
+                let is_unfixed = OPEN_FAILURES_REBORN.contains(&(seed, orders));
+                if is_unfixed && callers == Callers::Poisonous {
                     continue;
                 }
                 expect_that!(
-                    play(seed, callers, orders, Ids::OldToo, Domains::Open),
+                    run_sequence(seed, callers, orders, Ids::OldToo, Domains::Open),
                     is_empty(),
                     "seed {seed}, {callers:?}, {orders:?}"
                 );
@@ -523,7 +529,7 @@
 /// Guards against starts in an evacuated failure domain, and against lost work while domains are
 /// evacuated and evacuations are revoked.
 #[gtest]
-fn promises_hold_while_failure_domains_are_evacuated() {
+fn guarantees_hold_while_failure_domains_are_evacuated() {
     const CALLERS: [Callers; 4] = [
         Callers::Plain,
         Callers::Restless,
@@ -531,12 +537,12 @@
         Callers::Poisonous,
     ];
     // Each seed runs in 16 variants.
-    for seed in 0..sequences().div_ceil(5) {
+    for seed in 0..sequence_count().div_ceil(5) {
         for callers in CALLERS {
             for orders in [Orders::Direct, Orders::Relayed] {
                 for ids in [Ids::New, Ids::OldToo] {
                     expect_that!(
-                        play(seed, callers, orders, ids, Domains::Evacuated),
+                        run_sequence(seed, callers, orders, ids, Domains::Evacuated),
                         is_empty(),
                         "seed {seed}, {callers:?}, {orders:?}, {ids:?}"
                     );
@@ -549,9 +555,9 @@
 /// Guards against a gang that fails because each of its members on one crashed worker was counted
 /// as a crash of its own.
 #[gtest]
-fn a_gang_that_went_with_one_worker_has_lost_one_worker() {
+fn a_gang_on_one_crashed_worker_counts_one_crash() {
     expect_that!(
-        play(
+        run_sequence(
             120,
             Callers::Restless,
             Orders::Direct,
@@ -566,14 +572,14 @@
 /// evacuations, have ended. The seeds were found in runs of many sequences, and the fault is not
 /// fixed.
 #[gtest]
-fn promises_hold_in_sequences_with_evacuations_that_are_open() {
-    const OPEN: [(u64, Callers, Orders); 2] = [
+fn guarantees_hold_for_unfixed_seeds_with_evacuations() {
+    const UNFIXED: [(u64, Callers, Orders); 2] = [
         (21, Callers::Poisonous, Orders::Relayed),
         (23, Callers::Poisonous, Orders::Direct),
     ];
-    for (seed, callers, orders) in OPEN {
+    for (seed, callers, orders) in UNFIXED {
         expect_that!(
-            play(seed, callers, orders, Ids::OldToo, Domains::Evacuated),
+            run_sequence(seed, callers, orders, Ids::OldToo, Domains::Evacuated),
             is_empty(),
             "seed {seed}"
         );
@@ -584,10 +590,10 @@
 /// such jobs that are not identified within half a minute after all other faults have ended. The
 /// seeds were found in runs of many sequences, and the fault is not fixed.
 #[gtest]
-fn promises_hold_in_sequences_that_are_open() {
+fn guarantees_hold_for_unfixed_seeds_with_restarts() {
     for (seed, orders) in OPEN_FAILURES_REBORN {
         expect_that!(
-            play(
+            run_sequence(
                 *seed,
                 Callers::Poisonous,
                 *orders,
