--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -18,7 +18,7 @@
 use std::time::Instant;
 
 const SIZES: [usize; 3] = [50, 500, 8_400];
-const NEED: Resources = Resources {
+const REQUESTED: Resources = Resources {
     millicores: 500,
     memory_mb: 1_000,
     accelerators: 0,
@@ -27,7 +27,7 @@
 /// Returns the free resources of a busy fleet, in which only a host far down the list has any.
 fn busy_fleet(hosts: usize) -> Vec<Resources> {
     let mut free = vec![Resources::default(); hosts];
-    free[hosts * 9 / 10] = NEED;
+    free[hosts * 9 / 10] = REQUESTED;
     free
 }
 
@@ -45,7 +45,7 @@
         });
         let free = busy_fleet(hosts);
         group.bench_function(BenchmarkId::new("first fit", hosts), |bencher| {
-            bencher.iter(|| first_fit(black_box(&free), NEED));
+            bencher.iter(|| first_fit(black_box(&free), REQUESTED));
         });
     }
     group.finish();
@@ -60,7 +60,7 @@
         group.bench_function(BenchmarkId::new("job of ten tasks", workers), |bencher| {
             bencher.iter(|| {
                 fleet.submit(10, 1);
-                fleet.turn();
+                fleet.tick();
             });
         });
     }
@@ -88,17 +88,17 @@
     for hosts in SIZES {
         let mut cells = worker_cells(hosts, TASKS * hosts / 8_400);
         let mut random = Pcg32::seed_from_u64(5);
-        let began = Instant::now();
+        let started = Instant::now();
         for number in 0..ROUNDS {
             decide_start(&mut cells, &mut random, number);
         }
-        let chosen = began.elapsed();
+        let chosen = started.elapsed();
         let free = busy_fleet(hosts);
-        let began = Instant::now();
+        let started = Instant::now();
         for _ in 0..ROUNDS {
-            black_box(first_fit(black_box(&free), NEED));
+            black_box(first_fit(black_box(&free), REQUESTED));
         }
-        let ratio = chosen.as_secs_f64() / began.elapsed().as_secs_f64();
+        let ratio = chosen.as_secs_f64() / started.elapsed().as_secs_f64();
         println!("start at {hosts} hosts: {ratio:.2} of the time of first fit");
     }
 }
--- a/crates/bench/src/dispatching.rs
+++ b/crates/bench/src/dispatching.rs
@@ -33,9 +33,9 @@
     accelerators: 1,
 };
 /// Number of tasks of each job with which the fleet is filled.
-const FILL_TASKS: u32 = 20;
+const TASKS_PER_JOB: u32 = 20;
 /// Time between ticks, which is longer than any interval of the owner between appends.
-const TURN_MS: u64 = 50;
+const TICK_MS: u64 = 50;
 const WALL_MS: u64 = 1_700_000_000_000;
 
 /// An owner and the runs of its workers.
@@ -92,24 +92,24 @@
             workers,
         };
         for _ in 0..100 {
-            fleet.turn();
+            fleet.tick();
         }
-        for number in 0..tasks.div_ceil(FILL_TASKS as usize) {
-            fleet.submit(FILL_TASKS, 100);
+        for number in 0..tasks.div_ceil(TASKS_PER_JOB as usize) {
+            fleet.submit(TASKS_PER_JOB, 100);
             if number % 50 == 49 {
-                fleet.settle();
+                fleet.complete_due_work();
             }
         }
-        fleet.settle();
+        fleet.complete_due_work();
         fleet
     }
 
     /// Runs several ticks, before each of which workers answer the pending polls, so that the owner
     /// completes all work that is due.
-    pub fn settle(&mut self) {
+    pub fn complete_due_work(&mut self) {
         for _ in 0..6 {
-            self.answer_looks();
-            self.turn();
+            self.answer_polls();
+            self.tick();
         }
     }
 
@@ -148,12 +148,12 @@
     }
 
     /// Advances the time by one tick.
-    pub fn turn(&mut self) {
-        self.now_ms += TURN_MS;
+    pub fn tick(&mut self) {
+        self.now_ms += TICK_MS;
         self.handle(Event::Tick);
     }
 
-    fn answer_looks(&mut self) {
+    fn answer_polls(&mut self) {
         for (ticket, worker) in std::mem::take(&mut self.polls) {
             let mut runs = Vec::new();
             for (task, run) in self.running.get(&worker).into_iter().flatten() {
@@ -219,12 +219,12 @@
                 worker,
                 call,
                 ..
-            } => self.obey(ticket, worker, call),
+            } => self.execute_order(ticket, worker, call),
             _ => None,
         }
     }
 
-    fn obey(&mut self, ticket: u64, worker: Box<str>, call: WorkerCall) -> Option<Event> {
+    fn execute_order(&mut self, ticket: u64, worker: Box<str>, call: WorkerCall) -> Option<Event> {
         match call {
             WorkerCall::Poll { .. } => {
                 self.polls.push((ticket, worker));
