--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -23,13 +23,12 @@
 /// Period over which the claims of hosts are spread, in an order that is derived from their names,
 /// so that the first claim makes the others unnecessary.
 const CLAIM_SPREAD_MS: u64 = 300;
-/// The same period if the owner is leaving. It still acts meanwhile, so there is no haste.
+/// The same period if the owner is leaving, since it continues to act meanwhile.
 const LEAVING_CLAIM_SPREAD_MS: u64 = 400;
 /// Interval between reads of a watcher while the owner is healthy.
 const READ_INTERVAL_MS: u64 = 250;
 /// Hosts that monitor the owner: the owner itself and the seven hosts that would claim first. Each
-/// read costs processor time; when all of 34 hosts monitored the owner, these reads were half of
-/// all calls.
+/// read has a cost; when all of 34 hosts monitored the owner, these reads were half of all calls.
 const WATCHERS: usize = 8;
 /// Interval between reads of a host that is no watcher. If all watchers are down, a claim is later
 /// by up to this time.
--- a/crates/dispatch/src/tail/mod.rs
+++ b/crates/dispatch/src/tail/mod.rs
@@ -178,6 +178,7 @@
         self.latency.average_ms()
     }
 
+    /// Returns the time by which timeouts are extended for a slow store.
     fn slow_ms(&self) -> u64 {
         SLOW_FACTOR * self.typical_latency_ms()
     }
--- a/tests/dispatch.rs
+++ b/tests/dispatch.rs
@@ -111,7 +111,8 @@
     expect_that!(fleet.promises.starts.len(), eq(6));
 }
 
-/// Guards against endless retries of a job whose tasks always fail.
+/// Guards against endless retries of a job whose tasks always fail, and against its failures being
+/// counted against other jobs.
 #[gtest]
 fn a_job_whose_tasks_always_fail_fails_after_its_attempts() {
     let mut fleet = Fleet::new(3, 2);
@@ -190,8 +191,8 @@
 }
 
 /// Guards against healthy tasks that are restarted after a change of owner. The new owner found
-/// runs that were half done, or that had not reported progress yet, and mistook that for all the
-/// progress that they had made in a long time.
+/// runs that were half done, or that had not reported progress yet, and took the progress that it
+/// read for all that they had made over a long time.
 #[gtest]
 fn a_change_of_owner_restarts_no_task() {
     let mut fleet = Fleet::new(3, 4);
