--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -247,11 +247,11 @@
                 return;
             };
             let now_ms = began.elapsed().as_millis() as u64;
-            let reply = lock(&served).call(now_ms, &call);
+            let reply = lock(&served).handle_call(now_ms, &call);
             match reply {
                 Some(reply) => {
                     answer_json(request, &reply);
-                    lock(&served).note_heard();
+                    lock(&served).record_reported_exits();
                 }
                 None => refuse(request, 409),
             }
@@ -270,10 +270,10 @@
     }
 
     /// Ends the host: its tasks stop and it answers nothing more.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.is_dead.store(true, Ordering::Relaxed);
         let now_ms = self.began.elapsed().as_millis() as u64;
-        lock(&self.state).die(now_ms);
+        lock(&self.state).crash(now_ms);
     }
 }
 
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -6,9 +6,9 @@
     /// Identity that the caller gave, or its number.
     pub identity: String,
     /// When it began.
-    pub from_ms: u64,
+    pub started_ms: u64,
     /// When it ended.
-    pub to_ms: u64,
+    pub ended_ms: u64,
 }
 
 /// One instance.
@@ -19,18 +19,18 @@
     /// Requests at work now.
     pub in_use: u32,
     /// Most requests at work at a time so far.
-    pub most_in_use: u32,
+    pub max_in_use: u32,
 }
 
 impl UpstreamState {
     /// Begins to work on a request; gives the number of the run.
     pub fn begin(&mut self, identity: &str, now_ms: u64, until_ms: u64) -> usize {
         self.in_use += 1;
-        self.most_in_use = self.most_in_use.max(self.in_use);
+        self.max_in_use = self.max_in_use.max(self.in_use);
         self.runs.push(Run {
             identity: identity.into(),
-            from_ms: now_ms,
-            to_ms: until_ms,
+            started_ms: now_ms,
+            ended_ms: until_ms,
         });
         self.runs.len() - 1
     }
@@ -38,6 +38,6 @@
     /// Ends a run.
     pub fn end(&mut self, run: usize, now_ms: u64) {
         self.in_use -= 1;
-        self.runs[run].to_ms = now_ms;
+        self.runs[run].ended_ms = now_ms;
     }
 }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -25,13 +25,13 @@
     /// Number of the attempt.
     pub attempt: u32,
     /// When it began.
-    pub from_ms: u64,
+    pub started_ms: u64,
     /// When it ended, if it has.
-    pub to_ms: Option<u64>,
+    pub ended_ms: Option<u64>,
     /// Whether the job finished then.
     pub is_finished: bool,
     /// When an answer first told of that.
-    pub heard_ms: Option<u64>,
+    pub reported_ms: Option<u64>,
     /// What it used.
     pub order: WorkerOrder,
 }
@@ -56,7 +56,7 @@
     /// All stretches of running so far.
     pub runs: Vec<TaskRun>,
     /// Orders to start that it had no room for.
-    pub refusals: u32,
+    pub refused_starts: u32,
 }
 
 impl WorkerState {
@@ -74,7 +74,7 @@
             tasks: Vec::new(),
             now_ms: 0,
             runs: Vec::new(),
-            refusals: 0,
+            refused_starts: 0,
         }
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// The host dies at `now_ms` and comes back empty.
-    pub fn die(&mut self, now_ms: u64) {
+    pub fn crash(&mut self, now_ms: u64) {
         self.advance(now_ms);
         for task in self.tasks.iter().filter(|task| task.state == "running") {
             end_run(&mut self.runs, &task.order, now_ms, false);
@@ -128,7 +128,7 @@
     }
 
     /// Takes a call; `None` refuses its token.
-    pub fn call(&mut self, now_ms: u64, call: &WorkerRequest) -> Option<WorkerReply> {
+    pub fn handle_call(&mut self, now_ms: u64, call: &WorkerRequest) -> Option<WorkerReply> {
         self.advance(now_ms);
         if call.token < self.token {
             return None;
@@ -154,12 +154,12 @@
 
     /// Notes that the answer to the latest call arrives, so that the ends it tells
     /// of are known from now on.
-    pub fn note_heard(&mut self) {
+    pub fn record_reported_exits(&mut self) {
         for task in self.tasks.iter().filter(|task| task.state == "finished") {
             let same =
                 |run: &&mut TaskRun| run.id == task.order.id && run.attempt == task.order.attempt;
             if let Some(run) = self.runs.iter_mut().find(same) {
-                run.heard_ms.get_or_insert(self.now_ms);
+                run.reported_ms.get_or_insert(self.now_ms);
             }
         }
     }
@@ -197,7 +197,7 @@
             accelerators += task.order.accelerators;
         }
         let fits = cores <= self.room.0 && memory <= self.room.1 && accelerators <= self.room.2;
-        self.refusals += u32::from(!fits);
+        self.refused_starts += u32::from(!fits);
         let state = if fits { "running" } else { "refused" };
         self.tasks.push(TaskState {
             order: order.clone(),
@@ -209,10 +209,10 @@
             self.runs.push(TaskRun {
                 id: order.id.clone(),
                 attempt: order.attempt,
-                from_ms: now_ms,
-                to_ms: None,
+                started_ms: now_ms,
+                ended_ms: None,
                 is_finished: false,
-                heard_ms: None,
+                reported_ms: None,
                 order: order.clone(),
             });
         }
@@ -235,9 +235,9 @@
 fn end_run(runs: &mut [TaskRun], order: &WorkerOrder, at_ms: u64, is_finished: bool) {
     let same = |run: &&mut TaskRun| run.id == order.id && run.attempt == order.attempt;
     if let Some(run) = runs.iter_mut().rev().find(same)
-        && run.to_ms.is_none()
+        && run.ended_ms.is_none()
     {
-        run.to_ms = Some(at_ms);
+        run.ended_ms = Some(at_ms);
         run.is_finished = is_finished;
     }
 }
--- a/examples/first_week/callers.rs
+++ b/examples/first_week/callers.rs
@@ -93,7 +93,7 @@
                 thread::sleep(Duration::from_millis(2));
             }
             drop(victim);
-            worker.die();
+            worker.crash();
         });
     });
     wait_for_jobs(&operators, fleet, &report);
--- a/examples/first_week/verdict.rs
+++ b/examples/first_week/verdict.rs
@@ -36,17 +36,17 @@
             .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if state.most_in_use > 8 {
+        if state.max_in_use > 8 {
             broken.push(format!(
                 "instance {name} worked on {} requests at once",
-                state.most_in_use
+                state.max_in_use
             ));
         }
         for run in &state.runs {
             executions
                 .entry(run.identity.clone())
                 .or_default()
-                .push((run.from_ms, run.to_ms));
+                .push((run.started_ms, run.ended_ms));
         }
     }
     let mut counts = [0_usize; 3];
@@ -129,7 +129,7 @@
         evictions += runs.len() - 1;
         let spans: Vec<(u64, u64)> = runs
             .iter()
-            .map(|run| (run.from_ms, run.to_ms.unwrap_or(u64::MAX)))
+            .map(|run| (run.started_ms, run.ended_ms.unwrap_or(u64::MAX)))
             .collect();
         if overlaps(&spans) {
             twice += 1;
@@ -137,10 +137,10 @@
         }
         // A run that finished on a host which died before it could tell is not
         // known to anybody; such a job runs again unless it is never-twice.
-        let heard_ms = runs.iter().filter_map(|run| run.heard_ms).min();
+        let heard_ms = runs.iter().filter_map(|run| run.reported_ms).min();
         if runs
             .iter()
-            .any(|run| heard_ms.is_some_and(|heard| run.from_ms > heard))
+            .any(|run| heard_ms.is_some_and(|heard| run.started_ms > heard))
         {
             twice += 1;
             broken.push(format!("job {id} ran again after its end was known"));
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -79,7 +79,7 @@
             .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        over_slots += usize::from(state.most_in_use > SLOTS);
+        over_slots += usize::from(state.max_in_use > SLOTS);
         for run in &state.runs {
             *requests.entry(run.identity.clone()).or_default() += 1;
         }
@@ -88,7 +88,7 @@
     for worker in workers {
         let state = worker.state.lock().unwrap_or_else(PoisonError::into_inner);
         for run in &state.runs {
-            let span = (run.from_ms, run.to_ms.unwrap_or(u64::MAX));
+            let span = (run.started_ms, run.ended_ms.unwrap_or(u64::MAX));
             jobs.entry(run.id.clone()).or_default().push(span);
         }
     }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -295,7 +295,7 @@
     let worker = world.edges.workers.get_mut(&*name).expect("such a worker");
     match fault {
         Fault::WorkerDies(_) => {
-            worker.state.die(now_ms);
+            worker.state.crash(now_ms);
             worker.is_dead = true;
         }
         Fault::WorkerReturns(_) => worker.is_dead = false,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -351,7 +351,7 @@
         let wakes = self.flag("wakes");
         let worker = world.edges.workers.get_mut(&*name).expect("such a worker");
         if self.flag("dies") {
-            worker.state.die(now_ms);
+            worker.state.crash(now_ms);
             worker.is_dead = true;
         }
         if self.flag("returns") {
--- a/tests/tallies.rs
+++ b/tests/tallies.rs
@@ -13,7 +13,7 @@
         .values()
         .flat_map(|worker| &worker.state.runs);
     let open = runs
-        .filter(|run| run.to_ms.is_none())
+        .filter(|run| run.ended_ms.is_none())
         .map(|run| run.order.job.as_str());
     tally(open)
 }
--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -208,7 +208,7 @@
             }
             let poison = self.poison.as_deref();
             if poison.is_some_and(|poison| worker.state.runs_job(poison)) {
-                worker.state.die(now_ms);
+                worker.state.crash(now_ms);
                 self.worker_crashes += 1;
             }
         }
@@ -385,9 +385,9 @@
             delay_ms = 3;
             listing = worker
                 .state
-                .call(now_ms, &call_out(call))
+                .handle_call(now_ms, &call_out(call))
                 .and_then(listing_in);
-            worker.state.note_heard();
+            worker.state.record_reported_exits();
         }
         let event = Event::Worker {
             cell,
@@ -406,7 +406,7 @@
         worker.is_paused = false;
         for (_, action) in std::mem::take(&mut worker.held) {
             if let Action::CallWorker { call, .. } = action {
-                worker.state.call(now_ms, &call_out(&call));
+                worker.state.handle_call(now_ms, &call_out(&call));
             }
         }
     }
--- a/tests/world/promises.rs
+++ b/tests/world/promises.rs
@@ -60,16 +60,16 @@
         let mut runs: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
         for (name, upstream) in &self.edges.upstreams {
             const SLOTS: u32 = 8;
-            if upstream.state.most_in_use > SLOTS {
+            if upstream.state.max_in_use > SLOTS {
                 broken.push(format!(
                     "{name} worked on {} at once",
-                    upstream.state.most_in_use
+                    upstream.state.max_in_use
                 ));
             }
             for run in &upstream.state.runs {
                 runs.entry(&run.identity)
                     .or_default()
-                    .push((run.from_ms, run.to_ms));
+                    .push((run.started_ms, run.ended_ms));
             }
         }
         let mut not_run: BTreeMap<&str, bool> = BTreeMap::new();
@@ -124,7 +124,7 @@
     fn judge_jobs(&self, broken: &mut Vec<String>) {
         let mut by_job: BTreeMap<&str, Vec<&goldcrestway_standin::TaskRun>> = BTreeMap::new();
         for (name, worker) in &self.edges.workers {
-            if worker.state.refusals > 0 {
+            if worker.state.refused_starts > 0 {
                 broken.push(format!("{name} was given more than it holds"));
             }
             for run in &worker.state.runs {
@@ -132,18 +132,18 @@
             }
         }
         for (id, mut runs) in by_job {
-            runs.sort_by_key(|run| run.from_ms);
+            runs.sort_by_key(|run| run.started_ms);
             let spans: Vec<(u64, u64)> = runs
                 .iter()
-                .map(|run| (run.from_ms, run.to_ms.unwrap_or(u64::MAX)))
+                .map(|run| (run.started_ms, run.ended_ms.unwrap_or(u64::MAX)))
                 .collect();
             if overlaps(&spans) {
                 broken.push(format!("job {id} ran in two places at once: {spans:?}"));
             }
-            let heard_ms = runs.iter().filter_map(|run| run.heard_ms).min();
+            let heard_ms = runs.iter().filter_map(|run| run.reported_ms).min();
             if runs
                 .iter()
-                .any(|run| heard_ms.is_some_and(|heard| run.from_ms > heard))
+                .any(|run| heard_ms.is_some_and(|heard| run.started_ms > heard))
             {
                 broken.push(format!("job {id} ran again after its end was known"));
             }
@@ -174,7 +174,10 @@
         if run.order.checkpoint < reached_ms {
             return true;
         }
-        let ran_ms = run.to_ms.unwrap_or(u64::MAX).saturating_sub(run.from_ms);
+        let ran_ms = run
+            .ended_ms
+            .unwrap_or(u64::MAX)
+            .saturating_sub(run.started_ms);
         reached_ms = run.order.checkpoint.saturating_add(ran_ms);
     }
     false
