--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -30,14 +30,19 @@
         state.oldest + state.records.len() as u64 - 1
     }
 
-    /// Reads up to `most` records from `from` on.
-    pub fn read(&self, stream: &str, from: u64, most: usize) -> LogPart {
+    /// Reads up to `max_records` records from `from` on.
+    pub fn read(&self, stream: &str, from: u64, max_records: usize) -> LogPart {
         let empty = StreamState::default();
         let state = self.streams.get(stream).unwrap_or(&empty);
         let end = state.oldest + state.records.len() as u64;
         let from = from.clamp(state.oldest, end);
         let skipped = (from - state.oldest) as usize;
-        let records = state.records.iter().skip(skipped).take(most).enumerate();
+        let records = state
+            .records
+            .iter()
+            .skip(skipped)
+            .take(max_records)
+            .enumerate();
         LogPart {
             oldest: state.oldest,
             end,
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -29,14 +29,14 @@
 
 /// A server whose threads end when it is dropped.
 #[derive(Debug)]
-struct Running {
+struct ServerHandle {
     address: SocketAddr,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 }
 
@@ -46,12 +46,12 @@
 /// Threads that serve each stand-in.
 const THREADS: usize = 8;
 /// How often an idle thread looks whether it is over.
-const IDLE: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Any free port on loopback.
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 
-fn serve(address: &str, threads: usize, handler: Arc<Handler>) -> std::io::Result<Running> {
+fn serve(address: &str, threads: usize, handler: Arc<Handler>) -> std::io::Result<ServerHandle> {
     let listener = TcpListener::bind(address)?;
     // Inherited by accepted sockets; see the gate of the daemon for the reason.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true)?;
@@ -61,18 +61,21 @@
         .to_ip()
         .ok_or_else(|| std::io::Error::other("no address"))?;
     let server = Arc::new(server);
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_stopped = Arc::new(AtomicBool::new(false));
     for _ in 0..threads {
-        let (server, is_over, handler) = (server.clone(), is_over.clone(), handler.clone());
+        let (server, is_stopped, handler) = (server.clone(), is_stopped.clone(), handler.clone());
         thread::spawn(move || {
-            while !is_over.load(Ordering::Relaxed) {
-                if let Ok(Some(request)) = server.recv_timeout(IDLE) {
+            while !is_stopped.load(Ordering::Relaxed) {
+                if let Ok(Some(request)) = server.recv_timeout(STOP_CHECK_INTERVAL) {
                     handler(request);
                 }
             }
         });
     }
-    Ok(Running { address, is_over })
+    Ok(ServerHandle {
+        address,
+        is_stopped,
+    })
 }
 
 fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -89,7 +92,7 @@
     let _ = request.respond(Response::from_string("").with_status_code(status));
 }
 
-fn body_of(request: &mut Request) -> Vec<u8> {
+fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     let _ = request.as_reader().read_to_end(&mut body);
     body
@@ -98,7 +101,7 @@
 /// The log over HTTP.
 #[derive(Debug)]
 pub struct LogServer {
-    running: Running,
+    handle: ServerHandle,
     /// Its state.
     pub state: Arc<Mutex<LogState>>,
     /// Whether it answers nothing.
@@ -112,7 +115,7 @@
     ///
     /// When no socket can be opened.
     pub fn start(append_ms: u64) -> std::io::Result<Self> {
-        Self::start_at(ANY, append_ms)
+        Self::start_at(ANY_PORT, append_ms)
     }
 
     /// Does as [`LogServer::start`] at an address.
@@ -132,7 +135,7 @@
             serve_log(request, &served, append_ms);
         };
         Ok(Self {
-            running: serve(address, THREADS * 4, Arc::new(handler))?,
+            handle: serve(address, THREADS * 4, Arc::new(handler))?,
             state,
             is_down,
         })
@@ -140,7 +143,7 @@
 
     /// Gives its URL.
     pub fn url(&self) -> String {
-        format!("http://{}", self.running.address)
+        format!("http://{}", self.handle.address)
     }
 }
 
@@ -148,7 +151,7 @@
     let url = request.url().to_owned();
     let stream = url.split('/').nth(3).unwrap_or_default().to_owned();
     if request.method() == &tiny_http::Method::Post {
-        let body = body_of(&mut request);
+        let body = read_body(&mut request);
         let Ok(payload) = STANDARD.decode(body) else {
             refuse(request, 400);
             return;
@@ -180,7 +183,7 @@
 /// The list of hosts over HTTP.
 #[derive(Debug)]
 pub struct HostListServer {
-    running: Running,
+    handle: ServerHandle,
     /// The list.
     pub hosts: Arc<Mutex<Vec<Listed>>>,
 }
@@ -192,7 +195,7 @@
     ///
     /// When no socket can be opened.
     pub fn start() -> std::io::Result<Self> {
-        Self::start_at(ANY)
+        Self::start_at(ANY_PORT)
     }
 
     /// Does as [`HostListServer::start`] at an address.
@@ -208,45 +211,45 @@
             answer_json(request, &HostReply { hosts });
         };
         Ok(Self {
-            running: serve(address, THREADS, Arc::new(handler))?,
+            handle: serve(address, THREADS, Arc::new(handler))?,
             hosts,
         })
     }
 
     /// Gives its URL.
     pub fn url(&self) -> String {
-        format!("http://{}", self.running.address)
+        format!("http://{}", self.handle.address)
     }
 }
 
 /// A worker over HTTP.
 #[derive(Debug)]
 pub struct WorkerServer {
-    running: Running,
+    handle: ServerHandle,
     /// Its state.
     pub state: Arc<Mutex<WorkerState>>,
     is_dead: Arc<AtomicBool>,
-    began: Instant,
+    clock_start: Instant,
 }
 
 impl WorkerServer {
-    /// Starts a worker; its clock counts from `began`.
+    /// Starts a worker; its clock counts from `clock_start`.
     ///
     /// # Errors
     ///
     /// When no socket can be opened.
-    pub fn start(state: WorkerState, began: Instant) -> std::io::Result<Self> {
+    pub fn start(state: WorkerState, clock_start: Instant) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(state));
         let is_dead = Arc::new(AtomicBool::new(false));
         let (served, dead) = (state.clone(), is_dead.clone());
         let handler = move |mut request: Request| {
-            let body = body_of(&mut request);
+            let body = read_body(&mut request);
             let call: Option<WorkerRequest> = serde_json::from_slice(&body).ok();
             let Some(call) = call.filter(|_| !dead.load(Ordering::Relaxed)) else {
                 refuse(request, 503);
                 return;
             };
-            let now_ms = began.elapsed().as_millis() as u64;
+            let now_ms = clock_start.elapsed().as_millis() as u64;
             let reply = lock(&served).handle_call(now_ms, &call);
             match reply {
                 Some(reply) => {
@@ -257,22 +260,22 @@
             }
         };
         Ok(Self {
-            running: serve(ANY, 2, Arc::new(handler))?,
+            handle: serve(ANY_PORT, 2, Arc::new(handler))?,
             state,
             is_dead,
-            began,
+            clock_start,
         })
     }
 
     /// Gives its address.
     pub fn address(&self) -> String {
-        self.running.address.to_string()
+        self.handle.address.to_string()
     }
 
     /// Ends the host: its tasks stop and it answers nothing more.
     pub fn crash(&self) {
         self.is_dead.store(true, Ordering::Relaxed);
-        let now_ms = self.began.elapsed().as_millis() as u64;
+        let now_ms = self.clock_start.elapsed().as_millis() as u64;
         lock(&self.state).crash(now_ms);
     }
 }
@@ -280,7 +283,7 @@
 /// An instance of a service over HTTP.
 #[derive(Debug)]
 pub struct UpstreamServer {
-    running: Running,
+    handle: ServerHandle,
     /// Its state.
     pub state: Arc<Mutex<UpstreamState>>,
 }
@@ -291,13 +294,13 @@
     /// # Errors
     ///
     /// When no socket can be opened.
-    pub fn start(work_ms: u64, began: Instant) -> std::io::Result<Self> {
+    pub fn start(work_ms: u64, clock_start: Instant) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(UpstreamState::default()));
         let served = state.clone();
         let handler = move |mut request: Request| {
-            let body = body_of(&mut request);
+            let body = read_body(&mut request);
             let identity = String::from_utf8_lossy(&body).into_owned();
-            let now_ms = || began.elapsed().as_millis() as u64;
+            let now_ms = || clock_start.elapsed().as_millis() as u64;
             let run = lock(&served).begin(&identity, now_ms(), now_ms() + work_ms);
             thread::sleep(Duration::from_millis(work_ms));
             lock(&served).end(run, now_ms());
@@ -309,13 +312,13 @@
         };
         Ok(Self {
             // More threads than slots, so that more work than was granted shows.
-            running: serve(ANY, THREADS * 3, Arc::new(handler))?,
+            handle: serve(ANY_PORT, THREADS * 3, Arc::new(handler))?,
             state,
         })
     }
 
     /// Gives its address.
     pub fn address(&self) -> String {
-        self.running.address.to_string()
+        self.handle.address.to_string()
     }
 }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 /// Listings whose times are remembered.
-const LISTINGS: usize = 64;
+const MAX_LISTINGS: usize = 64;
 
 #[derive(Debug, Clone)]
 struct TaskState {
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone)]
 pub struct WorkerState {
     /// What it holds beside its services: millicores, megabytes, accelerators.
-    pub room: (u32, u32, u32),
+    pub resources: (u32, u32, u32),
     /// How long each job runs, in milliseconds.
     pub run_time_ms: u64,
     /// Whether everything it starts fails.
@@ -48,7 +48,7 @@
     /// Slowdown of its services, as measured late.
     pub slowdown_permille: u32,
     token: u64,
-    number: u64,
+    last_listing: u64,
     listings: VecDeque<(u64, u64)>,
     lease_until_ms: u64,
     tasks: Vec<TaskState>,
@@ -61,14 +61,14 @@
 
 impl WorkerState {
     /// Makes an idle worker whose jobs run for `run_time_ms`.
-    pub fn new(room: (u32, u32, u32), run_time_ms: u64) -> Self {
+    pub fn new(resources: (u32, u32, u32), run_time_ms: u64) -> Self {
         Self {
-            room,
+            resources,
             run_time_ms,
             fails_all: false,
             slowdown_permille: 0,
             token: 0,
-            number: 0,
+            last_listing: 0,
             listings: VecDeque::new(),
             lease_until_ms: 0,
             tasks: Vec::new(),
@@ -106,14 +106,14 @@
 
     /// Tells whether a job runs there whose name within its team begins so.
     pub fn runs_job(&self, prefix: &str) -> bool {
-        let is_so = |id: &str| {
+        let has_prefix = |id: &str| {
             id.rsplit('/')
                 .next()
                 .is_some_and(|name| name.starts_with(prefix))
         };
         self.tasks
             .iter()
-            .any(|task| task.state == "running" && is_so(&task.order.id))
+            .any(|task| task.state == "running" && has_prefix(&task.order.id))
     }
 
     /// The host dies at `now_ms` and comes back empty.
@@ -144,9 +144,9 @@
             self.lease_until_ms = self.lease_until_ms.max(listed_ms + call.lease_ms);
             self.apply(now_ms, call);
         }
-        self.number += 1;
-        self.listings.push_back((self.number, now_ms));
-        if self.listings.len() > LISTINGS {
+        self.last_listing += 1;
+        self.listings.push_back((self.last_listing, now_ms));
+        if self.listings.len() > MAX_LISTINGS {
             self.listings.pop_front();
         }
         Some(self.reply())
@@ -156,9 +156,9 @@
     /// of are known from now on.
     pub fn record_reported_exits(&mut self) {
         for task in self.tasks.iter().filter(|task| task.state == "finished") {
-            let same =
+            let is_same =
                 |run: &&mut TaskRun| run.id == task.order.id && run.attempt == task.order.attempt;
-            if let Some(run) = self.runs.iter_mut().find(same) {
+            if let Some(run) = self.runs.iter_mut().find(is_same) {
                 run.reported_ms.get_or_insert(self.now_ms);
             }
         }
@@ -184,9 +184,9 @@
     }
 
     fn start(&mut self, now_ms: u64, order: &WorkerOrder) {
-        let same =
+        let is_same =
             |task: &TaskState| task.order.id == order.id && task.order.attempt == order.attempt;
-        if self.tasks.iter().any(same) {
+        if self.tasks.iter().any(is_same) {
             return;
         }
         let (mut cores, mut memory, mut accelerators) =
@@ -196,7 +196,9 @@
             memory += task.order.memory_mb;
             accelerators += task.order.accelerators;
         }
-        let fits = cores <= self.room.0 && memory <= self.room.1 && accelerators <= self.room.2;
+        let fits = cores <= self.resources.0
+            && memory <= self.resources.1
+            && accelerators <= self.resources.2;
         self.refused_starts += u32::from(!fits);
         let state = if fits { "running" } else { "refused" };
         self.tasks.push(TaskState {
@@ -225,7 +227,7 @@
             checkpoint: task.progress_ms,
         });
         WorkerReply {
-            number: self.number,
+            number: self.last_listing,
             tasks: tasks.collect(),
             service_slowdown_permille: self.slowdown_permille,
         }
@@ -233,8 +235,8 @@
 }
 
 fn end_run(runs: &mut [TaskRun], order: &WorkerOrder, at_ms: u64, is_finished: bool) {
-    let same = |run: &&mut TaskRun| run.id == order.id && run.attempt == order.attempt;
-    if let Some(run) = runs.iter_mut().rev().find(same)
+    let is_same = |run: &&mut TaskRun| run.id == order.id && run.attempt == order.attempt;
+    if let Some(run) = runs.iter_mut().rev().find(is_same)
         && run.ended_ms.is_none()
     {
         run.ended_ms = Some(at_ms);
