--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the platform and for upstreams.
+//! Stand-ins for the platform and for upstreams, for tests and examples.
 //!
-//! Each is a plain state machine with the time as an argument, used as it is by
-//! the scenarios, and served over HTTP on loopback for the example. What they
-//! record is what verdicts are judged by.
+//! Each is a state machine that gets the time as an argument. Test scenarios use the state machines
+//! directly; the examples use them as servers over HTTP on loopback. Tests and examples check what
+//! the stand-ins record.
 //!
 //! ```
 //! use goldcrestway_standin::LogState;
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: streams of records with offsets, kept for a limited time.
+//! The platform's log: streams of records with offsets and limited retention.
 
 use goldcrestway_platform::LogPart;
 use std::collections::BTreeMap;
@@ -10,18 +10,18 @@
     records: VecDeque<Vec<u8>>,
 }
 
-/// All streams.
+/// The state of a log with all its streams.
 #[derive(Debug, Clone, Default)]
 pub struct LogState {
     streams: BTreeMap<Box<str>, StreamState>,
-    /// Appends that took effect, over all streams.
+    /// Number of appends that took effect, over all streams.
     pub appends: u64,
-    /// Bytes of their payloads.
+    /// Total size of the payloads of these appends, in bytes.
     pub bytes: u64,
 }
 
 impl LogState {
-    /// Appends a record and gives its offset.
+    /// Appends a record and returns its offset.
     pub fn append(&mut self, stream: &str, payload: Vec<u8>) -> u64 {
         self.appends += 1;
         self.bytes += payload.len() as u64;
@@ -30,7 +30,8 @@
         state.oldest + state.records.len() as u64 - 1
     }
 
-    /// Reads up to `max_records` records from `from` on.
+    /// Returns up to `max_records` records from the offset `from` on. An offset that is not stored
+    /// is replaced by the nearest one that is.
     pub fn read(&self, stream: &str, from: u64, max_records: usize) -> LogPart {
         let empty = StreamState::default();
         let state = self.streams.get(stream).unwrap_or(&empty);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Drops all but the latest `keep` records of a stream, as retention does.
+    /// Drops all but the newest `keep` records of a stream, as retention does.
     pub fn expire(&mut self, stream: &str, keep: usize) {
         let Some(state) = self.streams.get_mut(stream) else {
             return;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -27,7 +27,7 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-/// A server whose threads end when it is dropped.
+/// Handle of a server. Dropping it ends the threads of the server.
 #[derive(Debug)]
 struct ServerHandle {
     address: SocketAddr,
@@ -40,12 +40,12 @@
     }
 }
 
-/// What serves one request.
+/// Function that serves one request.
 type Handler = dyn Fn(Request) + Send + Sync;
 
-/// Threads that serve each stand-in.
+/// Number of threads of a server; logs and upstreams have a multiple of it.
 const THREADS: usize = 8;
-/// How often an idle thread looks whether it is over.
+/// Interval at which an idle thread checks whether its server has been stopped.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Any free port on loopback.
@@ -53,7 +53,8 @@
 
 fn serve(address: &str, threads: usize, handler: Arc<Handler>) -> std::io::Result<ServerHandle> {
     let listener = TcpListener::bind(address)?;
-    // Inherited by accepted sockets; see the gate of the daemon for the reason.
+    // Accepted sockets inherit this. The server sends head and body of an answer separately;
+    // without this, the body waits 40 ms for the delayed acknowledgement of the head.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true)?;
     let server = Server::from_listener(listener, None).map_err(std::io::Error::other)?;
     let address = server
@@ -84,7 +85,7 @@
 
 fn answer_json<T: serde::Serialize>(request: Request, value: &T) {
     let text = serde_json::to_string(value).unwrap_or_default();
-    // A caller that has gone needs no answer.
+    // The caller may have closed the connection.
     let _ = request.respond(Response::from_string(text));
 }
 
@@ -98,13 +99,13 @@
     body
 }
 
-/// The log over HTTP.
+/// A log over HTTP.
 #[derive(Debug)]
 pub struct LogServer {
     handle: ServerHandle,
-    /// Its state.
+    /// State of the stand-in.
     pub state: Arc<Mutex<LogState>>,
-    /// Whether it answers nothing.
+    /// Whether all calls are refused with status 503.
     pub is_down: Arc<AtomicBool>,
 }
 
@@ -113,16 +114,16 @@
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// Returns an error if no socket can be opened.
     pub fn start(append_ms: u64) -> std::io::Result<Self> {
         Self::start_at(ANY_PORT, append_ms)
     }
 
-    /// Does as [`LogServer::start`] at an address.
+    /// Starts an empty log like [`LogServer::start`], but at this address.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Returns an error if the server can't listen at the address.
     pub fn start_at(address: &str, append_ms: u64) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(LogState::default()));
         let is_down = Arc::new(AtomicBool::new(false));
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Gives its URL.
+    /// Returns the URL of the server.
     pub fn url(&self) -> String {
         format!("http://{}", self.handle.address)
     }
@@ -180,11 +181,11 @@
     answer_json(request, &reply);
 }
 
-/// The list of hosts over HTTP.
+/// The platform's list of hosts over HTTP.
 #[derive(Debug)]
 pub struct HostListServer {
     handle: ServerHandle,
-    /// The list.
+    /// The hosts that are listed.
     pub hosts: Arc<Mutex<Vec<Listed>>>,
 }
 
@@ -193,16 +194,16 @@
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// Returns an error if no socket can be opened.
     pub fn start() -> std::io::Result<Self> {
         Self::start_at(ANY_PORT)
     }
 
-    /// Does as [`HostListServer::start`] at an address.
+    /// Starts with an empty list like [`HostListServer::start`], but at this address.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Returns an error if the server can't listen at the address.
     pub fn start_at(address: &str) -> std::io::Result<Self> {
         let hosts = Arc::new(Mutex::new(Vec::new()));
         let served = hosts.clone();
@@ -216,7 +217,7 @@
         })
     }
 
-    /// Gives its URL.
+    /// Returns the URL of the server.
     pub fn url(&self) -> String {
         format!("http://{}", self.handle.address)
     }
@@ -226,18 +227,18 @@
 #[derive(Debug)]
 pub struct WorkerServer {
     handle: ServerHandle,
-    /// Its state.
+    /// State of the stand-in.
     pub state: Arc<Mutex<WorkerState>>,
     is_dead: Arc<AtomicBool>,
     clock_start: Instant,
 }
 
 impl WorkerServer {
-    /// Starts a worker; its clock counts from `clock_start`.
+    /// Starts a worker whose clock counts from `clock_start`.
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// Returns an error if no socket can be opened.
     pub fn start(state: WorkerState, clock_start: Instant) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(state));
         let is_dead = Arc::new(AtomicBool::new(false));
@@ -267,12 +268,13 @@
         })
     }
 
-    /// Gives its address.
+    /// Returns the address of the server.
     pub fn address(&self) -> String {
         self.handle.address.to_string()
     }
 
-    /// Ends the host: its tasks stop and it answers nothing more.
+    /// Crashes the worker for good: its tasks end, and all further calls are refused with status
+    /// 503.
     pub fn crash(&self) {
         self.is_dead.store(true, Ordering::Relaxed);
         let now_ms = self.clock_start.elapsed().as_millis() as u64;
@@ -284,16 +286,17 @@
 #[derive(Debug)]
 pub struct UpstreamServer {
     handle: ServerHandle,
-    /// Its state.
+    /// State of the stand-in.
     pub state: Arc<Mutex<UpstreamState>>,
 }
 
 impl UpstreamServer {
-    /// Starts an instance that works `work_ms` on each request.
+    /// Starts an instance that takes `work_ms` for each request. The times of its runs count from
+    /// `clock_start`.
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// Returns an error if no socket can be opened.
     pub fn start(work_ms: u64, clock_start: Instant) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(UpstreamState::default()));
         let served = state.clone();
@@ -311,13 +314,13 @@
             let _ = request.respond(response);
         };
         Ok(Self {
-            // More threads than slots, so that more work than was granted shows.
+            // More threads than slots, so that requests beyond the granted slots are detected.
             handle: serve(ANY_PORT, THREADS * 3, Arc::new(handler))?,
             state,
         })
     }
 
-    /// Gives its address.
+    /// Returns the address of the server.
     pub fn address(&self) -> String {
         self.handle.address.to_string()
     }
--- a/crates/standin/src/upstream.rs
+++ b/crates/standin/src/upstream.rs
@@ -1,29 +1,29 @@
-//! An instance of a service: works on requests and records which it ran.
+//! An instance of a service, which records the requests that it serves.
 
-/// One request that an instance worked on.
+/// The run of one request at an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Identity that the caller gave, or its number.
+    /// Identity that the caller gave, or the number of the request.
     pub identity: String,
-    /// When it began.
+    /// Start time, in milliseconds.
     pub started_ms: u64,
-    /// When it ended.
+    /// End time, in milliseconds; while the request runs, the planned one.
     pub ended_ms: u64,
 }
 
-/// One instance.
+/// The state of an instance.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamState {
-    /// Requests that it worked on.
+    /// All runs so far.
     pub runs: Vec<Run>,
-    /// Requests at work now.
+    /// Number of requests that run at present.
     pub in_use: u32,
-    /// Most requests at work at a time so far.
+    /// Highest number of concurrent requests so far.
     pub max_in_use: u32,
 }
 
 impl UpstreamState {
-    /// Begins to work on a request; gives the number of the run.
+    /// Starts the run of a request and returns its index in [`UpstreamState::runs`].
     pub fn begin(&mut self, identity: &str, now_ms: u64, until_ms: u64) -> usize {
         self.in_use += 1;
         self.max_in_use = self.max_in_use.max(self.in_use);
@@ -35,7 +35,7 @@
         self.runs.len() - 1
     }
 
-    /// Ends a run.
+    /// Ends a run. It panics if there is no such run.
     pub fn end(&mut self, run: usize, now_ms: u64) {
         self.in_use -= 1;
         self.runs[run].ended_ms = now_ms;
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs tasks under the lease of whoever holds the highest token.
+//! A worker: it runs tasks under the lease of the caller with the highest fencing token.
 
 use goldcrestway_platform::WorkerOrder;
 use goldcrestway_platform::WorkerReply;
@@ -6,7 +6,8 @@
 use goldcrestway_platform::WorkerTask;
 use std::collections::VecDeque;
 
-/// Listings whose times are remembered.
+/// Maximum number of listings whose times are retained. A lease counts from the time of the listing
+/// that a call acknowledges.
 const MAX_LISTINGS: usize = 64;
 
 #[derive(Debug, Clone)]
@@ -17,35 +18,35 @@
     run_time_ms: u64,
 }
 
-/// One stretch of a task's running, as the verdict sees it.
+/// One run of a task, as recorded for checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskRun {
     /// Identity of the job.
     pub id: String,
     /// Number of the attempt.
     pub attempt: u32,
-    /// When it began.
+    /// Start time, in milliseconds.
     pub started_ms: u64,
-    /// When it ended, if it has.
+    /// End time, in milliseconds, if the run has ended.
     pub ended_ms: Option<u64>,
-    /// Whether the job finished then.
+    /// Whether the run ended because the job finished.
     pub is_finished: bool,
-    /// When an answer first told of that.
+    /// Time of the first answer that reported that the job finished, in milliseconds.
     pub reported_ms: Option<u64>,
-    /// What it used.
+    /// The order that started the run, with its resources.
     pub order: WorkerOrder,
 }
 
-/// One worker.
+/// The state of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerState {
-    /// What it holds beside its services: millicores, megabytes, accelerators.
+    /// Resources that its services leave: millicores, megabytes of memory, accelerators.
     pub resources: (u32, u32, u32),
-    /// How long each job runs, in milliseconds.
+    /// Run time of each job, in milliseconds.
     pub run_time_ms: u64,
-    /// Whether everything it starts fails.
+    /// Whether all tasks that it runs fail.
     pub fails_all: bool,
-    /// Slowdown of its services, as measured late.
+    /// Slowdown of its services in thousandths, which is measured with a delay.
     pub slowdown_permille: u32,
     token: u64,
     last_listing: u64,
@@ -53,14 +54,14 @@
     lease_until_ms: u64,
     tasks: Vec<TaskState>,
     now_ms: u64,
-    /// All stretches of running so far.
+    /// All runs so far.
     pub runs: Vec<TaskRun>,
-    /// Orders to start that it had no room for.
+    /// Number of orders to start that exceeded its free resources.
     pub refused_starts: u32,
 }
 
 impl WorkerState {
-    /// Makes an idle worker whose jobs run for `run_time_ms`.
+    /// Creates an idle worker whose jobs run for `run_time_ms`.
     pub fn new(resources: (u32, u32, u32), run_time_ms: u64) -> Self {
         Self {
             resources,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Moves time on: tasks progress, finish, or stop because the lease lapsed.
+    /// Advances the time. Tasks progress, finish, or end because the lease has expired.
     pub fn advance(&mut self, now_ms: u64) {
         let until_ms = now_ms.min(self.lease_until_ms);
         let passed_ms = until_ms.saturating_sub(self.now_ms);
@@ -104,7 +105,7 @@
         self.now_ms = self.now_ms.max(now_ms);
     }
 
-    /// Tells whether a job runs there whose name within its team begins so.
+    /// Returns whether the worker runs a job whose name within its team starts with `prefix`.
     pub fn runs_job(&self, prefix: &str) -> bool {
         let has_prefix = |id: &str| {
             id.rsplit('/')
@@ -116,7 +117,7 @@
             .any(|task| task.state == "running" && has_prefix(&task.order.id))
     }
 
-    /// The host dies at `now_ms` and comes back empty.
+    /// Crashes the worker at `now_ms`. It restarts at once without tasks.
     pub fn crash(&mut self, now_ms: u64) {
         self.advance(now_ms);
         for task in self.tasks.iter().filter(|task| task.state == "running") {
@@ -127,7 +128,7 @@
         self.lease_until_ms = 0;
     }
 
-    /// Takes a call; `None` refuses its token.
+    /// Handles a call. Returns `None` if its fencing token is outdated.
     pub fn handle_call(&mut self, now_ms: u64, call: &WorkerRequest) -> Option<WorkerReply> {
         self.advance(now_ms);
         if call.token < self.token {
@@ -152,8 +153,8 @@
         Some(self.reply())
     }
 
-    /// Notes that the answer to the latest call arrives, so that the ends it tells
-    /// of are known from now on.
+    /// Records that the answer to the latest call arrives, which reports the jobs that have
+    /// finished.
     pub fn record_reported_exits(&mut self) {
         for task in self.tasks.iter().filter(|task| task.state == "finished") {
             let is_same =
