--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -27,33 +27,34 @@
 use tiny_http::Response;
 use tiny_http::Server;
 
-/// A server whose threads end when it is dropped.
+/// Handle of a server. Dropping it ends the threads of the server.
 #[derive(Debug)]
-struct Running {
+struct ServerHandle {
     address: SocketAddr,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
-impl Drop for Running {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 }
 
-/// What serves one request.
+/// Function that serves one request.
 type Handler = dyn Fn(Request) + Send + Sync;
 
-/// Threads that serve each stand-in.
+/// Number of threads of a server; logs and upstreams have a multiple of it.
 const THREADS: usize = 8;
-/// How often an idle thread looks whether it is over.
-const IDLE: Duration = Duration::from_millis(50);
+/// Interval at which an idle thread checks whether its server has been stopped.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Any free port on loopback.
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 
-fn serve(address: &str, threads: usize, handler: Arc<Handler>) -> std::io::Result<Running> {
+fn serve(address: &str, threads: usize, handler: Arc<Handler>) -> std::io::Result<ServerHandle> {
     let listener = TcpListener::bind(address)?;
-    // Inherited by accepted sockets; see the gate of the daemon for the reason.
+    // Accepted sockets inherit this. The server sends head and body of an answer separately;
+    // without this, the body waits 40 ms for the delayed acknowledgement of the head.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true)?;
     let server = Server::from_listener(listener, None).map_err(std::io::Error::other)?;
     let address = server
@@ -61,18 +62,21 @@
         .to_ip()
         .ok_or_else(|| std::io::Error::other("no address"))?;
     let server = Arc::new(server);
-    let is_over = Arc::new(AtomicBool::new(false));
+    let is_stopped = Arc::new(AtomicBool::new(false));
     for _ in 0..threads {
-        let (server, is_over, handler) = (server.clone(), is_over.clone(), handler.clone());
+        let (server, is_stopped, handler) = (server.clone(), is_stopped.clone(), handler.clone());
         thread::spawn(move || {
-            while !is_over.load(Ordering::Relaxed) {
-                if let Ok(Some(request)) = server.recv_timeout(IDLE) {
+            while !is_stopped.load(Ordering::Relaxed) {
+                if let Ok(Some(request)) = server.recv_timeout(STOP_CHECK_INTERVAL) {
                     handler(request);
                 }
             }
         });
     }
-    Ok(Running { address, is_over })
+    Ok(ServerHandle {
+        address,
+        is_stopped,
+    })
 }
 
 fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -81,7 +85,7 @@
 
 fn answer_json<T: serde::Serialize>(request: Request, value: &T) {
     let text = serde_json::to_string(value).unwrap_or_default();
-    // A caller that has gone needs no answer.
+    // The caller may have closed the connection.
     let _ = request.respond(Response::from_string(text));
 }
 
@@ -89,19 +93,19 @@
     let _ = request.respond(Response::from_string("").with_status_code(status));
 }
 
-fn body_of(request: &mut Request) -> Vec<u8> {
+fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     let _ = request.as_reader().read_to_end(&mut body);
     body
 }
 
-/// The log over HTTP.
+/// A log over HTTP.
 #[derive(Debug)]
 pub struct LogServer {
-    running: Running,
-    /// Its state.
+    handle: ServerHandle,
+    /// State of the stand-in.
     pub state: Arc<Mutex<LogState>>,
-    /// Whether it answers nothing.
+    /// Whether all calls are refused with status 503.
     pub is_down: Arc<AtomicBool>,
 }
 
@@ -110,16 +114,16 @@
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// Returns an error if no socket can be opened.
     pub fn start(append_ms: u64) -> std::io::Result<Self> {
-        Self::start_at(ANY, append_ms)
+        Self::start_at(ANY_PORT, append_ms)
     }
 
-    /// Does as [`LogServer::start`] at an address.
+    /// Starts an empty log like [`LogServer::start`], but at this address.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Returns an error if the server can't listen at the address.
     pub fn start_at(address: &str, append_ms: u64) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(LogState::default()));
         let is_down = Arc::new(AtomicBool::new(false));
@@ -132,15 +136,15 @@
             serve_log(request, &served, append_ms);
         };
         Ok(Self {
-            running: serve(address, THREADS * 4, Arc::new(handler))?,
+            handle: serve(address, THREADS * 4, Arc::new(handler))?,
             state,
             is_down,
         })
     }
 
-    /// Gives its URL.
+    /// Returns the URL of the server.
     pub fn url(&self) -> String {
-        format!("http://{}", self.running.address)
+        format!("http://{}", self.handle.address)
     }
 }
 
@@ -148,7 +152,7 @@
     let url = request.url().to_owned();
     let stream = url.split('/').nth(3).unwrap_or_default().to_owned();
     if request.method() == &tiny_http::Method::Post {
-        let body = body_of(&mut request);
+        let body = read_body(&mut request);
         let Ok(payload) = STANDARD.decode(body) else {
             refuse(request, 400);
             return;
@@ -177,11 +181,11 @@
     answer_json(request, &reply);
 }
 
-/// The list of hosts over HTTP.
+/// The platform's list of hosts over HTTP.
 #[derive(Debug)]
 pub struct HostListServer {
-    running: Running,
-    /// The list.
+    handle: ServerHandle,
+    /// The hosts that are listed.
     pub hosts: Arc<Mutex<Vec<Listed>>>,
 }
 
@@ -190,16 +194,16 @@
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// Returns an error if no socket can be opened.
     pub fn start() -> std::io::Result<Self> {
-        Self::start_at(ANY)
+        Self::start_at(ANY_PORT)
     }
 
-    /// Does as [`HostListServer::start`] at an address.
+    /// Starts with an empty list like [`HostListServer::start`], but at this address.
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Returns an error if the server can't listen at the address.
     pub fn start_at(address: &str) -> std::io::Result<Self> {
         let hosts = Arc::new(Mutex::new(Vec::new()));
         let served = hosts.clone();
@@ -208,96 +212,98 @@
             answer_json(request, &HostReply { hosts });
         };
         Ok(Self {
-            running: serve(address, THREADS, Arc::new(handler))?,
+            handle: serve(address, THREADS, Arc::new(handler))?,
             hosts,
         })
     }
 
-    /// Gives its URL.
+    /// Returns the URL of the server.
     pub fn url(&self) -> String {
-        format!("http://{}", self.running.address)
+        format!("http://{}", self.handle.address)
     }
 }
 
 /// A worker over HTTP.
 #[derive(Debug)]
 pub struct WorkerServer {
-    running: Running,
-    /// Its state.
+    handle: ServerHandle,
+    /// State of the stand-in.
     pub state: Arc<Mutex<WorkerState>>,
     is_dead: Arc<AtomicBool>,
-    began: Instant,
+    clock_start: Instant,
 }
 
 impl WorkerServer {
-    /// Starts a worker; its clock counts from `began`.
+    /// Starts a worker whose clock counts from `clock_start`.
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
-    pub fn start(state: WorkerState, began: Instant) -> std::io::Result<Self> {
+    /// Returns an error if no socket can be opened.
+    pub fn start(state: WorkerState, clock_start: Instant) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(state));
         let is_dead = Arc::new(AtomicBool::new(false));
         let (served, dead) = (state.clone(), is_dead.clone());
         let handler = move |mut request: Request| {
-            let body = body_of(&mut request);
+            let body = read_body(&mut request);
             let call: Option<WorkerRequest> = serde_json::from_slice(&body).ok();
             let Some(call) = call.filter(|_| !dead.load(Ordering::Relaxed)) else {
                 refuse(request, 503);
                 return;
             };
-            let now_ms = began.elapsed().as_millis() as u64;
-            let reply = lock(&served).call(now_ms, &call);
+            let now_ms = clock_start.elapsed().as_millis() as u64;
+            let reply = lock(&served).handle_call(now_ms, &call);
             match reply {
                 Some(reply) => {
                     answer_json(request, &reply);
-                    lock(&served).note_heard();
+                    lock(&served).record_reported_exits();
                 }
                 None => refuse(request, 409),
             }
         };
         Ok(Self {
-            running: serve(ANY, 2, Arc::new(handler))?,
+            handle: serve(ANY_PORT, 2, Arc::new(handler))?,
             state,
             is_dead,
-            began,
+            clock_start,
         })
     }
 
-    /// Gives its address.
+    /// Returns the address of the server.
     pub fn address(&self) -> String {
-        self.running.address.to_string()
+        self.handle.address.to_string()
     }
 
-    /// Ends the host: its tasks stop and it answers nothing more.
-    pub fn die(&self) {
+    /// Crashes the worker for good: its tasks end, and all further calls are refused with status
+    /// 503.
+    pub fn crash(&self) {
         self.is_dead.store(true, Ordering::Relaxed);
-        let now_ms = self.began.elapsed().as_millis() as u64;
-        lock(&self.state).die(now_ms);
+        let now_ms = self.clock_start.elapsed().as_millis() as u64;
+        lock(&self.state).crash(now_ms);
     }
 }
 
 /// An instance of a service over HTTP.
 #[derive(Debug)]
 pub struct UpstreamServer {
-    running: Running,
-    /// Its state.
+    handle: ServerHandle,
+    /// State of the stand-in.
     pub state: Arc<Mutex<UpstreamState>>,
 }
 
 impl UpstreamServer {
-    /// Starts an instance that works `work_ms` on each request.
+    /// Starts an instance that takes `work_ms` for each request. The times of its runs count from
+    /// `clock_start`.
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
-    pub fn start(work_ms: u64, began: Instant) -> std::io::Result<Self> {
+    /// Returns an error if no socket can be opened.
+    pub fn start(work_ms: u64, clock_start: Instant) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(UpstreamState::default()));
         let served = state.clone();
         let handler = move |mut request: Request| {
-            let body = body_of(&mut request);
+            let body = read_body(&mut request);
             let identity = String::from_utf8_lossy(&body).into_owned();
-            let now_ms = || began.elapsed().as_millis() as u64;
+            let now_ms = || clock_start.elapsed().as_millis() as u64;
             let run = lock(&served).begin(&identity, now_ms(), now_ms() + work_ms);
             thread::sleep(Duration::from_millis(work_ms));
             lock(&served).end(run, now_ms());
@@ -308,14 +314,14 @@
             let _ = request.respond(response);
         };
         Ok(Self {
-            // More threads than slots, so that more work than was granted shows.
-            running: serve(ANY, THREADS * 3, Arc::new(handler))?,
+            // More threads than slots, so that requests beyond the granted slots are detected.
+            handle: serve(ANY_PORT, THREADS * 3, Arc::new(handler))?,
             state,
         })
     }
 
-    /// Gives its address.
+    /// Returns the address of the server.
     pub fn address(&self) -> String {
-        self.running.address.to_string()
+        self.handle.address.to_string()
     }
 }
