--- a/crates/bench/src/edges.rs
+++ b/crates/bench/src/edges.rs
@@ -180,7 +180,7 @@
         checkpoint: 0,
     };
     let (home, cell, is_urgent) = (Cell::Keys(5), Cell::Workers(u64::MAX), false);
-    let report = |end| Message::Report {
+    let report = |end| Message::TaskUpdate {
         home,
         cell,
         attempt: attempt.clone(),
@@ -209,7 +209,7 @@
         },
         report(None),
         report(Some(TaskEnd::Finished)),
-        Message::ReportNoted { cell, attempt },
+        Message::TaskUpdateRecorded { cell, attempt },
     ];
     let from = Member {
         seat: Seat(1),
--- a/crates/bench/src/rig.rs
+++ b/crates/bench/src/rig.rs
@@ -5,18 +5,18 @@
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Answer;
-use goldcrestway_core::AttemptEnd;
+use goldcrestway_core::AttemptOutcome;
 use goldcrestway_core::Batch;
 use goldcrestway_core::ConfigChange;
 use goldcrestway_core::Event;
 use goldcrestway_core::Limits;
 use goldcrestway_core::Member;
 use goldcrestway_core::Node;
-use goldcrestway_core::Part;
 use goldcrestway_core::PlatformHost;
 use goldcrestway_core::Request;
 use goldcrestway_core::Seat;
 use goldcrestway_core::Stream;
+use goldcrestway_core::StreamPage;
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::compare;
 use goldcrestway_wire::Envelope;
@@ -210,11 +210,11 @@
             } => {
                 let work_us = (self.work)(request, &address, self.now_us);
                 let latency_ms = work_us / 1_000;
-                let end = AttemptEnd::Whole {
+                let outcome = AttemptOutcome::Complete {
                     status: 200,
                     latency_ms,
                 };
-                let event = Event::AttemptEnded { request, end };
+                let event = Event::AttemptEnded { request, outcome };
                 self.put(self.now_us + 2 * HOP_US + work_us, Due::Give(node, event));
             }
             Action::Answer { request, answer } => {
@@ -229,7 +229,7 @@
         let start = (from as usize).min(records.len());
         let bytes: u64 = records[start..].iter().map(|(_, _, bytes)| bytes).sum();
         let batches = records[start..].iter();
-        let part = Part {
+        let page = StreamPage {
             oldest: 0,
             next: records.len() as u64,
             is_end: true,
@@ -239,10 +239,10 @@
         };
         self.counts.reads += 1;
         self.counts.read_bytes += bytes;
-        let part = Some(part);
+        let page = Some(page);
         self.put(
             self.now_us + HOP_US,
-            Due::Give(node, Event::Read { stream, part }),
+            Due::Give(node, Event::Read { stream, page }),
         );
     }
 
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -117,7 +117,7 @@
 }
 
 /// Collects times and refusals.
-struct Tally {
+struct FailureCounts {
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
     answered: u64,
@@ -130,7 +130,7 @@
     Histogram::new_with_bounds(1, 100_000_000, 3).unwrap_or_else(|_| unreachable!("valid bounds"))
 }
 
-impl Tally {
+impl FailureCounts {
     /// Starts for a sequence whose last arrival is at `span_us`.
     fn new(span_us: u64) -> Self {
         Self {
@@ -204,7 +204,7 @@
         rig.ask(arrival.entry, FIRST + index as u64, "s0", PATIENCE_MS);
     }
     rig.run(PATIENCE_MS * 2_000);
-    let mut tally = Tally::new(span_of(list));
+    let mut tally = FailureCounts::new(span_of(list));
     for (index, arrival) in list.iter().enumerate() {
         match rig.answers.get(&(FIRST + index as u64)) {
             Some((at_us, Answer::Whole)) => {
@@ -226,7 +226,7 @@
 
 /// One queue that sees every instance exactly and at once: the bound.
 fn omniscient(setting: Setting, list: &[Arrival]) -> Outcome {
-    let mut tally = Tally::new(span_of(list));
+    let mut tally = FailureCounts::new(span_of(list));
     let mut busy: BTreeMap<(u64, usize), usize> = BTreeMap::new();
     let mut free: Vec<usize> = vec![SLOTS; INSTANCES];
     let mut waiting: VecDeque<Arrival> = VecDeque::new();
@@ -315,7 +315,7 @@
         free_us: vec![[0; SLOTS]; INSTANCES],
         random: Pcg32::seed_from_u64(99),
     };
-    let mut tally = Tally::new(span_of(list));
+    let mut tally = FailureCounts::new(span_of(list));
     for arrival in list {
         let (instance, cost_us) = choose(&mut queues, arrival.at_us);
         let reached_us = arrival.at_us + cost_us + HOP_US;
@@ -337,7 +337,7 @@
 /// Each entry host has one slot of every instance for itself.
 fn static_split(setting: Setting, list: &[Arrival]) -> Outcome {
     let mut free_us = vec![[0_u64; INSTANCES]; ENTRIES];
-    let mut tally = Tally::new(span_of(list));
+    let mut tally = FailureCounts::new(span_of(list));
     for arrival in list {
         let slots = &mut free_us[arrival.entry];
         let instance = (0..INSTANCES)
--- a/crates/bench/src/sharing.rs
+++ b/crates/bench/src/sharing.rs
@@ -6,20 +6,20 @@
 //! use the same cell and leave the guard out, or keep batch off hosts of services.
 
 use goldcrestway_core::AttemptId;
-use goldcrestway_core::ListedHost;
-use goldcrestway_core::ListedState;
-use goldcrestway_core::ListedTask;
-use goldcrestway_core::Listing;
-use goldcrestway_core::Manner;
-use goldcrestway_core::Pace;
+use goldcrestway_core::HostEntry;
+use goldcrestway_core::INTERFERENCE_SETTINGS;
+use goldcrestway_core::InterferenceSettings;
+use goldcrestway_core::ReportedState;
 use goldcrestway_core::Reservation;
-use goldcrestway_core::TEMPER;
+use goldcrestway_core::StartOptions;
 use goldcrestway_core::TaskEnd;
 use goldcrestway_core::TaskOrder;
-use goldcrestway_core::Temper;
+use goldcrestway_core::TaskReport;
 use goldcrestway_core::Term;
 use goldcrestway_core::WorkerCall;
 use goldcrestway_core::WorkerCell;
+use goldcrestway_core::WorkerReport;
+use goldcrestway_core::WorkerTiming;
 use goldcrestway_inventory::Resources;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -124,7 +124,7 @@
     order: TaskOrder,
     kind: usize,
     left_core_s: f64,
-    state: ListedState,
+    state: ReportedState,
 }
 
 /// One fake host.
@@ -154,7 +154,7 @@
     }
 }
 
-fn listed_host(index: usize, policy: Policy) -> ListedHost {
+fn listed_host(index: usize, policy: Policy) -> HostEntry {
     let has_service = index < WITH_SERVICE;
     let service = Resources {
         millicores: 8_000,
@@ -167,7 +167,7 @@
         accelerators: 0,
     };
     let keeps_off = policy == Policy::NoSharing && has_service;
-    ListedHost {
+    HostEntry {
         name: format!("w{index}").into(),
         address: format!("{index}").into(),
         total,
@@ -184,7 +184,7 @@
 /// Runs one policy in the hidden world of `seed`.
 pub fn run(policy: Policy, seed: u64) -> Outcome {
     let mut hidden = Hidden::draw(seed);
-    let pace = Pace {
+    let pace = WorkerTiming {
         lease_ms: 10_000,
         poll_ms: 1_000,
         reserve_ms: 3_000,
@@ -192,15 +192,15 @@
     };
     let mut cell = WorkerCell::new(Term(1), pace);
     if policy == Policy::EvictAtOnce {
-        cell.set_temper(Temper {
+        cell.set_interference_settings(InterferenceSettings {
             least_share: 1.0,
             patience: 1,
             learns: false,
-            ..TEMPER
+            ..INTERFERENCE_SETTINGS
         });
     }
     for index in 0..HOSTS {
-        cell.list(0, listed_host(index, policy));
+        cell.update_host(0, listed_host(index, policy));
     }
     let mut hosts = vec![
         FakeHost {
@@ -223,10 +223,10 @@
         start_backlog(&mut cell, &mut backlog, now_ms);
         for (key, address, call) in cell.tick(now_ms) {
             let index: usize = address.parse().unwrap_or(0);
-            let listing = take_call(&mut hosts[index], index, &call, policy, kinds.random());
-            cell.listed(now_ms, key, call.token, &listing, |_| false);
+            let report = take_call(&mut hosts[index], index, &call, policy, kinds.random());
+            cell.handle_report(now_ms, key, call.token, &report, |_| false);
         }
-        for report in cell.take_reports(now_ms, 1_000) {
+        for report in cell.drain_updates(now_ms, 1_000) {
             if let Some(TaskEnd::Evicted { checkpoint }) = report.end {
                 evictions += 1;
                 let kind = kind_of(&report.attempt.id, &hosts);
@@ -261,7 +261,7 @@
 }
 
 fn start_backlog(cell: &mut WorkerCell, backlog: &mut VecDeque<TaskOrder>, now_ms: u64) {
-    let manner = Manner {
+    let manner = StartOptions {
         is_urgent: false,
         is_repeat: false,
     };
@@ -290,12 +290,12 @@
     call: &WorkerCall,
     policy: Policy,
     draw: u32,
-) -> Listing {
+) -> WorkerReport {
     let named = |attempts: &[AttemptId], task: &Running| attempts.contains(&task.order.attempt);
     host.tasks.retain(|task| !named(&call.forget, task));
     for task in &mut host.tasks {
-        if task.state == ListedState::Running && named(&call.stop, task) {
-            task.state = ListedState::Stopped {
+        if task.state == ReportedState::Running && named(&call.stop, task) {
+            task.state = ReportedState::Stopped {
                 checkpoint: (task.left_core_s * 1_000.0) as u64,
             };
         }
@@ -317,7 +317,7 @@
             order: order.clone(),
             kind,
             left_core_s,
-            state: ListedState::Running,
+            state: ReportedState::Running,
         });
     }
     host.share = f64::from(call.batch_permille) / 1_000.0;
@@ -327,12 +327,12 @@
         false => 0,
     };
     let is_seen = index < WITH_SERVICE && matches!(policy, Policy::Guard | Policy::EvictAtOnce);
-    Listing {
+    WorkerReport {
         number: host.listings,
         tasks: host
             .tasks
             .iter()
-            .map(|task| ListedTask {
+            .map(|task| TaskReport {
                 order: task.order.clone(),
                 state: task.state,
             })
@@ -346,7 +346,7 @@
     for task in host
         .tasks
         .iter()
-        .filter(|task| task.state == ListedState::Running)
+        .filter(|task| task.state == ReportedState::Running)
     {
         cores[task.kind] += f64::from(CORES_PER_TASK) * host.share;
     }
@@ -357,14 +357,14 @@
 fn work(host: &mut FakeHost) -> f64 {
     let mut done = 0.0;
     for task in &mut host.tasks {
-        if task.state != ListedState::Running {
+        if task.state != ReportedState::Running {
             continue;
         }
         let step = (f64::from(CORES_PER_TASK) * host.share).min(task.left_core_s);
         task.left_core_s -= step;
         done += step;
         if task.left_core_s <= 0.0 {
-            task.state = ListedState::Finished;
+            task.state = ReportedState::Finished;
         }
     }
     done
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -5,32 +5,32 @@
 use crate::fleet::HOSTS_PER_RACK;
 use crate::rig::Rig;
 use crate::series::Series;
-use goldcrestway_core::Ask;
 use goldcrestway_core::AttemptId;
 use goldcrestway_core::Bounds;
 use goldcrestway_core::Cell;
-use goldcrestway_core::Ended;
+use goldcrestway_core::GrantOutcome;
+use goldcrestway_core::HostEntry;
 use goldcrestway_core::IdentityTable;
 use goldcrestway_core::JobSpec;
 use goldcrestway_core::JobState;
 use goldcrestway_core::JobTable;
 use goldcrestway_core::Limits;
-use goldcrestway_core::ListedHost;
-use goldcrestway_core::ListedState;
-use goldcrestway_core::ListedTask;
-use goldcrestway_core::Listing;
 use goldcrestway_core::Member;
 use goldcrestway_core::Outcome;
-use goldcrestway_core::Pace;
-use goldcrestway_core::Released;
+use goldcrestway_core::ReportedState;
 use goldcrestway_core::Reservation;
 use goldcrestway_core::Seat;
+use goldcrestway_core::SlotRelease;
+use goldcrestway_core::SlotRequest;
 use goldcrestway_core::Submission;
 use goldcrestway_core::TaskOrder;
+use goldcrestway_core::TaskReport;
 use goldcrestway_core::Term;
 use goldcrestway_core::UpstreamCell;
 use goldcrestway_core::Verdict;
 use goldcrestway_core::WorkerCell;
+use goldcrestway_core::WorkerReport;
+use goldcrestway_core::WorkerTiming;
 use goldcrestway_inventory::Resources;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -182,7 +182,7 @@
     }
 }
 
-const PACE: Pace = Pace {
+const PACE: WorkerTiming = WorkerTiming {
     lease_ms: 10_000,
     poll_ms: 1_000,
     reserve_ms: 3_000,
@@ -198,9 +198,9 @@
     for _ in 0..racks {
         let mut cell = WorkerCell::new(Term(1), PACE);
         for host in 0..HOSTS_PER_RACK {
-            cell.list(
+            cell.update_host(
                 0,
-                ListedHost {
+                HostEntry {
                     name: format!("w{host}").into(),
                     address: format!("{host}").into(),
                     total: Resources {
@@ -218,17 +218,17 @@
             let mut listed = Vec::new();
             for _ in 0..per_host {
                 number += 1;
-                listed.push(ListedTask {
+                listed.push(TaskReport {
                     order: order(number, 1),
-                    state: ListedState::Running,
+                    state: ReportedState::Running,
                 });
             }
-            let listing = Listing {
+            let report = WorkerReport {
                 number: 1,
                 tasks: listed.into(),
                 service_slowdown_permille: 1_050,
             };
-            cell.listed(0, key, call.token, &listing, |_| false);
+            cell.handle_report(0, key, call.token, &report, |_| false);
         }
         cells.push(cell);
     }
@@ -291,16 +291,16 @@
             for (key, address, call) in cell.tick(now_ms) {
                 let host: usize = address.parse().unwrap_or(0);
                 let first = host * per_host;
-                let tasks = (first + 1..=first + per_host).map(|number| ListedTask {
+                let tasks = (first + 1..=first + per_host).map(|number| TaskReport {
                     order: order(number, 1),
-                    state: ListedState::Running,
+                    state: ReportedState::Running,
                 });
-                let listing = Listing {
+                let report = WorkerReport {
                     number: now_ms,
                     tasks: tasks.collect(),
                     service_slowdown_permille: 1_050,
                 };
-                cell.listed(now_ms, key, call.token, &listing, |_| false);
+                cell.handle_report(now_ms, key, call.token, &report, |_| false);
             }
         });
         listing_us
@@ -329,23 +329,23 @@
         for team in 0..teams {
             for number in 0..20 {
                 if let Submission::New(key) = table.submit(0, &spec(team, number)) {
-                    table.queue(0, key, false, false);
+                    table.enqueue(0, key, false, false);
                 }
             }
         }
         let us = time_us(9, 1_000, |number| {
             let job = spec(number % teams, 1_000 + number);
             if let Submission::New(key) = table.submit(1, &job) {
-                table.queue(1, key, false, false);
+                table.enqueue(1, key, false, false);
             }
-            if let Some(key) = table.next(1, &inventory) {
+            if let Some(key) = table.next_job(1, &inventory) {
                 table.begin_attempt(key);
                 let cell = Cell::Workers(1);
                 table.set_state(key, JobState::Starting { cell, asked_ms: 1 });
                 table.set_state(key, JobState::Running { cell });
                 table.end(1, key, goldcrestway_core::JobEnd::Finished);
             }
-            table.forget(2, 0);
+            table.forget_ended(2, 0);
             black_box(table.overdue(1, 1_000));
         });
         took.points.push((teams as f64, us));
@@ -355,7 +355,7 @@
         let mut table = JobTable::default();
         for number in 0..jobs {
             if let Submission::New(key) = table.submit(0, &spec(number % 490, number)) {
-                table.queue(0, key, false, false);
+                table.enqueue(0, key, false, false);
             }
         }
         bytes
@@ -372,20 +372,20 @@
         seat: Seat(1),
         incarnation: 1,
     };
-    let ask = Ask {
-        asker: me,
+    let ask = SlotRequest {
+        requester: me,
         request: number,
         asked_ms: 1,
         begin_by_ms: 1_000,
     };
-    if let Some(Verdict::Granted { grant, .. }) = cell.ask(1, ask) {
+    if let Some(Verdict::Granted { grant, .. }) = cell.request_slot(1, ask) {
         cell.release(
             1,
-            Released {
+            SlotRelease {
                 grant,
-                asker: me,
+                requester: me,
                 request: number,
-                ended: Ended::Answered { latency_ms: 10 },
+                ended: GrantOutcome::Answered { latency_ms: 10 },
                 next: None,
             },
         );
@@ -401,7 +401,7 @@
     };
     let mut cell = UpstreamCell::new(bounds, 0);
     for instance in 0..instances {
-        cell.list(&format!("u{instance}"), "10.0.0.1:8000", 8, false);
+        cell.update_instance(&format!("u{instance}"), "10.0.0.1:8000", 8, false);
     }
     cell
 }
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -38,8 +38,8 @@
             Record::Release {
                 member,
                 cells,
-                heir,
-            } => self.release(offset, *member, cells, *heir),
+                successor,
+            } => self.release(offset, *member, cells, *successor),
             _ => Vec::new(),
         }
     }
@@ -61,7 +61,7 @@
     }
 
     /// Gives the highest incarnation at a seat that was deposed; 0 if none was.
-    pub fn deposed_at(&self, seat: Seat) -> u64 {
+    pub fn deposed_incarnation(&self, seat: Seat) -> u64 {
         self.deposed.get(&seat).copied().unwrap_or(0)
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Gives the whole table as a record that stands for all before `as_of`.
-    pub fn carry(&self, as_of: u64) -> Record {
+    pub fn snapshot(&self, as_of: u64) -> Record {
         let mut deposed: Vec<Member> = Vec::new();
         for (seat, incarnation) in &self.deposed {
             deposed.push(Member {
@@ -80,7 +80,7 @@
             });
         }
         deposed.sort_unstable();
-        Record::ClaimsCarried {
+        Record::ClaimsSnapshot {
             as_of,
             owners: self
                 .owners()
@@ -133,7 +133,7 @@
         offset: u64,
         member: Member,
         cells: &[Cell],
-        heir: Option<Member>,
+        successor: Option<Member>,
     ) -> Vec<Cell> {
         let mut changed = Vec::new();
         for cell in cells {
@@ -141,9 +141,15 @@
                 continue;
             }
             self.free(*cell);
-            if let Some(heir) = heir.filter(|heir| !self.is_deposed(*heir)) {
+            if let Some(successor) = successor.filter(|successor| !self.is_deposed(*successor)) {
                 let term = Term(offset + 1);
-                self.owners.insert(*cell, Owner { member: heir, term });
+                self.owners.insert(
+                    *cell,
+                    Owner {
+                        member: successor,
+                        term,
+                    },
+                );
             }
             changed.push(*cell);
         }
@@ -151,7 +157,7 @@
     }
 
     /// Replaces the table by one that was carried forward.
-    pub fn replace(&mut self, owners: &[(Cell, Member, Term)], deposed: &[Member]) {
+    pub fn restore(&mut self, owners: &[(Cell, Member, Term)], deposed: &[Member]) {
         self.owners.clear();
         for (cell, member, term) in owners {
             let owner = Owner {
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -18,7 +18,7 @@
 
 plain! {
     /// What became of a published change.
-    pub enum Fate {
+    pub enum PublishOutcome {
         /// It is the configuration with this version.
         Accepted {
             /// The version.
@@ -49,7 +49,7 @@
     author: Box<str>,
     sections: Sections,
     inventory: Inventory,
-    fates: HashMap<Box<str>, Fate>,
+    fates: HashMap<Box<str>, PublishOutcome>,
     order: VecDeque<Box<str>>,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Tells what became of the change with this identity, if it was seen.
-    pub fn fate(&self, id: &str) -> Option<&Fate> {
+    pub fn publish_outcome(&self, id: &str) -> Option<&PublishOutcome> {
         self.fates.get(id)
     }
 
@@ -92,14 +92,14 @@
             return false;
         }
         let fate = self.judge(offset, change);
-        let is_accepted = matches!(fate, Fate::Accepted { .. });
+        let is_accepted = matches!(fate, PublishOutcome::Accepted { .. });
         self.remember(change.id.clone(), fate);
         is_accepted
     }
 
-    fn judge(&mut self, offset: u64, change: &ConfigChange) -> Fate {
+    fn judge(&mut self, offset: u64, change: &ConfigChange) -> PublishOutcome {
         if change.base != self.version {
-            return Fate::Overtaken {
+            return PublishOutcome::Overtaken {
                 version: self.version,
                 author: self.author.clone(),
             };
@@ -109,18 +109,18 @@
                 self.inventory = inventory;
                 self.version = offset + 1;
                 self.author = change.author.clone();
-                Fate::Accepted {
+                PublishOutcome::Accepted {
                     version: self.version,
                 }
             }
-            Err(faults) => Fate::Faulty {
+            Err(faults) => PublishOutcome::Faulty {
                 faults: faults.to_string().into(),
             },
         }
     }
 
     /// Takes over a configuration that was carried forward.
-    pub fn replace(&mut self, version: u64, changes: &[Change]) -> bool {
+    pub fn restore(&mut self, version: u64, changes: &[Change]) -> bool {
         if version <= self.version {
             return false;
         }
@@ -134,7 +134,7 @@
         true
     }
 
-    fn remember(&mut self, id: Box<str>, fate: Fate) {
+    fn remember(&mut self, id: Box<str>, fate: PublishOutcome) {
         self.fates.insert(id.clone(), fate);
         self.order.push_back(id);
         if self.order.len() > REMEMBERED
@@ -146,8 +146,8 @@
 
     /// Gives the whole configuration as a record that stands for all before
     /// `as_of`.
-    pub fn carry(&self, as_of: u64) -> Record {
-        Record::ConfigCarried {
+    pub fn snapshot(&self, as_of: u64) -> Record {
+        Record::ConfigSnapshot {
             as_of,
             version: self.version,
             changes: compare(&Sections::new(), &self.sections).into(),
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,6 +1,6 @@
 //! What goes into the decisions and what comes out.
 
-use crate::config::Fate;
+use crate::config::PublishOutcome;
 use crate::ids::Member;
 use crate::ids::Seat;
 use crate::ids::Stream;
@@ -9,8 +9,8 @@
 use crate::message::Message;
 use crate::notes::Note;
 use crate::placement::HostKey;
-use crate::placement::Listing;
 use crate::placement::WorkerCall;
+use crate::placement::WorkerReport;
 use crate::record::Batch;
 use crate::record::ConfigChange;
 use crate::record::JobSpec;
@@ -35,9 +35,9 @@
 
     /// How an attempt at an instance ended.
     #[derive(Copy)]
-    pub enum AttemptEnd {
+    pub enum AttemptOutcome {
         /// A whole answer arrived and is held at the edge.
-        Whole {
+        Complete {
             /// Its HTTP status.
             status: u16,
             /// Time from sending to the whole answer.
@@ -46,13 +46,13 @@
         /// Nothing reached the instance, though it was tried.
         NotStarted,
         /// It was too late to try.
-        Late,
+        Expired,
         /// No whole answer came; the instance may still be working.
-        Cut,
+        Interrupted,
     }
 
     /// A part of a stream.
-    pub struct Part {
+    pub struct StreamPage {
         /// Offset of the oldest record still kept.
         pub oldest: u64,
         /// Where reading goes on.
@@ -85,7 +85,7 @@
         /// A caller has gone and awaits no answer.
         CallerGone { request: u64 },
         /// An attempt has ended.
-        AttemptEnded { request: u64, end: AttemptEnd },
+        AttemptEnded { request: u64, outcome: AttemptOutcome },
         /// A job is submitted.
         Submit { request: u64, spec: JobSpec },
         /// A change of configuration is published.
@@ -93,9 +93,9 @@
         /// An append was acknowledged, or its answer was lost.
         Appended { stream: Stream, sequence: u64, offset: Option<u64> },
         /// A part of a stream was read, or reading failed.
-        Read { stream: Stream, part: Option<Part> },
+        Read { stream: Stream, page: Option<StreamPage> },
         /// A worker answered, or did not.
-        Worker { cell: u64, host: HostKey, token: u64, listing: Option<Listing> },
+        WorkerAnswered { cell: u64, host: HostKey, token: u64, report: Option<WorkerReport> },
         /// The platform's list of hosts.
         Hosts(Box<[PlatformHost]>),
         /// A planned stop begins.
@@ -123,7 +123,7 @@
         /// The job could never run.
         NeverRuns { reason: Box<str> },
         /// What became of the published change.
-        Published(Fate),
+        Published(PublishOutcome),
     }
 
     /// Something to do.
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -23,7 +23,7 @@
 
 /// Settings of a guard; the benchmarks compare others.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Temper {
+pub struct InterferenceSettings {
     /// Slowdown that batch work may add, as a share of the usual latency.
     pub allowed: f64,
     /// Least share of their processors that batch tasks keep.
@@ -35,7 +35,7 @@
 }
 
 /// The guard's settings in the product.
-pub const TEMPER: Temper = Temper {
+pub const INTERFERENCE_SETTINGS: InterferenceSettings = InterferenceSettings {
     allowed: 0.2,
     least_share: 0.25,
     patience: 10,
@@ -74,8 +74,8 @@
 
 /// The guard of one host.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Guard {
-    temper: Temper,
+pub struct InterferenceControl {
+    temper: InterferenceSettings,
     share: f64,
     /// Slowdown of the service by itself.
     own: f64,
@@ -87,15 +87,15 @@
     strained: u32,
 }
 
-impl Default for Guard {
+impl Default for InterferenceControl {
     fn default() -> Self {
-        Self::new(TEMPER)
+        Self::new(INTERFERENCE_SETTINGS)
     }
 }
 
-impl Guard {
+impl InterferenceControl {
     /// Makes a guard that knows nothing yet.
-    pub fn new(temper: Temper) -> Self {
+    pub fn new(temper: InterferenceSettings) -> Self {
         Self {
             temper,
             share: 1.0,
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -94,14 +94,14 @@
 }
 
 /// Hashes a request's identity, wide enough that two never meet.
-pub fn wide_hash(bytes: &[u8]) -> u128 {
+pub fn identity_hash(bytes: &[u8]) -> u128 {
     xxh3_128(bytes)
 }
 
 /// Ranks `seat` for `cell`: the live seat with the highest weight should own it.
 ///
 /// Rendezvous hashing moves only the cells of a seat that comes or goes.
-pub fn weight(cell: Cell, seat: Seat) -> u64 {
+pub fn rendezvous_weight(cell: Cell, seat: Seat) -> u64 {
     let (kind, number) = match cell {
         Cell::Keys(number) => (1_u8, u64::from(number)),
         Cell::Workers(number) => (2, number),
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -12,9 +12,9 @@
 
 use crate::ids::Cell;
 use crate::macros::plain;
+use crate::record::FailureCounts;
 use crate::record::JobEnd;
 use crate::record::JobSpec;
-use crate::record::Tally;
 use goldcrestway_inventory::Resources;
 use slotmap::SlotMap;
 use std::collections::HashMap;
@@ -85,7 +85,7 @@
         /// Where it resumes; 0 for the beginning.
         pub checkpoint: u64,
         /// What speaks against it so far.
-        pub tally: Tally,
+        pub failure_counts: FailureCounts,
         /// Where it stands.
         pub state: JobState,
         /// When it was queued last.
@@ -93,7 +93,7 @@
         /// Asked for room in vain that often since it was queued.
         pub refusals: u32,
         /// Is not tried again before this time.
-        pub rests_until_ms: u64,
+        pub retry_at_ms: u64,
         /// What its team is charged while it holds room.
         pub charged: Resources,
     }
@@ -156,11 +156,11 @@
             team,
             attempt: 0,
             checkpoint: 0,
-            tally: Tally::default(),
+            failure_counts: FailureCounts::default(),
             state,
             queued_ms: now_ms,
             refusals: 0,
-            rests_until_ms: 0,
+            retry_at_ms: 0,
             charged: Resources::default(),
         });
         self.by_id.insert(spec.id.clone(), key);
@@ -241,7 +241,7 @@
     }
 
     /// Forgets jobs that ended longer than `window_ms` ago.
-    pub fn forget(&mut self, now_ms: u64, window_ms: u64) {
+    pub fn forget_ended(&mut self, now_ms: u64, window_ms: u64) {
         while let Some((since_ms, key)) = self.ended.front().copied() {
             if now_ms < since_ms + window_ms {
                 break;
--- a/crates/core/src/jobs/queues.rs
+++ b/crates/core/src/jobs/queues.rs
@@ -4,13 +4,13 @@
 use super::JobState;
 use super::JobTable;
 use super::TeamKey;
-use crate::record::Tally;
+use crate::record::FailureCounts;
 use goldcrestway_inventory::Inventory;
 use goldcrestway_inventory::Resources;
 
 impl JobTable {
     /// Puts a job at the end of its team's queue, or at its head if it had waited.
-    pub fn queue(&mut self, now_ms: u64, key: JobKey, is_urgent: bool, at_head: bool) {
+    pub fn enqueue(&mut self, now_ms: u64, key: JobKey, is_urgent: bool, at_head: bool) {
         self.discharge(key);
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -41,7 +41,7 @@
     /// Teams take turns, so none starves behind a large one; within a team the
     /// oldest goes first, and a job that must rest after a refusal keeps its place
     /// without holding up teams behind it.
-    pub fn next(&mut self, now_ms: u64, inventory: &Inventory) -> Option<JobKey> {
+    pub fn next_job(&mut self, now_ms: u64, inventory: &Inventory) -> Option<JobKey> {
         for wants_urgent in [true, false] {
             for _ in 0..self.ring.len() {
                 let team = self.ring.pop_front()?;
@@ -74,7 +74,7 @@
         };
         let key = *queue.front()?;
         let job = &self.jobs[key];
-        if now_ms < job.rests_until_ms {
+        if now_ms < job.retry_at_ms {
             return None;
         }
         let need = inventory.jobs.get(&job.spec.job)?.need;
@@ -96,7 +96,7 @@
     /// Takes the waiting jobs out of the queues whose kind is no longer listed.
     ///
     /// Left there, the first of them would hold up its team for ever.
-    pub fn take_unlisted(&mut self, inventory: &Inventory) -> Vec<JobKey> {
+    pub fn remove_unlisted(&mut self, inventory: &Inventory) -> Vec<JobKey> {
         let jobs = &self.jobs;
         let is_listed = |key: &JobKey| {
             jobs.get(*key)
@@ -133,7 +133,7 @@
     }
 
     /// Notes a refusal; the job rests, longer with each one up to a second.
-    pub fn refused(&mut self, now_ms: u64, key: JobKey, is_urgent: bool) {
+    pub fn requeue_refused(&mut self, now_ms: u64, key: JobKey, is_urgent: bool) {
         const REST_MS: u64 = 20;
         const LONGEST_MS: u64 = 1_000;
         const LONGEST_URGENT_MS: u64 = 100;
@@ -145,26 +145,26 @@
         if let Some(job) = self.jobs.get_mut(key) {
             job.refusals += 1;
             let rest_ms = (REST_MS << job.refusals.min(10)).min(longest);
-            job.rests_until_ms = now_ms + rest_ms;
+            job.retry_at_ms = now_ms + rest_ms;
         }
-        self.queue(now_ms, key, is_urgent, true);
+        self.enqueue(now_ms, key, is_urgent, true);
     }
 
     /// Notes that an attempt stopped; the job will resume at `checkpoint`.
-    pub fn evicted(
+    pub fn requeue_evicted(
         &mut self,
         now_ms: u64,
         key: JobKey,
         checkpoint: u64,
-        tally: Tally,
+        failure_counts: FailureCounts,
         is_urgent: bool,
     ) {
         let job = &mut self.jobs[key];
-        job.tally = tally;
+        job.failure_counts = failure_counts;
         job.checkpoint = job.checkpoint.max(checkpoint);
         job.refusals = 0;
-        job.rests_until_ms = 0;
-        self.queue(now_ms, key, is_urgent, true);
+        job.retry_at_ms = 0;
+        self.enqueue(now_ms, key, is_urgent, true);
     }
 
     /// Counts what the team holds and how many of its jobs wait.
--- a/crates/core/src/jobs/recovery.rs
+++ b/crates/core/src/jobs/recovery.rs
@@ -27,7 +27,7 @@
                 id,
                 attempt,
                 checkpoint,
-                tally,
+                failure_counts,
             } => {
                 let Some(key) = self.by_id.get(id).copied() else {
                     return;
@@ -37,7 +37,7 @@
                     return;
                 }
                 job.attempt = *attempt;
-                job.tally = *tally;
+                job.failure_counts = *failure_counts;
                 job.checkpoint = job.checkpoint.max(*checkpoint);
                 job.state = JobState::Queued;
             }
@@ -58,7 +58,7 @@
             let kind = inventory.jobs.get(&job.spec.job);
             let is_urgent = kind.is_some_and(|kind| kind.urgent);
             match job.state {
-                JobState::Queued => self.queue(now_ms, key, is_urgent, false),
+                JobState::Queued => self.enqueue(now_ms, key, is_urgent, false),
                 JobState::Starting { cell, .. } => {
                     self.charge(key, kind.map(|kind| kind.need).unwrap_or_default());
                     self.set_state(key, JobState::Starting { cell, asked_ms: 0 });
@@ -69,7 +69,7 @@
     }
 
     /// Lists what the log must keep of the jobs, for carrying it forward.
-    pub fn carry(&self) -> Vec<Record> {
+    pub fn snapshot(&self) -> Vec<Record> {
         let mut records = Vec::new();
         for job in self.jobs.values() {
             if job.state == JobState::Accepting {
@@ -84,7 +84,7 @@
                     id: id.clone(),
                     attempt,
                     checkpoint,
-                    tally: job.tally,
+                    failure_counts: job.failure_counts,
                 });
             }
             match job.state {
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -19,7 +19,7 @@
 
 /// Where a member's own lease stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// No majority has promised yet.
     Joining,
     /// The member may act until the given time.
@@ -28,7 +28,7 @@
         until_ms: u64,
     },
     /// The lease was in force and has lapsed; this life is over.
-    Over,
+    Expired,
 }
 
 /// A member's view of its own lease.
@@ -52,7 +52,7 @@
     }
 
     /// Notes a promise to a heartbeat that was sent at `sent_ms`.
-    pub fn promised(&mut self, voter: Seat, sent_ms: u64, lease_ms: u64) {
+    pub fn record_vote(&mut self, voter: Seat, sent_ms: u64, lease_ms: u64) {
         let until = self.until_ms.entry(voter).or_default();
         *until = (*until).max(sent_ms + lease_ms);
         let mut ends: Vec<u64> = self.until_ms.values().copied().collect();
@@ -64,17 +64,17 @@
     }
 
     /// Tells where the lease stands at `now_ms`.
-    pub fn standing(&mut self, now_ms: u64) -> Standing {
+    pub fn state(&mut self, now_ms: u64) -> LeaseState {
         if now_ms < self.end_ms {
             self.was_in_force = true;
-            return Standing::InForce {
+            return LeaseState::InForce {
                 until_ms: self.end_ms,
             };
         }
         if self.was_in_force {
-            Standing::Over
+            LeaseState::Expired
         } else {
-            Standing::Joining
+            LeaseState::Joining
         }
     }
 }
@@ -96,7 +96,7 @@
     /// Starts a voter at `now_ms`.
     pub fn new(now_ms: u64, limits: &Limits) -> Self {
         Self {
-            abstains_until_ms: now_ms + limits.promise_ms(),
+            abstains_until_ms: now_ms + limits.vote_ms(),
             promised_until_ms: HashMap::new(),
             consented: HashSet::new(),
             newest: HashMap::new(),
@@ -109,14 +109,14 @@
     }
 
     /// Promises `member` not to consent to deposing it for a while, if it may.
-    pub fn promise(&mut self, now_ms: u64, member: Member, limits: &Limits) -> bool {
+    pub fn grant_vote(&mut self, now_ms: u64, member: Member, limits: &Limits) -> bool {
         if self.abstains(now_ms) || self.consented.contains(&member) {
             return false;
         }
         // An earlier life at the seat may be carried on by another process.
         let newest = self.newest.entry(member.seat).or_insert(member.incarnation);
         *newest = (*newest).max(member.incarnation);
-        let until_ms = now_ms + limits.promise_ms();
+        let until_ms = now_ms + limits.vote_ms();
         self.promised_until_ms.insert(member, until_ms);
         self.forget_ended(now_ms);
         true
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -88,7 +88,7 @@
     /// A member counts its lease from before it asked; the voter counts from when
     /// it heard. The difference in clock rates and an act that was checked just
     /// before the lease ended are added, so that the member has stopped first.
-    pub fn promise_ms(&self) -> u64 {
+    pub fn vote_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms * self.skew_permille / 1_000 + self.act_ms
     }
 }
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -12,16 +12,16 @@
 use crate::record::JobSpec;
 use crate::record::Outcome;
 use crate::record::Record;
-use crate::slots::Ended;
+use crate::slots::GrantOutcome;
 
 plain! {
     /// What the owner of an identity tells the entry host that asked.
     #[derive(Copy)]
     pub enum IntentVerdict {
         /// The intent stands in the log: run it, once.
-        Go,
+        Proceed,
         /// A request with this identity is under way or its fate is not known.
-        Begun,
+        Pending,
         /// A request with this identity has ended.
         Ended {
             /// How.
@@ -75,51 +75,51 @@
     pub enum Message {
         /// A member lives and asks a voter for a promise to a life, its own or one
         /// that it carries.
-        Heartbeat { life: Member, sent_ms: u64, config_version: u64, is_leaving: bool },
+        Heartbeat { member: Member, sent_ms: u64, config_version: u64, is_leaving: bool },
         /// A voter's answer: whether it promises, and a digest of who lives.
-        Promise { life: Member, sent_ms: u64, is_granted: bool, config_version: u64, alive: u64 },
+        LeaseVote { member: Member, sent_ms: u64, is_granted: bool, config_version: u64, alive: u64 },
         /// Asks a voter who lives, since the digest is not known.
-        AliveAsk,
+        AliveRequest,
         /// Who lives, and at which seats lives are carried on, with the digest.
-        Alive { digest: u64, members: Box<[Member]>, carried: Box<[(Member, Seat)]> },
+        Alive { digest: u64, members: Box<[Member]>, inherited: Box<[(Member, Seat)]> },
         /// Asks where claims and configuration stand.
-        StateAsk,
+        StateRequest,
         /// Tells, as records that carry state forward.
         State { claims: Record, config: Record },
         /// The sender has stopped acting; the receiver is to carry its life on.
         Handover(Handover),
         /// Asks a voter to consent to deposing a member.
-        ConsentAsk { target: Member, asked_ms: u64 },
+        ConsentRequest { target: Member, asked_ms: u64 },
         /// A voter consents.
         Consent { target: Member, asked_ms: u64 },
         /// The sender does not own the cell, or may not act for it now.
         NotOwner { cell: Cell, request: u64 },
         /// Asks for a slot; an attempt must begin within the given time.
-        GrantAsk { cell: Cell, request: u64, begin_in_ms: u64 },
+        GrantRequest { cell: Cell, request: u64, begin_in_ms: u64 },
         /// Answers; `free` is a hint for the next request.
-        GrantAnswer { cell: Cell, request: u64, verdict: GrantVerdict, free: u32 },
+        GrantResponse { cell: Cell, request: u64, verdict: GrantVerdict, free: u32 },
         /// The request no longer wants a slot.
         GrantCancel { cell: Cell, request: u64 },
         /// An attempt under a grant has ended; the slot goes on to `next` if given.
-        Release { cell: Cell, grant: u64, request: u64, ended: Ended, next: Option<u64> },
+        Release { cell: Cell, grant: u64, request: u64, ended: GrantOutcome, next: Option<u64> },
         /// Asks to record the intent of a non-idempotent request.
-        IntentAsk { cell: Cell, request: u64, identity: u128, fingerprint: u64 },
+        IntentRequest { cell: Cell, request: u64, identity: u128, fingerprint: u64 },
         /// Answers.
-        IntentAnswer { request: u64, verdict: IntentVerdict },
+        IntentResponse { request: u64, verdict: IntentVerdict },
         /// Such a request has ended. Whoever was not told to go speaks only for its
         /// own request.
-        IntentEnd {
+        IntentOutcome {
             cell: Cell,
             request: u64,
             identity: u128,
-            was_let_go: bool,
+            was_admitted: bool,
             outcome: Outcome,
             status: u16,
         },
         /// Submits a job.
-        JobAsk { cell: Cell, request: u64, spec: JobSpec },
+        JobRequest { cell: Cell, request: u64, spec: JobSpec },
         /// Answers.
-        JobAnswer { request: u64, verdict: JobVerdict },
+        JobResponse { request: u64, verdict: JobVerdict },
         /// Asks for room for an attempt of a job.
         Reserve { home: Cell, cell: Cell, order: TaskOrder, is_urgent: bool },
         /// Answers; `free_millicores` is a hint.
@@ -130,8 +130,8 @@
         /// before, by an owner of the cell whom the present one knows nothing of.
         Start { home: Cell, cell: Cell, order: TaskOrder, is_urgent: bool, is_repeat: bool },
         /// An attempt runs (`end` is `None`) or has ended.
-        Report { home: Cell, cell: Cell, attempt: AttemptId, end: Option<TaskEnd> },
+        TaskUpdate { home: Cell, cell: Cell, attempt: AttemptId, end: Option<TaskEnd> },
         /// The end of an attempt stands in the log.
-        ReportNoted { cell: Cell, attempt: AttemptId },
+        TaskUpdateRecorded { cell: Cell, attempt: AttemptId },
     }
 }
--- a/crates/core/src/node/claiming.rs
+++ b/crates/core/src/node/claiming.rs
@@ -4,7 +4,7 @@
 use crate::event::Action;
 use crate::ids::Cell;
 use crate::ids::Member;
-use crate::ids::weight;
+use crate::ids::rendezvous_weight;
 use crate::notes::Code;
 use crate::record::Record;
 
@@ -23,7 +23,7 @@
     /// Gives the member that should own `cell`.
     fn best_owner(&self, cell: Cell) -> Option<Member> {
         let members = self.alive().iter().copied();
-        members.max_by_key(|member| weight(cell, member.seat))
+        members.max_by_key(|member| rendezvous_weight(cell, member.seat))
     }
 
     /// Claims free cells of which this member is the best owner, and passes on
@@ -61,11 +61,11 @@
             };
             let since_ms = self.alive_since_ms(best);
             let is_settled = since_ms.is_some_and(|since| self.now_ms >= since + SETTLED_MS);
-            let is_carried = self.life_of(cell) != self.me;
-            if !is_settled || is_carried || !self.may_let_go(cell) {
+            let is_inherited = self.acting_member(cell) != self.me;
+            if !is_settled || is_inherited || !self.may_release(cell) {
                 continue;
             }
-            self.let_go(self.me, &[cell], Some(best));
+            self.release_cells(self.me, &[cell], Some(best));
             moved += 1;
             if moved == MOVES {
                 return;
@@ -82,23 +82,31 @@
     }
 
     /// Tells whether nothing of `cell` is half written.
-    pub(super) fn may_let_go(&self, cell: Cell) -> bool {
+    pub(super) fn may_release(&self, cell: Cell) -> bool {
         match cell {
-            Cell::Keys(number) => self.keys.get(&number).is_some_and(|cell| cell.may_let_go()),
+            Cell::Keys(number) => self
+                .keys
+                .get(&number)
+                .is_some_and(|cell| cell.may_release()),
             _ => true,
         }
     }
 
     /// Stops acting for `cells` and then says so in the log. The order matters:
     /// the heir may act as soon as the record stands.
-    pub(super) fn let_go(&mut self, member: Member, cells: &[Cell], heir: Option<Member>) {
+    pub(super) fn release_cells(
+        &mut self,
+        member: Member,
+        cells: &[Cell],
+        successor: Option<Member>,
+    ) {
         for cell in cells {
             self.drop_cell(*cell);
         }
         let release = Record::Release {
             member,
             cells: cells.into(),
-            heir,
+            successor,
         };
         self.claims_writer.push(self.now_ms, release);
     }
@@ -166,9 +174,9 @@
         let owned = self.owned_cells();
         if may_write {
             for cell in &owned {
-                if self.may_let_go(*cell) {
-                    let heir = self.best_owner(*cell).filter(|best| *best != self.me);
-                    self.let_go(self.life_of(*cell), &[*cell], heir);
+                if self.may_release(*cell) {
+                    let successor = self.best_owner(*cell).filter(|best| *best != self.me);
+                    self.release_cells(self.acting_member(*cell), &[*cell], successor);
                 }
             }
             if !owned.is_empty() || self.claims_writer.waiting() > 0 {
--- a/crates/core/src/node/keys/intents.rs
+++ b/crates/core/src/node/keys/intents.rs
@@ -22,8 +22,8 @@
             return;
         };
         cell.identities.begin(now_ms, identity, fingerprint);
-        let verdict = IntentVerdict::Go;
-        self.send(asker.seat, Message::IntentAnswer { request, verdict });
+        let verdict = IntentVerdict::Proceed;
+        self.send(asker.seat, Message::IntentResponse { request, verdict });
     }
 
     pub(super) fn ask_intent(
@@ -42,8 +42,8 @@
             Admission::Conflict => Some(IntentVerdict::Conflict),
             // The asker did not hear the first answer.
             Admission::Known(State::Recording) if is_same => None,
-            Admission::Known(State::Begun) if is_same => Some(IntentVerdict::Go),
-            Admission::Known(State::Recording | State::Begun) => Some(IntentVerdict::Begun),
+            Admission::Known(State::Begun) if is_same => Some(IntentVerdict::Proceed),
+            Admission::Known(State::Recording | State::Begun) => Some(IntentVerdict::Pending),
             Admission::Known(State::Ended { outcome, status }) => {
                 Some(IntentVerdict::Ended { outcome, status })
             }
@@ -82,7 +82,7 @@
         };
         let is_let_go = match cell.intent_askers.get(&identity) {
             Some((asker, request)) => (asker.seat, *request) == (from.seat, ended.request),
-            None => ended.was_let_go && cell.identities.state(identity) == Some(State::Begun),
+            None => ended.was_admitted && cell.identities.state(identity) == Some(State::Begun),
         };
         if !is_let_go {
             return;
@@ -104,7 +104,7 @@
     pub(super) cell: Cell,
     pub(super) request: u64,
     pub(super) identity: u128,
-    pub(super) was_let_go: bool,
+    pub(super) was_admitted: bool,
     pub(super) outcome: Outcome,
     pub(super) status: u16,
 }
--- a/crates/core/src/node/keys/jobs.rs
+++ b/crates/core/src/node/keys/jobs.rs
@@ -17,10 +17,10 @@
 use crate::placement::AttemptId;
 use crate::placement::TaskEnd;
 use crate::placement::TaskOrder;
+use crate::record::FailureCounts;
 use crate::record::JobEnd;
 use crate::record::JobSpec;
 use crate::record::Record;
-use crate::record::Tally;
 
 impl Node {
     /// Cancels waiting jobs whose kind an operator has taken out of the inventory.
@@ -29,7 +29,7 @@
         let Some(cell) = self.keys.get_mut(&number).filter(|cell| cell.is_open) else {
             return;
         };
-        for key in cell.jobs.take_unlisted(self.config.inventory()) {
+        for key in cell.jobs.remove_unlisted(self.config.inventory()) {
             let Some(job) = cell.jobs.get(key) else {
                 continue;
             };
@@ -55,11 +55,11 @@
             return;
         };
         if let Some((key, _)) = cell.jobs.find(&spec.id) {
-            cell.jobs.queue(now_ms, key, is_urgent, false);
+            cell.jobs.enqueue(now_ms, key, is_urgent, false);
         }
         if let Some((asker, request)) = cell.job_askers.remove(&spec.id) {
             let verdict = JobVerdict::Accepted(JobState::Queued);
-            self.send(asker.seat, Message::JobAnswer { request, verdict });
+            self.send(asker.seat, Message::JobResponse { request, verdict });
         }
         self.note(Code::JobAccepted, &*spec.id, &*spec.job);
     }
@@ -131,7 +131,7 @@
         id: &str,
         attempt: u32,
         checkpoint: u64,
-        tally: Tally,
+        failure_counts: FailureCounts,
     ) {
         let now_ms = self.now_ms;
         let Some(key) = self.job_key(number, id) else {
@@ -139,14 +139,15 @@
         };
         let is_urgent = self.is_urgent_job(number, key);
         if let Some(cell) = self.keys.get_mut(&number) {
-            cell.jobs.evicted(now_ms, key, checkpoint, tally, is_urgent);
+            cell.jobs
+                .requeue_evicted(now_ms, key, checkpoint, failure_counts, is_urgent);
         }
         self.note(
             Code::JobEvicted,
             id,
             format!("attempt {attempt}, checkpoint {checkpoint}"),
         );
-        self.note_report(number, key, id, attempt);
+        self.acknowledge_recorded_update(number, key, id, attempt);
     }
 
     pub(super) fn end_stands(&mut self, number: u16, id: &str, attempt: u32, end: JobEnd) {
@@ -158,14 +159,20 @@
             cell.jobs.end(now_ms, key, end);
         }
         self.note(Code::JobEnded, id, format!("{end:?}"));
-        self.note_report(number, key, id, attempt);
+        self.acknowledge_recorded_update(number, key, id, attempt);
         if let Some(cell) = self.keys.get_mut(&number) {
             cell.last_cell.remove(&key);
         }
     }
 
     /// Tells the cell of workers that an attempt's end stands in the log.
-    pub(super) fn note_report(&mut self, number: u16, key: JobKey, id: &str, attempt: u32) {
+    pub(super) fn acknowledge_recorded_update(
+        &mut self,
+        number: u16,
+        key: JobKey,
+        id: &str,
+        attempt: u32,
+    ) {
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
@@ -176,11 +183,11 @@
             id: id.into(),
             attempt,
         };
-        let noted = Message::ReportNoted {
+        let acknowledge_update = Message::TaskUpdateRecorded {
             cell: workers,
             attempt,
         };
-        self.send_to_owner(workers, noted);
+        self.send_to_owner(workers, acknowledge_update);
     }
 
     pub(super) fn ask_job(
@@ -228,14 +235,14 @@
             return;
         };
         let Some((key, job)) = cell.jobs.find(&attempt.id) else {
-            self.noted(workers, attempt, end.is_some());
+            self.acknowledge_update(workers, attempt, end.is_some());
             return;
         };
         let (state, latest, name) = (job.state, job.attempt, job.spec.job.clone());
         let is_open = matches!(state, JobState::Starting { .. } | JobState::Running { .. });
         if attempt.attempt < latest || (!is_open && !matches!(state, JobState::Recording { .. })) {
             // Its end stands in the log already: a late or repeated report.
-            self.noted(workers, attempt, end.is_some());
+            self.acknowledge_update(workers, attempt, end.is_some());
             return;
         }
         if !is_open {
@@ -265,10 +272,10 @@
         cell.writer.push(now_ms, record);
     }
 
-    pub(super) fn noted(&mut self, cell: Cell, attempt: &AttemptId, is_end: bool) {
+    pub(super) fn acknowledge_update(&mut self, cell: Cell, attempt: &AttemptId, is_end: bool) {
         if is_end {
             let attempt = attempt.clone();
-            self.send_to_owner(cell, Message::ReportNoted { cell, attempt });
+            self.send_to_owner(cell, Message::TaskUpdateRecorded { cell, attempt });
         }
     }
 
@@ -281,7 +288,7 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        if cell.writer.is_carrying() {
+        if cell.writer.has_pending_snapshot() {
             return;
         }
         let overdue = cell.jobs.overdue(now_ms, ANSWER_MS);
@@ -320,32 +327,37 @@
         attempt: number,
         end,
     };
-    let tally = cell.jobs.get(key).map_or(Tally::default(), |job| job.tally);
-    let evicted = |checkpoint: u64, tally: Tally| Record::Evicted {
+    let failure_counts = cell
+        .jobs
+        .get(key)
+        .map_or(FailureCounts::default(), |job| job.failure_counts);
+    let evicted = |checkpoint: u64, failure_counts: FailureCounts| Record::Evicted {
         id: id.clone(),
         attempt: number,
         checkpoint,
-        tally,
+        failure_counts,
     };
-    let again = |tally: Tally| match tally.failures >= FAILURES || tally.crashes >= CRASHES {
+    let again = |failure_counts: FailureCounts| match failure_counts.failures >= FAILURES
+        || failure_counts.crashes >= CRASHES
+    {
         true => ended(JobEnd::Failed),
-        false => evicted(0, tally),
+        false => evicted(0, failure_counts),
     };
     match end {
         TaskEnd::Finished => ended(JobEnd::Finished),
-        TaskEnd::Evicted { checkpoint } => evicted(checkpoint, tally),
-        TaskEnd::NotStarted => evicted(0, tally),
+        TaskEnd::Evicted { checkpoint } => evicted(checkpoint, failure_counts),
+        TaskEnd::NotStarted => evicted(0, failure_counts),
         TaskEnd::Lost | TaskEnd::Forgotten if is_never_twice => ended(JobEnd::Unknown),
         // A worker that can't be heard says nothing against the job.
-        TaskEnd::Lost => evicted(0, tally),
-        TaskEnd::Forgotten => again(Tally {
-            crashes: tally.crashes + 1,
-            ..tally
+        TaskEnd::Lost => evicted(0, failure_counts),
+        TaskEnd::Forgotten => again(FailureCounts {
+            crashes: failure_counts.crashes + 1,
+            ..failure_counts
         }),
         TaskEnd::Failed if is_never_twice => ended(JobEnd::Failed),
-        TaskEnd::Failed => again(Tally {
-            failures: tally.failures + 1,
-            ..tally
+        TaskEnd::Failed => again(FailureCounts {
+            failures: failure_counts.failures + 1,
+            ..failure_counts
         }),
     }
 }
--- a/crates/core/src/node/keys/mod.rs
+++ b/crates/core/src/node/keys/mod.rs
@@ -6,7 +6,7 @@
 mod stream;
 mod submissions;
 
-use super::HandedKeys;
+use super::KeyHandover;
 use super::Node;
 use crate::identity::IdentityTable;
 use crate::identity::State;
@@ -50,8 +50,8 @@
     intent_askers: HashMap<u128, (Member, u64)>,
     job_askers: HashMap<Box<str>, (Member, u64)>,
     reserving: usize,
-    since_carried: u64,
-    carried_ms: u64,
+    records_since_snapshot: u64,
+    last_snapshot_ms: u64,
     last_cell: HashMap<JobKey, Cell>,
 }
 
@@ -71,14 +71,14 @@
             intent_askers: HashMap::new(),
             job_askers: HashMap::new(),
             reserving: 0,
-            since_carried: 0,
-            carried_ms: now_ms,
+            records_since_snapshot: 0,
+            last_snapshot_ms: now_ms,
             last_cell: HashMap::new(),
         }
     }
 
     /// Tells whether nothing is half written.
-    pub(super) fn may_let_go(&self) -> bool {
+    pub(super) fn may_release(&self) -> bool {
         self.writer.waiting() == 0
     }
 
@@ -88,18 +88,18 @@
     }
 
     /// Gives the cell as it is handed over.
-    pub(super) fn handed(&self, number: u16) -> HandedKeys {
-        HandedKeys {
+    pub(super) fn handed(&self, number: u16) -> KeyHandover {
+        KeyHandover {
             number,
             term: self.term,
             sequence: self.writer.sequence(),
-            records: self.carried_records().into(),
+            records: self.snapshot_records().into(),
         }
     }
 
     /// Gives the cell's state as records that stand for all before.
-    fn carried_records(&self) -> Vec<Record> {
-        let mut records = vec![Record::Carried];
+    fn snapshot_records(&self) -> Vec<Record> {
+        let mut records = vec![Record::Snapshot];
         for (identity, fingerprint, state) in self.identities.list() {
             records.push(Record::Intent {
                 identity,
@@ -113,7 +113,7 @@
                 });
             }
         }
-        records.extend(self.jobs.carry());
+        records.extend(self.jobs.snapshot());
         records
     }
 
@@ -160,7 +160,7 @@
     /// never stands there. The carrier has the job started, the next owner reads
     /// the log without the assignment, and starts it again. So what was handed over
     /// goes into the log before anything is ordered on the strength of it.
-    pub(super) fn open_handed_keys(&mut self, handed: &HandedKeys) {
+    pub(super) fn open_handed_keys(&mut self, handed: &KeyHandover) {
         let now_ms = self.now_ms;
         let mut cell = KeyCell::new(now_ms, Writer::new(handed.term, handed.sequence));
         cell.is_open = true;
@@ -168,7 +168,7 @@
         cell.filter.sequence = handed.sequence;
         apply_batch(now_ms, &mut cell, &handed.records);
         cell.jobs.resume(now_ms, self.config.inventory());
-        let records = cell.carried_records();
+        let records = cell.snapshot_records();
         cell.writer.push_alone(records);
         self.keys.insert(handed.number, cell);
     }
@@ -179,7 +179,7 @@
             return;
         }
         if let Some(cell) = self.keys.get_mut(&number) {
-            cell.since_carried += records.len() as u64;
+            cell.records_since_snapshot += records.len() as u64;
         }
         for record in records {
             match record {
@@ -197,9 +197,9 @@
                     id,
                     attempt,
                     checkpoint,
-                    tally,
+                    failure_counts,
                 } => {
-                    self.eviction_stands(number, &id, attempt, checkpoint, tally);
+                    self.eviction_stands(number, &id, attempt, checkpoint, failure_counts);
                 }
                 Record::Ended { id, attempt, end } => self.end_stands(number, &id, attempt, end),
                 _ => {}
@@ -222,7 +222,7 @@
 
     pub(super) fn receive_as_key_owner(&mut self, from: Member, message: Message) {
         match message {
-            Message::IntentAsk {
+            Message::IntentRequest {
                 cell,
                 request,
                 identity,
@@ -234,15 +234,15 @@
                 };
                 if let Some(verdict) = self.ask_intent(number, from, request, identity, fingerprint)
                 {
-                    self.send(from.seat, Message::IntentAnswer { request, verdict });
+                    self.send(from.seat, Message::IntentResponse { request, verdict });
                 }
                 self.step_writer(Stream::Keys(number));
             }
-            Message::IntentEnd {
+            Message::IntentOutcome {
                 cell,
                 request,
                 identity,
-                was_let_go,
+                was_admitted,
                 outcome,
                 status,
             } => {
@@ -250,13 +250,13 @@
                     cell,
                     request,
                     identity,
-                    was_let_go,
+                    was_admitted,
                     outcome,
                     status,
                 };
                 self.end_intent(from, ended);
             }
-            Message::JobAsk {
+            Message::JobRequest {
                 cell,
                 request,
                 spec,
@@ -266,7 +266,7 @@
                     return;
                 };
                 if let Some(verdict) = self.ask_job(number, from, request, &spec) {
-                    self.send(from.seat, Message::JobAnswer { request, verdict });
+                    self.send(from.seat, Message::JobResponse { request, verdict });
                 }
                 self.step_writer(Stream::Keys(number));
             }
@@ -277,7 +277,7 @@
                 is_held,
                 free_millicores,
             } => self.reserved(home, cell, &attempt, is_held, free_millicores),
-            Message::Report {
+            Message::TaskUpdate {
                 home,
                 cell,
                 attempt,
@@ -313,7 +313,7 @@
     pub(super) fn tick_keys_slow(&mut self) {
         let now_ms = self.now_ms;
         self.ask_again_for_jobs();
-        self.carry_shared();
+        self.snapshot_shared_streams();
         let window_ms = self.limits.identity_window_ms;
         for number in self.keys.keys().copied().collect::<Vec<u16>>() {
             if self.claims_log.is_away() {
@@ -324,15 +324,15 @@
                 continue;
             };
             cell.identities.forget(now_ms, window_ms);
-            cell.jobs.forget(now_ms, window_ms);
-            self.carry_keys(number);
+            cell.jobs.forget_ended(now_ms, window_ms);
+            self.snapshot_keys(number);
         }
     }
 }
 
 /// Applies a batch of an earlier owner.
 fn apply_batch(now_ms: u64, cell: &mut KeyCell, records: &[Record]) {
-    if records.first() == Some(&Record::Carried) {
+    if records.first() == Some(&Record::Snapshot) {
         cell.identities = IdentityTable::default();
         cell.jobs = JobTable::default();
     }
--- a/crates/core/src/node/keys/room.rs
+++ b/crates/core/src/node/keys/room.rs
@@ -68,7 +68,7 @@
         let is_urgent = self.is_urgent_job(number, key);
         if let Some(cell) = self.keys.get_mut(&number) {
             cell.reserving = cell.reserving.saturating_sub(1);
-            cell.jobs.refused(now_ms, key, is_urgent);
+            cell.jobs.requeue_refused(now_ms, key, is_urgent);
         }
     }
 
@@ -90,7 +90,7 @@
             if !cell.is_open || is_away || cell.reserving >= RESERVING {
                 return;
             }
-            let Some(key) = cell.jobs.next(now_ms, self.config.inventory()) else {
+            let Some(key) = cell.jobs.next_job(now_ms, self.config.inventory()) else {
                 return;
             };
             let Some((order, is_urgent)) = self.order_of(number, key, 1) else {
@@ -101,7 +101,7 @@
                 return;
             };
             let Some(workers) = workers else {
-                cell.jobs.refused(now_ms, key, is_urgent);
+                cell.jobs.requeue_refused(now_ms, key, is_urgent);
                 continue;
             };
             cell.reserving += 1;
--- a/crates/core/src/node/keys/stream.rs
+++ b/crates/core/src/node/keys/stream.rs
@@ -4,7 +4,7 @@
 use super::LOG_AWAY_RETRY_MS;
 use super::apply_batch;
 use crate::event::Action;
-use crate::event::Part;
+use crate::event::StreamPage;
 use crate::ids::Stream;
 use crate::message::IntentVerdict;
 use crate::message::JobVerdict;
@@ -56,23 +56,23 @@
         self.take_effect(number, records);
     }
 
-    pub(in crate::node) fn keys_read(&mut self, number: u16, part: Option<Part>) {
+    pub(in crate::node) fn keys_read(&mut self, number: u16, page: Option<StreamPage>) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
         cell.read_asked_ms = None;
-        let Some(part) = part else {
+        let Some(page) = page else {
             return;
         };
-        if part.next < cell.position {
+        if page.next < cell.position {
             return;
         }
         let was_open = cell.is_open;
-        let is_gap = part.oldest > cell.position && cell.position > 0;
+        let is_gap = page.oldest > cell.position && cell.position > 0;
         let mut committed = Vec::new();
         let mut is_found = false;
-        for (offset, batch) in &part.batches {
+        for (offset, batch) in &page.batches {
             let Some(batch) = batch.as_ref().filter(|_| *offset >= cell.position) else {
                 continue;
             };
@@ -84,7 +84,7 @@
                 apply_batch(now_ms, cell, &batch.records);
             }
         }
-        cell.position = cell.position.max(part.next);
+        cell.position = cell.position.max(page.next);
         if is_gap {
             self.note(
                 Code::StateMissing,
@@ -95,7 +95,7 @@
         if was_open && !committed.is_empty() {
             self.note(Code::BatchResolved, format!("keys-{number}"), "");
         }
-        self.go_on_after_read(number, committed, is_found, part.is_end);
+        self.go_on_after_read(number, committed, is_found, page.is_end);
     }
 
     pub(super) fn go_on_after_read(
@@ -152,7 +152,7 @@
                     if let Some((asker, request)) = cell.intent_askers.remove(&identity) {
                         let retry_after_ms = LOG_AWAY_RETRY_MS;
                         let verdict = IntentVerdict::Refused { retry_after_ms };
-                        replies.push((asker, Message::IntentAnswer { request, verdict }));
+                        replies.push((asker, Message::IntentResponse { request, verdict }));
                     }
                 }
                 Record::Accepted(spec) => {
@@ -160,7 +160,7 @@
                     if let Some((asker, request)) = cell.job_askers.remove(&spec.id) {
                         let retry_after_ms = LOG_AWAY_RETRY_MS;
                         let verdict = JobVerdict::Refused { retry_after_ms };
-                        replies.push((asker, Message::JobAnswer { request, verdict }));
+                        replies.push((asker, Message::JobResponse { request, verdict }));
                     }
                 }
                 other => cell.writer.push(now_ms, other),
@@ -172,20 +172,20 @@
     }
 
     /// Carries a cell's state forward, when nothing is on its way.
-    pub(super) fn carry_keys(&mut self, number: u16) {
+    pub(super) fn snapshot_keys(&mut self, number: u16) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         let may_act = self.acts_until_ms().is_some();
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let is_due = cell.since_carried >= limits.carry_records
-            || now_ms >= cell.carried_ms + limits.carry_ms;
+        let is_due = cell.records_since_snapshot >= limits.carry_records
+            || now_ms >= cell.last_snapshot_ms + limits.carry_ms;
         if !may_act || !cell.is_open || !is_due || cell.writer.waiting() > 0 {
             return;
         }
-        cell.since_carried = 0;
-        cell.carried_ms = now_ms;
-        let records = cell.carried_records();
+        cell.records_since_snapshot = 0;
+        cell.last_snapshot_ms = now_ms;
+        let records = cell.snapshot_records();
         cell.writer.push_alone(records);
         self.note(Code::StateCarried, format!("keys-{number}"), "");
     }
--- a/crates/core/src/node/keys/submissions.rs
+++ b/crates/core/src/node/keys/submissions.rs
@@ -45,7 +45,7 @@
 
     pub(super) fn ask_for_job(&mut self, request: u64, spec: &JobSpec) {
         let cell = Cell::keys(team_of(&spec.id), self.limits.key_cells);
-        let ask = Message::JobAsk {
+        let ask = Message::JobRequest {
             cell,
             request,
             spec: spec.clone(),
--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::event::Action;
-use crate::event::Part;
+use crate::event::StreamPage;
 use crate::ids::Cell;
 use crate::ids::Stream;
 use crate::limits::Limits;
@@ -25,8 +25,8 @@
     /// log no longer holds the stream's beginning.
     behind: Option<Vec<(u64, Record)>>,
     /// Records since state was last carried forward.
-    since_carried: u64,
-    carried_ms: u64,
+    records_since_snapshot: u64,
+    last_snapshot_ms: u64,
 }
 
 impl Follower {
@@ -39,13 +39,13 @@
             at_end_ms: None,
             is_away: false,
             behind: None,
-            since_carried: 0,
-            carried_ms: 0,
+            records_since_snapshot: 0,
+            last_snapshot_ms: 0,
         }
     }
 
     /// Reads again at the next tick.
-    pub(super) fn hurry(&mut self) {
+    pub(super) fn read_soon(&mut self) {
         self.next_ms = 0;
     }
 
@@ -136,7 +136,7 @@
     fn read_on(&mut self, stream: Stream) {
         match stream {
             Stream::Keys(number) => self.read_keys(number),
-            _ => self.follower(stream).2.hurry(),
+            _ => self.follower(stream).2.read_soon(),
         }
     }
 
@@ -153,55 +153,55 @@
                     Some(_) => drop(writer.committed(sequence)),
                     None => writer.lost(now_ms, &limits),
                 }
-                self.follower(stream).2.hurry();
+                self.follower(stream).2.read_soon();
             }
         }
         self.step_writer(stream);
     }
 
-    pub(super) fn read(&mut self, stream: Stream, part: Option<Part>) {
+    pub(super) fn read(&mut self, stream: Stream, page: Option<StreamPage>) {
         if let Stream::Keys(number) = stream {
-            self.keys_read(number, part);
+            self.keys_read(number, page);
             return;
         }
         let (now_ms, limits, follower) = self.follower(stream);
         follower.is_reading = false;
-        let Some(part) = part else {
+        let Some(page) = page else {
             follower.next_ms = now_ms + limits.poll_ms;
             if !std::mem::replace(&mut follower.is_away, true) {
                 self.note(Code::LogAway, stream.to_string(), "reading failed");
             }
             return;
         };
-        if part.next < follower.position {
+        if page.next < follower.position {
             // An answer to an earlier read came late.
             return;
         }
-        if part.oldest > follower.position {
+        if page.oldest > follower.position {
             follower.behind = Some(Vec::new());
-            follower.position = part.oldest;
+            follower.position = page.oldest;
         }
-        if !part.is_end {
+        if !page.is_end {
             follower.next_ms = now_ms;
         }
         if std::mem::replace(&mut follower.is_away, false) {
             self.note(Code::LogBack, stream.to_string(), "");
         }
-        for (offset, batch) in &part.batches {
+        for (offset, batch) in &page.batches {
             self.read_batch(stream, *offset, batch.as_ref());
         }
-        self.finish_part(stream, &part);
+        self.finish_page(stream, &page);
     }
 
-    fn finish_part(&mut self, stream: Stream, part: &Part) {
+    fn finish_page(&mut self, stream: Stream, page: &StreamPage) {
         let (now_ms, _, follower) = self.follower(stream);
-        follower.position = follower.position.max(part.next);
-        if !part.is_end {
+        follower.position = follower.position.max(page.next);
+        if !page.is_end {
             return;
         }
         follower.at_end_ms = Some(now_ms);
         let is_behind = follower.behind.is_some();
-        let is_empty = part.oldest == part.next;
+        let is_empty = page.oldest == page.next;
         if is_behind && is_empty {
             // Everything has expired and nothing was carried forward.
             follower.behind = None;
@@ -252,18 +252,18 @@
     }
 
     fn read_record(&mut self, stream: Stream, offset: u64, record: &Record) {
-        let is_carried = matches!(
+        let is_snapshot = matches!(
             record,
-            Record::ClaimsCarried { .. } | Record::ConfigCarried { .. }
+            Record::ClaimsSnapshot { .. } | Record::ConfigSnapshot { .. }
         );
         let (now_ms, _, follower) = self.follower(stream);
-        if is_carried {
-            follower.since_carried = 0;
-            follower.carried_ms = now_ms;
-            self.take_carried(stream, record);
+        if is_snapshot {
+            follower.records_since_snapshot = 0;
+            follower.last_snapshot_ms = now_ms;
+            self.apply_snapshot(stream, record);
             return;
         }
-        follower.since_carried += 1;
+        follower.records_since_snapshot += 1;
         if let Some(behind) = &mut follower.behind {
             behind.push((offset, record.clone()));
             return;
@@ -273,26 +273,26 @@
 
     /// Takes over carried state if the stream's beginning was not read. Records
     /// that others wrote while it was on its way stand before it, and count.
-    fn take_carried(&mut self, stream: Stream, record: &Record) {
+    fn apply_snapshot(&mut self, stream: Stream, record: &Record) {
         let follower = self.follower(stream).2;
         let Some(behind) = follower.behind.take() else {
             return;
         };
         let as_of = match record {
-            Record::ClaimsCarried {
+            Record::ClaimsSnapshot {
                 as_of,
                 owners,
                 deposed,
             } => {
-                self.claims.replace(owners, deposed);
+                self.claims.restore(owners, deposed);
                 *as_of
             }
-            Record::ConfigCarried {
+            Record::ConfigSnapshot {
                 as_of,
                 version,
                 changes,
             } => {
-                if self.config.replace(*version, changes) {
+                if self.config.restore(*version, changes) {
                     self.config_changed();
                 }
                 *as_of
@@ -327,13 +327,13 @@
             return;
         }
         let id = change.id.to_string();
-        let detail = format!("{:?}", self.config.fate(&change.id));
+        let detail = format!("{:?}", self.config.publish_outcome(&change.id));
         self.note(Code::ConfigRefused, id, detail);
     }
 
     /// Carries state forward in the shared streams before retention passes it.
     /// The owner of the first cell of keys does it for all.
-    pub(super) fn carry_shared(&mut self) {
+    pub(super) fn snapshot_shared_streams(&mut self) {
         let owner = self.claims.owner(Cell::Keys(0)).map(|owner| owner.member);
         let is_mine = owner.is_some_and(|owner| self.is_mine(owner));
         if !is_mine || self.acts_until_ms().is_none() {
@@ -341,17 +341,17 @@
         }
         for stream in [Stream::Claims, Stream::Config] {
             let (now_ms, limits, follower) = self.follower(stream);
-            let is_due = follower.since_carried >= limits.carry_records
-                || now_ms >= follower.carried_ms + limits.carry_ms;
+            let is_due = follower.records_since_snapshot >= limits.carry_records
+                || now_ms >= follower.last_snapshot_ms + limits.carry_ms;
             if !is_due || !follower.is_current(now_ms, limits) {
                 continue;
             }
             let as_of = follower.position;
-            follower.since_carried = 0;
-            follower.carried_ms = now_ms;
+            follower.records_since_snapshot = 0;
+            follower.last_snapshot_ms = now_ms;
             let (record, writer) = match stream {
-                Stream::Config => (self.config.carry(as_of), &mut self.config_writer),
-                _ => (self.claims.carry(as_of), &mut self.claims_writer),
+                Stream::Config => (self.config.snapshot(as_of), &mut self.config_writer),
+                _ => (self.claims.snapshot(as_of), &mut self.claims_writer),
             };
             writer.push(now_ms, record);
             self.note(
--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -5,7 +5,7 @@
 use crate::ids::Member;
 use crate::ids::Seat;
 use crate::lease::Lease;
-use crate::lease::Standing;
+use crate::lease::LeaseState;
 use crate::message::Message;
 use crate::notes::Code;
 use crate::record::Record;
@@ -24,7 +24,7 @@
     heard: HashMap<Seat, Heard>,
     /// As a voter: which lives are carried on by another seat, and when that was
     /// heard last.
-    carried: BTreeMap<Member, (Seat, u64)>,
+    inherited: BTreeMap<Member, (Seat, u64)>,
     /// As a member: who lives, by each voter's account.
     accounts: HashMap<Seat, Account>,
     /// Union of the voters' accounts.
@@ -48,7 +48,7 @@
     at_ms: u64,
     digest: u64,
     members: Box<[Member]>,
-    carried: Box<[(Member, Seat)]>,
+    inherited: Box<[(Member, Seat)]>,
 }
 
 /// An attempt to depose a member.
@@ -61,16 +61,16 @@
 }
 
 /// Gives a digest of who lives and which lives are carried where.
-fn digest_of(members: &[Member], carried: &[(Member, Seat)]) -> u64 {
+fn digest_of(members: &[Member], inherited: &[(Member, Seat)]) -> u64 {
     let mut bytes = Vec::with_capacity(members.len() * 10);
     for member in members {
         bytes.extend(member.seat.0.to_le_bytes());
         bytes.extend(member.incarnation.to_le_bytes());
     }
-    for (life, seat) in carried {
+    for (original, seat) in inherited {
         bytes.extend(seat.0.to_le_bytes());
-        bytes.extend(life.seat.0.to_le_bytes());
-        bytes.extend(life.incarnation.to_le_bytes());
+        bytes.extend(original.seat.0.to_le_bytes());
+        bytes.extend(original.incarnation.to_le_bytes());
     }
     xxh3_64(&bytes)
 }
@@ -108,16 +108,16 @@
 
     /// Ends this life if its lease has lapsed, and notes when one is gained.
     pub(super) fn check_lease(&mut self) {
-        match self.lease.standing(self.now_ms) {
-            Standing::Joining => {}
-            Standing::InForce { .. } => {
+        match self.lease.state(self.now_ms) {
+            LeaseState::Joining => {}
+            LeaseState::InForce { .. } => {
                 if !self.was_in_force {
                     self.was_in_force = true;
                     self.note(Code::LeaseGained, self.me.to_string(), "");
                     self.out.push(Action::Ready(!self.is_stopping));
                 }
             }
-            Standing::Over => self.begin_new_life(),
+            LeaseState::Expired => self.begin_new_life(),
         }
     }
 
@@ -131,7 +131,7 @@
         if !self.claims.is_deposed(self.me) {
             return;
         }
-        self.me.incarnation = self.claims.deposed_at(self.me.seat);
+        self.me.incarnation = self.claims.deposed_incarnation(self.me.seat);
         self.begin_new_life();
     }
 
@@ -140,11 +140,11 @@
     fn begin_new_life(&mut self) {
         let former = self.me;
         self.me.incarnation += 1;
-        self.life_began_ms = self.now_ms;
+        self.incarnation_began_ms = self.now_ms;
         self.lease = Lease::new(self.voters().len());
         self.was_in_force = false;
         self.drop_all_cells();
-        self.drop_all_carried();
+        self.drop_all_inherited();
         self.deposing.clear();
         self.peers.next_heartbeat_ms = self.now_ms;
         self.note(
@@ -161,8 +161,8 @@
         }
         self.peers.next_heartbeat_ms = self.now_ms + self.limits.heartbeat_ms;
         self.outlive_deposed();
-        self.beat(self.me);
-        self.beat_for_carried();
+        self.send_heartbeat(self.me);
+        self.heartbeat_inherited();
         self.ask_for_state();
         self.join_accounts();
         if self.acts_until_ms().is_none() {
@@ -170,13 +170,13 @@
         }
         self.depose_dead();
         self.claim_free();
-        self.settle_carried();
+        self.claim_inherited_cells();
     }
 
     /// Asks all voters for promises to a life.
-    pub(super) fn beat(&mut self, life: Member) {
+    pub(super) fn send_heartbeat(&mut self, member: Member) {
         let heartbeat = Message::Heartbeat {
-            life,
+            member,
             sent_ms: self.now_ms,
             config_version: self.config.version(),
             is_leaving: self.is_stopping,
@@ -187,58 +187,60 @@
     }
 
     /// Sends the next heartbeats at once.
-    pub(super) fn hurry_heartbeat(&mut self) {
+    pub(super) fn send_heartbeat_soon(&mut self) {
         self.peers.next_heartbeat_ms = self.now_ms;
     }
 
     pub(super) fn receive_membership(&mut self, from: Member, message: Message) {
         match message {
             Message::Heartbeat {
-                life,
+                member,
                 sent_ms,
                 config_version,
                 is_leaving,
             } => {
-                self.heard(from, life, is_leaving);
-                self.heartbeat(from, life, sent_ms, config_version);
+                self.heard(from, member, is_leaving);
+                self.heartbeat(from, member, sent_ms, config_version);
             }
-            Message::Promise {
-                life,
+            Message::LeaseVote {
+                member,
                 sent_ms,
                 is_granted,
                 config_version,
                 alive,
             } => {
-                self.promised(from, life, sent_ms, is_granted);
+                self.record_vote(from, member, sent_ms, is_granted);
                 self.told_alive(from, config_version, alive);
             }
-            Message::AliveAsk => {
-                let (members, carried) = (self.heard_alive(), self.heard_carried());
+            Message::AliveRequest => {
+                let (members, inherited) = (self.heard_alive(), self.heard_inherited());
                 let alive = Message::Alive {
-                    digest: digest_of(&members, &carried),
+                    digest: digest_of(&members, &inherited),
                     members: members.into(),
-                    carried: carried.into(),
+                    inherited: inherited.into(),
                 };
                 self.send(from.seat, alive);
             }
-            Message::StateAsk => self.tell_state(from.seat),
-            Message::State { claims, config } => self.take_state(&claims, &config),
+            Message::StateRequest => self.send_state(from.seat),
+            Message::State { claims, config } => self.apply_state(&claims, &config),
             Message::Handover(handover) => self.take_over(handover),
             Message::Alive {
                 digest,
                 members,
-                carried,
+                inherited,
             } => {
                 let account = Account {
                     at_ms: self.now_ms,
                     digest,
                     members,
-                    carried,
+                    inherited,
                 };
                 self.peers.accounts.insert(from.seat, account);
                 self.join_accounts();
             }
-            Message::ConsentAsk { target, asked_ms } => self.consent_asked(from, target, asked_ms),
+            Message::ConsentRequest { target, asked_ms } => {
+                self.consent_asked(from, target, asked_ms)
+            }
             Message::Consent { target, asked_ms } => self.consented(from, target, asked_ms),
             _ => {}
         }
@@ -254,9 +256,11 @@
     }
 
     /// As a voter: notes who lives, and who carries on another's life.
-    fn heard(&mut self, from: Member, life: Member, is_leaving: bool) {
-        if life != from {
-            self.peers.carried.insert(life, (from.seat, self.now_ms));
+    fn heard(&mut self, from: Member, member: Member, is_leaving: bool) {
+        if member != from {
+            self.peers
+                .inherited
+                .insert(member, (from.seat, self.now_ms));
             return;
         }
         let heard = Heard {
@@ -272,23 +276,24 @@
     /// A member whose configuration is older than this voter's gets none until it
     /// has caught up. Once a majority of voters has a version in force, a process
     /// that does not have it loses its lease and stops acting under the old one.
-    fn heartbeat(&mut self, from: Member, life: Member, sent_ms: u64, config_version: u64) {
+    fn heartbeat(&mut self, from: Member, member: Member, sent_ms: u64, config_version: u64) {
         let is_current = config_version >= self.config.version();
-        let is_granted = is_current && self.voter.promise(self.now_ms, life, &self.limits);
-        let promise = Message::Promise {
-            life,
+        let is_granted = is_current && self.voter.grant_vote(self.now_ms, member, &self.limits);
+        let promise = Message::LeaseVote {
+            member,
             sent_ms,
             is_granted,
             config_version: self.config.version(),
-            alive: digest_of(&self.heard_alive(), &self.heard_carried()),
+            alive: digest_of(&self.heard_alive(), &self.heard_inherited()),
         };
         self.send(from.seat, promise);
     }
 
-    fn heard_carried(&self) -> Vec<(Member, Seat)> {
-        let carried = self.peers.carried.iter();
-        let fresh = carried.filter(|(_, (_, at_ms))| self.now_ms < at_ms + self.limits.suspect_ms);
-        fresh.map(|(life, (seat, _))| (*life, *seat)).collect()
+    fn heard_inherited(&self) -> Vec<(Member, Seat)> {
+        let inherited = self.peers.inherited.iter();
+        let fresh =
+            inherited.filter(|(_, (_, at_ms))| self.now_ms < at_ms + self.limits.suspect_ms);
+        fresh.map(|(member, (seat, _))| (*member, *seat)).collect()
     }
 
     fn heard_alive(&self) -> Vec<Member> {
@@ -306,21 +311,21 @@
         members
     }
 
-    fn promised(&mut self, voter: Member, life: Member, sent_ms: u64, is_granted: bool) {
+    fn record_vote(&mut self, voter: Member, member: Member, sent_ms: u64, is_granted: bool) {
         let lease_ms = self.limits.lease_ms;
         if !is_granted {
             return;
         }
-        if life != self.me {
+        if member != self.me {
             // A promise to a former life of this process is worth nothing.
-            if let Some(carried) = self.carried.get_mut(&life) {
-                carried.lease.promised(voter.seat, sent_ms, lease_ms);
-                self.check_carried();
+            if let Some(inherited) = self.inherited.get_mut(&member) {
+                inherited.lease.record_vote(voter.seat, sent_ms, lease_ms);
+                self.check_inherited();
             }
             return;
         }
-        if sent_ms >= self.life_began_ms {
-            self.lease.promised(voter.seat, sent_ms, lease_ms);
+        if sent_ms >= self.incarnation_began_ms {
+            self.lease.record_vote(voter.seat, sent_ms, lease_ms);
             self.check_lease();
         }
     }
@@ -328,12 +333,12 @@
     fn told_alive(&mut self, voter: Member, config_version: u64, alive: u64) {
         self.peers.versions.insert(voter.seat, config_version);
         if config_version > self.config.version() {
-            self.config_log.hurry();
+            self.config_log.read_soon();
         }
         let account = self.peers.accounts.entry(voter.seat).or_default();
         account.at_ms = self.now_ms;
         if account.digest != alive {
-            self.send(voter.seat, Message::AliveAsk);
+            self.send(voter.seat, Message::AliveRequest);
         }
     }
 
@@ -341,13 +346,13 @@
     /// nothing.
     fn join_accounts(&mut self) {
         let mut alive = BTreeSet::new();
-        self.carriers.clear();
+        self.successors.clear();
         for account in self.peers.accounts.values() {
             if self.now_ms >= account.at_ms + self.limits.suspect_ms {
                 continue;
             }
             alive.extend(account.members.iter().copied());
-            self.carriers.extend(account.carried.iter().copied());
+            self.successors.extend(account.inherited.iter().copied());
         }
         // Of two lives at one seat only the later one lives.
         let newest: HashMap<Seat, u64> = alive
@@ -386,7 +391,7 @@
             .collect();
         self.deposing.retain(|target, _| owners.contains(target));
         for target in owners {
-            let lives = self.peers.alive.contains(&target) || self.carriers.contains_key(&target);
+            let lives = self.peers.alive.contains(&target) || self.successors.contains_key(&target);
             if self.is_mine(target) || lives {
                 self.deposing.remove(&target);
                 continue;
@@ -401,7 +406,7 @@
             }
             let asked_ms = now_ms;
             for voter in self.voters().to_vec() {
-                self.send(voter, Message::ConsentAsk { target, asked_ms });
+                self.send(voter, Message::ConsentRequest { target, asked_ms });
             }
         }
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -26,7 +26,7 @@
 use crate::ids::Term;
 use crate::layout::Layout;
 use crate::lease::Lease;
-use crate::lease::Standing;
+use crate::lease::LeaseState;
 use crate::lease::Voter;
 use crate::limits::Limits;
 use crate::message::Message;
@@ -47,8 +47,8 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::collections::VecDeque;
-pub use succession::HandedKeys;
 pub use succession::Handover;
+pub use succession::KeyHandover;
 
 /// How often things that are not urgent are looked at.
 const SLOW_TICK_MS: u64 = 100;
@@ -59,7 +59,7 @@
     seats: Vec<Seat>,
     limits: Limits,
     now_ms: u64,
-    life_began_ms: u64,
+    incarnation_began_ms: u64,
     next_slow_tick_ms: u64,
     random: Pcg32,
 
@@ -72,8 +72,8 @@
     claims_writer: Writer,
     appends: Appends,
     deposing: BTreeMap<Member, members::Deposing>,
-    carried: BTreeMap<Member, succession::Carried>,
-    carriers: HashMap<Member, Seat>,
+    inherited: BTreeMap<Member, succession::Inherited>,
+    successors: HashMap<Member, Seat>,
 
     config: Config,
     config_log: Follower,
@@ -110,7 +110,7 @@
             me,
             seats: seats.to_vec(),
             now_ms,
-            life_began_ms: now_ms,
+            incarnation_began_ms: now_ms,
             next_slow_tick_ms: now_ms,
             random: Pcg32::seed_from_u64(seed),
             lease: Lease::new(voters),
@@ -122,8 +122,8 @@
             claims_writer: Writer::new(Term(0), 0),
             appends: Appends::default(),
             deposing: BTreeMap::new(),
-            carried: BTreeMap::new(),
-            carriers: HashMap::new(),
+            inherited: BTreeMap::new(),
+            successors: HashMap::new(),
             config: Config::default(),
             config_log: Follower::new(),
             config_writer: Writer::new(Term(0), 0),
@@ -168,21 +168,21 @@
         // else, so that nothing is done on the strength of an old one.
         self.now_ms = self.now_ms.max(now_ms);
         self.check_lease();
-        self.check_carried();
-        self.take_in(event);
+        self.check_inherited();
+        self.apply_event(event);
         while let Some(message) = self.local.pop_front() {
             self.receive(self.me, message);
         }
         std::mem::take(&mut self.out)
     }
 
-    fn take_in(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
             Event::Peer { from, message } => self.receive(from, message),
             Event::Request(request) => self.request(request),
             Event::CallerGone { request } => self.caller_gone(request),
-            Event::AttemptEnded { request, end } => self.attempt_ended(request, end),
+            Event::AttemptEnded { request, outcome } => self.attempt_ended(request, outcome),
             Event::Submit { request, spec } => self.submit(request, spec),
             Event::Publish { request, change } => self.publish(request, change),
             Event::Appended {
@@ -190,13 +190,13 @@
                 sequence,
                 offset,
             } => self.appended(stream, sequence, offset),
-            Event::Read { stream, part } => self.read(stream, part),
-            Event::Worker {
+            Event::Read { stream, page } => self.read(stream, page),
+            Event::WorkerAnswered {
                 cell,
                 host,
                 token,
-                listing,
-            } => self.worker_answered(cell, host, token, listing),
+                report,
+            } => self.worker_answered(cell, host, token, report),
             Event::Hosts(list) => self.platform_listed(&list),
             Event::Stop => self.begin_stop(),
         }
@@ -221,41 +221,41 @@
     fn receive(&mut self, from: Member, message: Message) {
         match message {
             Message::Heartbeat { .. }
-            | Message::Promise { .. }
-            | Message::AliveAsk
+            | Message::LeaseVote { .. }
+            | Message::AliveRequest
             | Message::Alive { .. }
-            | Message::ConsentAsk { .. }
-            | Message::StateAsk
+            | Message::ConsentRequest { .. }
+            | Message::StateRequest
             | Message::State { .. }
             | Message::Handover(_)
             | Message::Consent { .. } => self.receive_membership(from, message),
-            Message::GrantAsk { .. } | Message::GrantCancel { .. } | Message::Release { .. } => {
-                self.receive_as_upstream_owner(from, message)
-            }
-            Message::GrantAnswer { .. }
-            | Message::IntentAnswer { .. }
+            Message::GrantRequest { .. }
+            | Message::GrantCancel { .. }
+            | Message::Release { .. } => self.receive_as_upstream_owner(from, message),
+            Message::GrantResponse { .. }
+            | Message::IntentResponse { .. }
             | Message::NotOwner { .. }
-            | Message::JobAnswer { .. } => self.receive_as_entry(message),
-            Message::IntentAsk { .. }
-            | Message::IntentEnd { .. }
-            | Message::JobAsk { .. }
+            | Message::JobResponse { .. } => self.receive_as_entry(message),
+            Message::IntentRequest { .. }
+            | Message::IntentOutcome { .. }
+            | Message::JobRequest { .. }
             | Message::Reserved { .. }
-            | Message::Report { .. } => self.receive_as_key_owner(from, message),
+            | Message::TaskUpdate { .. } => self.receive_as_key_owner(from, message),
             Message::Reserve { .. }
             | Message::Unreserve { .. }
             | Message::Start { .. }
-            | Message::ReportNoted { .. } => self.receive_as_worker_owner(from, message),
+            | Message::TaskUpdateRecorded { .. } => self.receive_as_worker_owner(from, message),
         }
     }
 
     /// Gives the end of the lease if this member may act now, for itself and for
     /// the lives that it carries.
     fn acts_until_ms(&mut self) -> Option<u64> {
-        let Standing::InForce { mut until_ms } = self.lease.standing(self.now_ms) else {
+        let LeaseState::InForce { mut until_ms } = self.lease.state(self.now_ms) else {
             return None;
         };
-        for carried in self.carried.values_mut() {
-            if let Standing::InForce { until_ms: other_ms } = carried.lease.standing(self.now_ms) {
+        for inherited in self.inherited.values_mut() {
+            if let LeaseState::InForce { until_ms: other_ms } = inherited.lease.state(self.now_ms) {
                 until_ms = until_ms.min(other_ms);
             }
         }
--- a/crates/core/src/node/publishing.rs
+++ b/crates/core/src/node/publishing.rs
@@ -1,7 +1,7 @@
 //! Publishing configuration, and what follows when one is in force.
 
 use super::Node;
-use crate::config::Fate;
+use crate::config::PublishOutcome;
 use crate::event::Answer;
 use crate::ids::Cell;
 use crate::layout::Layout;
@@ -71,14 +71,14 @@
 
 impl Node {
     pub(super) fn publish(&mut self, request: u64, change: ConfigChange) {
-        if let Some(fate) = self.config.fate(&change.id)
-            && !matches!(fate, Fate::Accepted { .. })
+        if let Some(fate) = self.config.publish_outcome(&change.id)
+            && !matches!(fate, PublishOutcome::Accepted { .. })
         {
             let fate = fate.clone();
             self.answer(request, Answer::Published(fate));
             return;
         }
-        let is_known = self.config.fate(&change.id).is_some();
+        let is_known = self.config.publish_outcome(&change.id).is_some();
         if !is_known && self.acts_until_ms().is_none() {
             let reason = "this entry host may not act now";
             let retry_after_ms = 1_000;
@@ -108,8 +108,12 @@
         let mut waiting = Vec::new();
         for pending in std::mem::take(&mut self.publishing) {
             let is_late = self.now_ms >= pending.deadline_ms;
-            let answer = match self.config.fate(&pending.id) {
-                Some(Fate::Accepted { version }) if !self.has_majority_in_force(*version) => None,
+            let answer = match self.config.publish_outcome(&pending.id) {
+                Some(PublishOutcome::Accepted { version })
+                    if !self.has_majority_in_force(*version) =>
+                {
+                    None
+                }
                 Some(fate) => Some(Answer::Published(fate.clone())),
                 None => None,
             };
--- a/crates/core/src/node/requests/attempts.rs
+++ b/crates/core/src/node/requests/attempts.rs
@@ -6,16 +6,16 @@
 use super::Past;
 use super::Phase;
 use crate::event::Answer;
-use crate::event::AttemptEnd;
+use crate::event::AttemptOutcome;
 use crate::notes::Code;
 use crate::record::Outcome;
-use crate::slots::Ended;
+use crate::slots::GrantOutcome;
 
 /// Instances that may break off a request before it is sent to no other.
 const CUTS_MOST: u32 = 2;
 
 impl Node {
-    pub(in crate::node) fn attempt_ended(&mut self, number: u64, end: AttemptEnd) {
+    pub(in crate::node) fn attempt_ended(&mut self, number: u64, end: AttemptOutcome) {
         let Some(flight) = self.flights.get(&number) else {
             return;
         };
@@ -34,24 +34,24 @@
             use_by_ms,
         };
         let ended = match end {
-            AttemptEnd::Whole { status, latency_ms } if status < 500 => {
-                Ended::Answered { latency_ms }
+            AttemptOutcome::Complete { status, latency_ms } if status < 500 => {
+                GrantOutcome::Answered { latency_ms }
             }
-            AttemptEnd::Whole { latency_ms, .. } => Ended::Failed { latency_ms },
-            AttemptEnd::NotStarted => Ended::NotStarted,
-            AttemptEnd::Late => Ended::Unused,
-            AttemptEnd::Cut => Ended::Unknown,
+            AttemptOutcome::Complete { latency_ms, .. } => GrantOutcome::Failed { latency_ms },
+            AttemptOutcome::NotStarted => GrantOutcome::NotStarted,
+            AttemptOutcome::Expired => GrantOutcome::Unused,
+            AttemptOutcome::Interrupted => GrantOutcome::Unknown,
         };
         self.pass_on_slot(number, held, ended);
         match end {
-            AttemptEnd::Whole { status, .. } => self.whole(number, status),
-            AttemptEnd::NotStarted | AttemptEnd::Late => {
+            AttemptOutcome::Complete { status, .. } => self.whole(number, status),
+            AttemptOutcome::NotStarted | AttemptOutcome::Expired => {
                 if !self.try_again(number) {
                     let reason = "no instance could be reached";
                     self.end_not_run(number, reason, NO_OWNER_RETRY_MS);
                 }
             }
-            AttemptEnd::Cut => self.cut(number),
+            AttemptOutcome::Interrupted => self.cut(number),
         }
     }
 
--- a/crates/core/src/node/requests/mod.rs
+++ b/crates/core/src/node/requests/mod.rs
@@ -174,7 +174,7 @@
         flight.phase = Phase::Intent { asked_ms: now_ms };
         let fingerprint = flight.request.fingerprint;
         let cell = self.identity_cell(identity);
-        let ask = Message::IntentAsk {
+        let ask = Message::IntentRequest {
             cell,
             request: number,
             identity,
@@ -191,15 +191,15 @@
 
     pub(super) fn receive_as_entry(&mut self, message: Message) {
         match message {
-            Message::IntentAnswer { request, verdict } => self.intent_answered(request, verdict),
-            Message::GrantAnswer {
+            Message::IntentResponse { request, verdict } => self.intent_answered(request, verdict),
+            Message::GrantResponse {
                 cell,
                 request,
                 verdict,
                 free,
             } => self.slot_answered(request, cell, verdict, free),
             Message::NotOwner { cell, request } => self.not_owner(cell, request),
-            Message::JobAnswer { request, verdict } => self.job_answered(request, verdict),
+            Message::JobResponse { request, verdict } => self.job_answered(request, verdict),
             _ => {}
         }
     }
@@ -212,12 +212,12 @@
             return;
         }
         match verdict {
-            IntentVerdict::Go => {
+            IntentVerdict::Proceed => {
                 flight.has_intent = true;
                 self.note(Code::IntentRecorded, number.to_string(), "");
                 self.ask_slot(number);
             }
-            IntentVerdict::Begun => {
+            IntentVerdict::Pending => {
                 self.note(Code::IntentRepeated, number.to_string(), "under way");
                 let reason = "an earlier request with this identity may have run";
                 self.end(
@@ -336,11 +336,11 @@
             return;
         };
         let cell = self.identity_cell(identity);
-        let end = Message::IntentEnd {
+        let end = Message::IntentOutcome {
             cell,
             request: number,
             identity,
-            was_let_go: flight.has_intent,
+            was_admitted: flight.has_intent,
             outcome,
             status,
         };
--- a/crates/core/src/node/requests/slots.rs
+++ b/crates/core/src/node/requests/slots.rs
@@ -11,7 +11,7 @@
 use crate::message::GrantVerdict;
 use crate::message::Message;
 use crate::notes::Code;
-use crate::slots::Ended;
+use crate::slots::GrantOutcome;
 use rand::RngExt;
 
 impl Node {
@@ -36,7 +36,7 @@
             asked_ms: now_ms,
         };
         let begin_in_ms = flight.request.deadline_ms.saturating_sub(now_ms);
-        let ask = Message::GrantAsk {
+        let ask = Message::GrantRequest {
             cell,
             request: number,
             begin_in_ms,
@@ -68,7 +68,7 @@
     }
 
     pub(super) fn not_owner(&mut self, cell: Cell, number: u64) {
-        self.claims_log.hurry();
+        self.claims_log.read_soon();
         let Some(flight) = self.flights.get_mut(&number) else {
             return;
         };
@@ -120,7 +120,7 @@
                 );
             }
             (GrantVerdict::Granted { grant, .. }, None) => {
-                self.release(cell, grant, number, Ended::Unused, None);
+                self.release(cell, grant, number, GrantOutcome::Unused, None);
             }
             (GrantVerdict::Refused { retry_after_ms }, Some(_)) => {
                 if let Some(flight) = self.flights.get_mut(&number) {
@@ -155,7 +155,7 @@
         cell: Cell,
         grant: u64,
         request: u64,
-        ended: Ended,
+        ended: GrantOutcome,
         next: Option<u64>,
     ) {
         let release = Message::Release {
@@ -182,7 +182,7 @@
             .services
             .get(&flight.request.service);
         let (Some(service), Some(acts_until_ms)) = (service, acts_until_ms) else {
-            self.release(held.cell, held.grant, number, Ended::Unused, None);
+            self.release(held.cell, held.grant, number, GrantOutcome::Unused, None);
             self.end_not_run(number, "this entry host may not act now", NO_OWNER_RETRY_MS);
             return;
         };
@@ -221,8 +221,8 @@
     }
 
     /// Gives back the slot of an attempt that has ended, or goes on to use it.
-    pub(super) fn pass_on_slot(&mut self, number: u64, held: Held, ended: Ended) {
-        let is_free = matches!(ended, Ended::Answered { .. });
+    pub(super) fn pass_on_slot(&mut self, number: u64, held: Held, ended: GrantOutcome) {
+        let is_free = matches!(ended, GrantOutcome::Answered { .. });
         let may_use = is_free && self.now_ms < held.use_by_ms && self.acts_until_ms().is_some();
         let next = match may_use {
             true => self.next_waiting(held.cell),
@@ -259,7 +259,7 @@
             *asked_ms = now_ms;
         }
         let begin_in_ms = flight.request.deadline_ms.saturating_sub(now_ms);
-        let ask = Message::GrantAsk {
+        let ask = Message::GrantRequest {
             cell,
             request: number,
             begin_in_ms,
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -101,7 +101,7 @@
                 format!(
                     "service {name} ({}): {} instances, {used} of {all} slots in use, {} requests waiting",
                     Cell::Upstreams(*number),
-                    cell.names().len(),
+                    cell.instance_names().len(),
                     cell.waiting()
                 )
                 .into(),
--- a/crates/core/src/node/succession.rs
+++ b/crates/core/src/node/succession.rs
@@ -17,9 +17,9 @@
 use crate::ids::Member;
 use crate::ids::Seat;
 use crate::ids::Term;
-use crate::ids::weight;
+use crate::ids::rendezvous_weight;
 use crate::lease::Lease;
-use crate::lease::Standing;
+use crate::lease::LeaseState;
 use crate::macros::plain;
 use crate::message::Message;
 use crate::notes::Code;
@@ -32,7 +32,7 @@
 
 plain! {
     /// A cell of keys as it is handed over.
-    pub struct HandedKeys {
+    pub struct KeyHandover {
         /// Its number.
         pub number: u16,
         /// Term of its owner.
@@ -46,9 +46,9 @@
     /// All that a carrier must know of a life.
     pub struct Handover {
         /// The life.
-        pub life: Member,
+        pub member: Member,
         /// Its cells of keys.
-        pub keys: Box<[HandedKeys]>,
+        pub keys: Box<[KeyHandover]>,
         /// Its cells of workers, with terms and calls so far.
         pub workers: Box<[(u64, Term, u64)]>,
         /// Its cells of upstreams.
@@ -58,7 +58,7 @@
 
 /// A life that this process carries on for another.
 #[derive(Debug, Clone)]
-pub(super) struct Carried {
+pub(super) struct Inherited {
     pub(super) lease: Lease,
     /// What is opened once the voters have promised.
     handover: Option<Handover>,
@@ -70,19 +70,19 @@
 impl Node {
     /// Tells whether this process acts for what `member` owns.
     pub(super) fn is_mine(&self, member: Member) -> bool {
-        member == self.me || self.carried.contains_key(&member)
+        member == self.me || self.inherited.contains_key(&member)
     }
 
     /// Gives the life under which this process owns `cell`.
-    pub(super) fn life_of(&self, cell: Cell) -> Member {
-        let mut carried = self.carried.iter();
-        let found = carried.find(|(_, carried)| carried.cells.contains(&cell));
-        found.map_or(self.me, |(life, _)| *life)
+    pub(super) fn acting_member(&self, cell: Cell) -> Member {
+        let mut inherited = self.inherited.iter();
+        let found = inherited.find(|(_, inherited)| inherited.cells.contains(&cell));
+        found.map_or(self.me, |(member, _)| *member)
     }
 
     /// Gives the seat at which a member is reached.
     pub(super) fn seat_of(&self, member: Member) -> Seat {
-        self.carriers.get(&member).copied().unwrap_or(member.seat)
+        self.successors.get(&member).copied().unwrap_or(member.seat)
     }
 
     /// Tells whether a message from `from` speaks for `member`.
@@ -98,29 +98,29 @@
         let voters = self.voters().to_vec();
         let voter = voters[self.random.random_range(0..voters.len())];
         if voter != self.me.seat {
-            self.send(voter, Message::StateAsk);
+            self.send(voter, Message::StateRequest);
         }
     }
 
     /// Tells a peer where claims and configuration stand, as of an offset of each.
-    pub(super) fn tell_state(&mut self, to: Seat) {
+    pub(super) fn send_state(&mut self, to: Seat) {
         if self.config.version() == 0 {
             return;
         }
-        let claims = self.claims.carry(self.claims_log.position());
-        let config = self.config.carry(self.config_log.position());
+        let claims = self.claims.snapshot(self.claims_log.position());
+        let config = self.config.snapshot(self.config_log.position());
         self.send(to, Message::State { claims, config });
     }
 
     /// Takes over what a peer has read of the log, if this process has read none.
-    pub(super) fn take_state(&mut self, claims: &Record, config: &Record) {
+    pub(super) fn apply_state(&mut self, claims: &Record, config: &Record) {
         let (
-            Record::ClaimsCarried {
+            Record::ClaimsSnapshot {
                 as_of,
                 owners,
                 deposed,
             },
-            Record::ConfigCarried {
+            Record::ConfigSnapshot {
                 as_of: config_as_of,
                 version,
                 changes,
@@ -130,10 +130,10 @@
             return;
         };
         if !self.claims_log.was_read() && self.claims_log.position() < *as_of {
-            self.claims.replace(owners, deposed);
+            self.claims.restore(owners, deposed);
             self.claims_log.start_at(*as_of);
         }
-        if !self.config_log.was_read() && self.config.replace(*version, changes) {
+        if !self.config_log.was_read() && self.config.restore(*version, changes) {
             self.config_log.start_at(*config_as_of);
             self.config_changed();
         }
@@ -142,29 +142,29 @@
     /// Hands over this life and those that it carries, if there is somebody to take
     /// them; tells whether it did.
     pub(super) fn hand_over(&mut self) -> bool {
-        if self.acts_until_ms().is_none() || self.alive().iter().all(|life| *life == self.me) {
+        if self.acts_until_ms().is_none() || self.alive().iter().all(|member| *member == self.me) {
             return false;
         }
         let mut handovers = Vec::new();
-        let mut carried_cells = BTreeSet::new();
-        for (life, carried) in &self.carried {
-            carried_cells.extend(carried.cells.iter().copied());
-            handovers.push(match &carried.handover {
+        let mut inherited_cells = BTreeSet::new();
+        for (member, inherited) in &self.inherited {
+            inherited_cells.extend(inherited.cells.iter().copied());
+            handovers.push(match &inherited.handover {
                 // It waits for its voters here and can wait there.
                 Some(handover) => handover.clone(),
-                None => self.handover_of(*life, &carried.cells),
+                None => self.handover_of(*member, &inherited.cells),
             });
         }
         let owned = self.owned_cells();
         let own: Vec<Cell> = owned
             .into_iter()
-            .filter(|cell| !carried_cells.contains(cell))
+            .filter(|cell| !inherited_cells.contains(cell))
             .collect();
         handovers.push(self.handover_of(self.me, &own));
         // From here on this process acts for nothing, whatever becomes of the
         // messages.
         self.drop_all_cells();
-        self.drop_all_carried();
+        self.drop_all_inherited();
         for handover in handovers {
             self.send_handover(handover);
         }
@@ -172,22 +172,23 @@
     }
 
     fn send_handover(&mut self, handover: Handover) {
-        let life = handover.life;
+        let member = handover.member;
         let candidates = self
             .alive()
             .iter()
             .copied()
             .filter(|member| *member != self.me);
-        let cell = Cell::Keys(life.seat.0);
-        let Some(heir) = candidates.max_by_key(|member| weight(cell, member.seat)) else {
+        let cell = Cell::Keys(member.seat.0);
+        let Some(successor) = candidates.max_by_key(|member| rendezvous_weight(cell, member.seat))
+        else {
             return;
         };
-        self.note(Code::LifeHanded, life.to_string(), heir.to_string());
-        self.send(heir.seat, Message::Handover(handover));
+        self.note(Code::LifeHanded, member.to_string(), successor.to_string());
+        self.send(successor.seat, Message::Handover(handover));
     }
 
     /// Gives what a carrier must know of a life with these cells.
-    fn handover_of(&self, life: Member, cells: &[Cell]) -> Handover {
+    fn handover_of(&self, member: Member, cells: &[Cell]) -> Handover {
         let (mut keys, mut workers, mut upstreams) = (Vec::new(), Vec::new(), Vec::new());
         for cell in cells {
             match cell {
@@ -203,7 +204,7 @@
             }
         }
         Handover {
-            life,
+            member,
             keys: keys.into(),
             workers: workers.into(),
             upstreams: upstreams.into(),
@@ -212,52 +213,52 @@
 
     /// Begins to carry a life: first the voters must promise.
     pub(super) fn take_over(&mut self, handover: Handover) {
-        let life = handover.life;
-        if self.is_stopping || self.is_mine(life) || self.claims.is_deposed(life) {
+        let member = handover.member;
+        if self.is_stopping || self.is_mine(member) || self.claims.is_deposed(member) {
             return;
         }
-        let carried = Carried {
+        let inherited = Inherited {
             lease: Lease::new(self.voters().len()),
             handover: Some(handover),
             cells: Vec::new(),
             since_ms: self.now_ms,
         };
-        self.carried.insert(life, carried);
-        self.hurry_heartbeat();
+        self.inherited.insert(member, inherited);
+        self.send_heartbeat_soon();
     }
 
     /// Opens the cells of carried lives once they may be acted for, and drops those
     /// whose lease has lapsed.
-    pub(super) fn check_carried(&mut self) {
+    pub(super) fn check_inherited(&mut self) {
         let now_ms = self.now_ms;
         let patience_ms = self.limits.lease_ms * 2;
-        for life in self.carried.keys().copied().collect::<Vec<Member>>() {
-            let Some(carried) = self.carried.get_mut(&life) else {
+        for member in self.inherited.keys().copied().collect::<Vec<Member>>() {
+            let Some(inherited) = self.inherited.get_mut(&member) else {
                 continue;
             };
-            match carried.lease.standing(now_ms) {
-                Standing::InForce { .. } => {
-                    if let Some(handover) = carried.handover.take() {
+            match inherited.lease.state(now_ms) {
+                LeaseState::InForce { .. } => {
+                    if let Some(handover) = inherited.handover.take() {
                         self.open_handed(handover);
                     }
                 }
-                Standing::Joining if now_ms < carried.since_ms + patience_ms => {}
-                Standing::Joining | Standing::Over => self.drop_carried(life),
+                LeaseState::Joining if now_ms < inherited.since_ms + patience_ms => {}
+                LeaseState::Joining | LeaseState::Expired => self.drop_inherited(member),
             }
         }
     }
 
-    fn drop_carried(&mut self, life: Member) {
-        let Some(carried) = self.carried.remove(&life) else {
+    fn drop_inherited(&mut self, member: Member) {
+        let Some(inherited) = self.inherited.remove(&member) else {
             return;
         };
-        for cell in carried.cells {
+        for cell in inherited.cells {
             self.drop_cell(cell);
         }
     }
 
     fn open_handed(&mut self, handover: Handover) {
-        let life = handover.life;
+        let member = handover.member;
         let mut cells = Vec::new();
         for keys in &handover.keys {
             self.open_handed_keys(keys);
@@ -276,58 +277,61 @@
         }
         self.note(
             Code::LifeCarried,
-            life.to_string(),
+            member.to_string(),
             format!("{} cells", cells.len()),
         );
-        if let Some(carried) = self.carried.get_mut(&life) {
-            carried.cells = cells;
+        if let Some(inherited) = self.inherited.get_mut(&member) {
+            inherited.cells = cells;
         }
     }
 
     /// Takes carried cells over in this member's own name once the log is back.
-    pub(super) fn settle_carried(&mut self) {
+    pub(super) fn claim_inherited_cells(&mut self) {
         let is_current = self.claims_log.is_current(self.now_ms, &self.limits);
         if !is_current || self.claims_writer.waiting() > 0 {
             return;
         }
-        for life in self.carried.keys().copied().collect::<Vec<Member>>() {
-            let cells = self.carried.get(&life).map(|carried| carried.cells.clone());
+        for member in self.inherited.keys().copied().collect::<Vec<Member>>() {
+            let cells = self
+                .inherited
+                .get(&member)
+                .map(|inherited| inherited.cells.clone());
             let cells = cells.unwrap_or_default();
             let may_go: Vec<Cell> = cells
                 .iter()
                 .copied()
-                .filter(|cell| self.may_let_go(*cell))
+                .filter(|cell| self.may_release(*cell))
                 .collect();
             if may_go.is_empty() {
-                if cells.is_empty() && !self.is_waiting(life) {
-                    self.carried.remove(&life);
+                if cells.is_empty() && !self.is_waiting(member) {
+                    self.inherited.remove(&member);
                 }
                 continue;
             }
-            if let Some(carried) = self.carried.get_mut(&life) {
-                carried.cells.retain(|cell| !may_go.contains(cell));
+            if let Some(inherited) = self.inherited.get_mut(&member) {
+                inherited.cells.retain(|cell| !may_go.contains(cell));
             }
-            self.let_go(life, &may_go, Some(self.me));
+            self.release_cells(member, &may_go, Some(self.me));
             return;
         }
     }
 
     /// Tells whether a carried life still waits for its voters.
-    fn is_waiting(&self, life: Member) -> bool {
-        self.carried
-            .get(&life)
-            .is_some_and(|carried| carried.handover.is_some())
+    fn is_waiting(&self, member: Member) -> bool {
+        self.inherited
+            .get(&member)
+            .is_some_and(|inherited| inherited.handover.is_some())
     }
 
     /// Ends all that this process carries for others.
-    pub(super) fn drop_all_carried(&mut self) {
-        self.carried.clear();
+    pub(super) fn drop_all_inherited(&mut self) {
+        self.inherited.clear();
     }
 
     /// Sends heartbeats for carried lives.
-    pub(super) fn beat_for_carried(&mut self) {
-        for life in self.carried.keys().copied().collect::<Vec<Member>>() {
-            self.beat(life);
+    pub(super) fn heartbeat_inherited(&mut self) {
+        for member in self.inherited.keys().copied().collect::<Vec<Member>>() {
+            self.send_heartbeat(member);
         }
     }
 
--- a/crates/core/src/node/upstreams.rs
+++ b/crates/core/src/node/upstreams.rs
@@ -6,10 +6,10 @@
 use crate::message::GrantVerdict;
 use crate::message::Message;
 use crate::notes::Code;
-use crate::slots::Ask;
 use crate::slots::Bounds;
 use crate::slots::GrantKey;
-use crate::slots::Released;
+use crate::slots::SlotRelease;
+use crate::slots::SlotRequest;
 use crate::slots::UpstreamCell;
 use crate::slots::Verdict;
 use slotmap::Key;
@@ -52,16 +52,16 @@
             return;
         };
         let group = self.layout.groups.get(&number).cloned().unwrap_or_default();
-        for name in cell.names() {
+        for name in cell.instance_names() {
             if !group.upstreams.contains(&name) {
-                cell.unlist(&name);
+                cell.remove_instance(&name);
             }
         }
         let inventory = self.config.inventory();
         let service = inventory.services.get(&group.service);
         for name in &group.upstreams {
             let Some(listed) = self.platform.get(name) else {
-                cell.unlist(name);
+                cell.remove_instance(name);
                 continue;
             };
             let host = inventory.upstreams.get(name).map(|upstream| &upstream.host);
@@ -70,7 +70,7 @@
             let slots = service.map_or(0, |service| service.slots.min(service.connections));
             let is_evacuated = host.is_some_and(|host| inventory.is_evacuated(host));
             let is_leaving = listed.is_leaving || is_host_leaving || is_evacuated;
-            cell.list(name, &listed.address, slots, is_leaving);
+            cell.update_instance(name, &listed.address, slots, is_leaving);
         }
     }
 
@@ -78,7 +78,7 @@
         let may_act = self.acts_until_ms().is_some();
         let now_ms = self.now_ms;
         match message {
-            Message::GrantAsk {
+            Message::GrantRequest {
                 cell,
                 request,
                 begin_in_ms,
@@ -88,13 +88,13 @@
                     self.send(from.seat, Message::NotOwner { cell, request });
                     return;
                 };
-                let ask = Ask {
-                    asker: from,
+                let ask = SlotRequest {
+                    requester: from,
                     request,
                     asked_ms: now_ms,
                     begin_by_ms: now_ms + begin_in_ms,
                 };
-                let verdict = owned.ask(now_ms, ask);
+                let verdict = owned.request_slot(now_ms, ask);
                 self.send_verdict(cell, ask, verdict);
             }
             Message::GrantCancel { cell, request } => {
@@ -110,9 +110,9 @@
                 ended,
                 next,
             } => {
-                let released = Released {
+                let released = SlotRelease {
                     grant: GrantKey::from(KeyData::from_ffi(grant)),
-                    asker: from,
+                    requester: from,
                     request,
                     ended,
                     next,
@@ -135,11 +135,11 @@
 
     /// Answers an ask; without a verdict the request waits, and its asker is told so,
     /// since silence would mean that the owner is dead.
-    fn send_verdict(&mut self, cell: Cell, ask: Ask, verdict: Option<Verdict>) {
+    fn send_verdict(&mut self, cell: Cell, ask: SlotRequest, verdict: Option<Verdict>) {
         let now_ms = self.now_ms;
         let free = self
             .owned_upstreams(cell)
-            .map_or(0, |owned| owned.free(now_ms));
+            .map_or(0, |owned| owned.free_slots(now_ms));
         let verdict = match verdict {
             None => GrantVerdict::Queued,
             Some(Verdict::Granted {
@@ -153,13 +153,13 @@
             },
             Some(Verdict::Refused { retry_after_ms }) => GrantVerdict::Refused { retry_after_ms },
         };
-        let answer = Message::GrantAnswer {
+        let answer = Message::GrantResponse {
             cell,
             request: ask.request,
             verdict,
             free,
         };
-        self.send(ask.asker.seat, answer);
+        self.send(ask.requester.seat, answer);
     }
 
     /// Serves requests that wait for slots of `cell`.
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -8,16 +8,16 @@
 use crate::ids::Term;
 use crate::message::Message;
 use crate::notes::Code;
+use crate::placement::HostEntry;
 use crate::placement::HostKey;
-use crate::placement::ListedHost;
-use crate::placement::Listing;
-use crate::placement::Manner;
-use crate::placement::Pace;
-use crate::placement::Report;
 use crate::placement::Reservation;
 use crate::placement::StartAnswer;
+use crate::placement::StartOptions;
 use crate::placement::TaskOrder;
+use crate::placement::TaskUpdate;
 use crate::placement::WorkerCell;
+use crate::placement::WorkerReport;
+use crate::placement::WorkerTiming;
 
 /// How long a report of an end waits for its acknowledgement.
 const REPORT_PATIENCE_MS: u64 = 1_000;
@@ -29,7 +29,7 @@
 
 impl Node {
     pub(super) fn open_workers(&mut self, number: u64, term: Term) {
-        let pace = Pace {
+        let pace = WorkerTiming {
             lease_ms: self.limits.worker_lease_ms,
             poll_ms: self.limits.worker_poll_ms,
             reserve_ms: self.limits.reserve_ms,
@@ -52,9 +52,9 @@
             return;
         };
         let hosts = self.layout.racks.get(&number).cloned().unwrap_or_default();
-        for name in cell.names() {
+        for name in cell.host_names() {
             if !hosts.contains(&name) {
-                cell.unlist(&name);
+                cell.remove_host(&name);
             }
         }
         let inventory = self.config.inventory();
@@ -66,9 +66,9 @@
             let is_leaving = listed.is_some_and(|host| host.is_leaving)
                 || inventory.drains(&name)
                 || inventory.is_evacuated(&name);
-            cell.list(
+            cell.update_host(
                 now_ms,
-                ListedHost {
+                HostEntry {
                     address: listed.map(|host| host.address.clone()).unwrap_or_default(),
                     total: host.need,
                     reserved: inventory.reserved(&name),
@@ -110,7 +110,7 @@
                 let attempt = order.attempt.clone();
                 let owned = self.owned_workers(cell).filter(|_| may_act);
                 let held = owned.map(|owned| owned.reserve(now_ms, order, is_urgent));
-                let free = self.owned_workers(cell).map(|owned| owned.free());
+                let free = self.owned_workers(cell).map(|owned| owned.free_resources());
                 let answer = Message::Reserved {
                     home,
                     cell,
@@ -137,13 +137,13 @@
                     home,
                     cell,
                     order,
-                    Manner {
+                    StartOptions {
                         is_urgent,
                         is_repeat,
                     },
                 );
             }
-            Message::ReportNoted { cell, attempt } => {
+            Message::TaskUpdateRecorded { cell, attempt } => {
                 if let Some(owned) = self.owned_workers(cell) {
                     owned.acknowledge(now_ms, &attempt);
                 }
@@ -158,7 +158,7 @@
         home: Cell,
         cell: Cell,
         order: TaskOrder,
-        manner: Manner,
+        manner: StartOptions,
     ) {
         // An order from a member that no longer owns the job's cell is stale: the
         // job may have moved on since.
@@ -177,7 +177,7 @@
             StartAnswer::Running => None,
             StartAnswer::Ended(end) => Some(end),
         };
-        let report = Message::Report {
+        let report = Message::TaskUpdate {
             home,
             cell,
             attempt,
@@ -198,19 +198,19 @@
         number: u64,
         host: HostKey,
         token: u64,
-        listing: Option<Listing>,
+        report: Option<WorkerReport>,
     ) {
         let now_ms = self.now_ms;
         let inventory = self.config.inventory();
         let Some(cell) = self.workers.get_mut(&number) else {
             return;
         };
-        match listing {
-            Some(listing) => {
+        match report {
+            Some(report) => {
                 let is_urgent = |job: &str| inventory.jobs.get(job).is_some_and(|job| job.urgent);
-                cell.listed(now_ms, host, token, &listing, is_urgent);
+                cell.handle_report(now_ms, host, token, &report, is_urgent);
             }
-            None => cell.unanswered(now_ms, host, token),
+            None => cell.handle_call_failure(now_ms, host, token),
         }
         self.call_workers(number, true);
     }
@@ -242,10 +242,10 @@
         if !reports {
             return;
         }
-        for Report { attempt, end } in cell.take_reports(now_ms, REPORT_PATIENCE_MS) {
+        for TaskUpdate { attempt, end } in cell.drain_updates(now_ms, REPORT_PATIENCE_MS) {
             let home = Cell::keys(team_of(&attempt.id), self.limits.key_cells);
             let cell = Cell::Workers(number);
-            let report = Message::Report {
+            let report = Message::TaskUpdate {
                 home,
                 cell,
                 attempt,
--- a/crates/core/src/placement/calls.rs
+++ b/crates/core/src/placement/calls.rs
@@ -7,13 +7,13 @@
 use super::TaskKey;
 use super::WorkerCell;
 use super::cores_of;
-use super::types::ListedState;
-use super::types::ListedTask;
-use super::types::Listing;
-use super::types::Report;
+use super::types::ReportedState;
 use super::types::TaskEnd;
+use super::types::TaskReport;
 use super::types::TaskState;
+use super::types::TaskUpdate;
 use super::types::WorkerCall;
+use super::types::WorkerReport;
 use crate::guard::Load;
 use crate::ids::hash;
 
@@ -60,7 +60,7 @@
         let attempt = |key: &TaskKey| self.tasks[*key].order.attempt.clone();
         let call = WorkerCall {
             token,
-            answers: host.listing,
+            answers: host.last_report,
             lease_ms: self.pace.lease_ms,
             start: pending.starts.iter().map(order).collect(),
             stop: pending.stops.iter().map(attempt).collect(),
@@ -74,7 +74,7 @@
     }
 
     /// Notes that a call to a host failed or went unanswered.
-    pub fn unanswered(&mut self, now_ms: u64, key: HostKey, token: u64) {
+    pub fn handle_call_failure(&mut self, now_ms: u64, key: HostKey, token: u64) {
         let Some(host) = self.hosts.get_mut(key) else {
             return;
         };
@@ -86,12 +86,12 @@
     /// Takes in what a worker answered.
     ///
     /// `is_urgent` tells from the name of a job whether it overtakes others.
-    pub fn listed(
+    pub fn handle_report(
         &mut self,
         now_ms: u64,
         key: HostKey,
         token: u64,
-        listing: &Listing,
+        report: &WorkerReport,
         is_urgent: impl Fn(&str) -> bool,
     ) {
         let Some(host) = self.hosts.get_mut(key) else {
@@ -101,10 +101,10 @@
             return;
         };
         host.contact = Contact::Listed;
-        host.listing = listing.number;
+        host.last_report = report.number;
         host.renewed_ms = now_ms;
         let mut seen = Vec::new();
-        for listed in &listing.tasks {
+        for listed in &report.tasks {
             let task = match self.by_attempt.get(&listed.order.attempt) {
                 Some(task) => *task,
                 None => self.adopt(now_ms, key, listed, is_urgent(&listed.order.job)),
@@ -113,7 +113,7 @@
             self.reconcile(now_ms, task, listed.state);
         }
         self.settle_absent(now_ms, key, &pending, &seen);
-        self.guard_services(now_ms, key, listing.service_slowdown_permille);
+        self.guard_services(now_ms, key, report.service_slowdown_permille);
     }
 
     /// Has the host's guard look at a measurement of its services.
@@ -149,26 +149,26 @@
         &mut self,
         now_ms: u64,
         host: HostKey,
-        listed: &ListedTask,
+        listed: &TaskReport,
         is_urgent: bool,
     ) -> TaskKey {
         let order = listed.order.clone();
         self.book(now_ms, host, order, is_urgent, TaskState::Running)
     }
 
-    pub(super) fn reconcile(&mut self, now_ms: u64, key: TaskKey, state: ListedState) {
+    pub(super) fn reconcile(&mut self, now_ms: u64, key: TaskKey, state: ReportedState) {
         match state {
-            ListedState::Running => {
+            ReportedState::Running => {
                 if self.tasks[key].state == TaskState::Starting {
                     self.tasks[key].state = TaskState::Running;
                     let attempt = self.tasks[key].order.attempt.clone();
-                    self.reports.push(Report { attempt, end: None });
+                    self.reports.push(TaskUpdate { attempt, end: None });
                 }
             }
-            ListedState::Finished => self.end(now_ms, key, TaskEnd::Finished),
-            ListedState::Failed => self.end(now_ms, key, TaskEnd::Failed),
-            ListedState::Refused => self.end(now_ms, key, TaskEnd::NotStarted),
-            ListedState::Stopped { checkpoint } => {
+            ReportedState::Finished => self.end(now_ms, key, TaskEnd::Finished),
+            ReportedState::Failed => self.end(now_ms, key, TaskEnd::Failed),
+            ReportedState::Refused => self.end(now_ms, key, TaskEnd::NotStarted),
+            ReportedState::Stopped { checkpoint } => {
                 self.end(now_ms, key, TaskEnd::Evicted { checkpoint });
             }
         }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -15,9 +15,9 @@
 mod room;
 mod types;
 
-use crate::guard::Guard;
-use crate::guard::TEMPER;
-use crate::guard::Temper;
+use crate::guard::INTERFERENCE_SETTINGS;
+use crate::guard::InterferenceControl;
+use crate::guard::InterferenceSettings;
 use crate::ids::Term;
 use crate::macros::plain;
 use goldcrestway_inventory::Resources;
@@ -27,19 +27,19 @@
 use std::collections::VecDeque;
 
 pub use types::AttemptId;
-pub use types::ListedHost;
-pub use types::ListedState;
-pub use types::ListedTask;
-pub use types::Listing;
-pub use types::Manner;
-pub use types::Pace;
-pub use types::Report;
+pub use types::HostEntry;
+pub use types::ReportedState;
 pub use types::Reservation;
 pub use types::StartAnswer;
+pub use types::StartOptions;
 pub use types::TaskEnd;
 pub use types::TaskOrder;
+pub use types::TaskReport;
 pub use types::TaskState;
+pub use types::TaskUpdate;
 pub use types::WorkerCall;
+pub use types::WorkerReport;
+pub use types::WorkerTiming;
 
 slotmap::new_key_type! {
     /// Key of a host within its cell.
@@ -90,20 +90,20 @@
     /// Number of the latest listing and when it arrived. The worker counts its
     /// lease from when it gave the listing, which was earlier; so however late a
     /// call arrives there, the lease ends by this clock first at the worker.
-    listing: u64,
+    last_report: u64,
     renewed_ms: u64,
     call: Option<Pending>,
     next_call_ms: u64,
     is_dirty: bool,
     failures: u32,
     set_aside_until_ms: u64,
-    guard: Guard,
-    promise: Option<Promise>,
+    guard: InterferenceControl,
+    urgent_hold: Option<UrgentHold>,
 }
 
 /// Room that is being made for an urgent attempt and that no other may take.
 #[derive(Debug, Clone)]
-struct Promise {
+struct UrgentHold {
     attempt: AttemptId,
     need: Resources,
     until_ms: u64,
@@ -121,8 +121,8 @@
 #[derive(Debug, Clone)]
 pub struct WorkerCell {
     term: Term,
-    pace: Pace,
-    temper: Temper,
+    pace: WorkerTiming,
+    temper: InterferenceSettings,
     calls: u64,
     hosts: SlotMap<HostKey, Host>,
     by_name: HashMap<Box<str>, HostKey>,
@@ -132,7 +132,7 @@
     buried: HashMap<AttemptId, TaskEnd>,
     /// Attempts whose reservation ran out, and whose homes were not told.
     expired: HashSet<AttemptId>,
-    reports: Vec<Report>,
+    reports: Vec<TaskUpdate>,
 }
 
 /// Failures in a row after which a worker that fails everything is set aside.
@@ -146,11 +146,11 @@
 
 impl WorkerCell {
     /// Starts with no hosts.
-    pub fn new(term: Term, pace: Pace) -> Self {
+    pub fn new(term: Term, pace: WorkerTiming) -> Self {
         Self {
             term,
             pace,
-            temper: TEMPER,
+            temper: INTERFERENCE_SETTINGS,
             calls: 0,
             hosts: SlotMap::with_key(),
             by_name: HashMap::new(),
@@ -164,7 +164,7 @@
     }
 
     /// Gives the hosts listed from now on guards of another temper.
-    pub fn set_temper(&mut self, temper: Temper) {
+    pub fn set_interference_settings(&mut self, temper: InterferenceSettings) {
         self.temper = temper;
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Lists or updates a host. `barred` names jobs that rules keep off it.
-    pub fn list(&mut self, now_ms: u64, listed: ListedHost) {
+    pub fn update_host(&mut self, now_ms: u64, listed: HostEntry) {
         let key = match self.by_name.get(&listed.name) {
             Some(key) => *key,
             None => {
@@ -201,15 +201,15 @@
                     is_leaving: false,
                     is_listed: true,
                     // A former owner may have renewed the lease until just now.
-                    listing: 0,
+                    last_report: 0,
                     renewed_ms: now_ms,
                     call: None,
                     next_call_ms: 0,
                     is_dirty: false,
                     failures: 0,
                     set_aside_until_ms: 0,
-                    guard: Guard::new(self.temper),
-                    promise: None,
+                    guard: InterferenceControl::new(self.temper),
+                    urgent_hold: None,
                 });
                 self.by_name.insert(listed.name.clone(), key);
                 key
@@ -230,7 +230,7 @@
     }
 
     /// Notes that a host is no longer in the inventory; its tasks are evicted.
-    pub fn unlist(&mut self, name: &str) {
+    pub fn remove_host(&mut self, name: &str) {
         if let Some(key) = self.by_name.get(name).copied() {
             self.hosts[key].is_listed = false;
             self.evict_all(key);
@@ -238,14 +238,14 @@
     }
 
     /// Names the hosts that the inventory lists.
-    pub fn names(&self) -> Vec<Box<str>> {
+    pub fn host_names(&self) -> Vec<Box<str>> {
         let listed = self.hosts.values().filter(|host| host.is_listed);
         listed.map(|host| host.name.clone()).collect()
     }
 
     /// Takes the reports for homes that have come up since, and those whose end
     /// was not acknowledged for `patience_ms`.
-    pub fn take_reports(&mut self, now_ms: u64, patience_ms: u64) -> Vec<Report> {
+    pub fn drain_updates(&mut self, now_ms: u64, patience_ms: u64) -> Vec<TaskUpdate> {
         let mut reports = std::mem::take(&mut self.reports);
         for task in self.tasks.values_mut() {
             let TaskState::Ended { end, told_ms } = &mut task.state else {
@@ -255,7 +255,7 @@
                 continue;
             }
             *told_ms = now_ms;
-            reports.push(Report {
+            reports.push(TaskUpdate {
                 attempt: task.order.attempt.clone(),
                 end: Some(*end),
             });
@@ -264,7 +264,7 @@
     }
 
     /// Gives the room left on hosts that take work.
-    pub fn free(&self) -> Resources {
+    pub fn free_resources(&self) -> Resources {
         let mut sum = Resources::default();
         for host in self.hosts.values() {
             if host.contact != Contact::Listed || host.is_leaving || !host.is_listed {
--- a/crates/core/src/placement/orders.rs
+++ b/crates/core/src/placement/orders.rs
@@ -9,13 +9,13 @@
 use super::TaskKey;
 use super::WorkerCell;
 use super::types::AttemptId;
-use super::types::Manner;
-use super::types::Report;
 use super::types::Reservation;
 use super::types::StartAnswer;
+use super::types::StartOptions;
 use super::types::TaskEnd;
 use super::types::TaskOrder;
 use super::types::TaskState;
+use super::types::TaskUpdate;
 
 impl WorkerCell {
     pub(super) fn evict_all(&mut self, key: HostKey) {
@@ -41,7 +41,7 @@
     /// repeated order would run it again. An attempt that this owner knows nothing
     /// of therefore counts as lost if the order may have been given before. By then
     /// every host was listed or its lease has lapsed, so it no longer runs.
-    pub fn start(&mut self, now_ms: u64, order: TaskOrder, manner: Manner) -> StartAnswer {
+    pub fn start(&mut self, now_ms: u64, order: TaskOrder, manner: StartOptions) -> StartAnswer {
         let is_first = !manner.is_repeat;
         match self.buried.get(&order.attempt) {
             // Its reservation ran out, since the log was slow. It was never started,
@@ -71,7 +71,7 @@
                 let key = self.by_attempt[&order.attempt];
                 self.start_known(key, order)
             }
-            Reservation::NoRoom => {
+            Reservation::Unavailable => {
                 self.bury(now_ms, order.attempt, TaskEnd::NotStarted);
                 StartAnswer::Ended(TaskEnd::NotStarted)
             }
@@ -153,7 +153,7 @@
             }
             _ => {}
         }
-        self.reports.push(Report {
+        self.reports.push(TaskUpdate {
             attempt: task.order.attempt.clone(),
             end: Some(end),
         });
--- a/crates/core/src/placement/room.rs
+++ b/crates/core/src/placement/room.rs
@@ -4,9 +4,9 @@
 use super::FAILURES_BORNE;
 use super::Host;
 use super::HostKey;
-use super::Promise;
 use super::Task;
 use super::TaskKey;
+use super::UrgentHold;
 use super::WorkerCell;
 use super::cores_of;
 use super::types::AttemptId;
@@ -24,14 +24,14 @@
             return if held {
                 Reservation::Held
             } else {
-                Reservation::NoRoom
+                Reservation::Unavailable
             };
         }
         let Some(host) = self.choose(now_ms, &order, is_urgent) else {
             if is_urgent {
                 self.make_room(now_ms, &order);
             }
-            return Reservation::NoRoom;
+            return Reservation::Unavailable;
         };
         let until_ms = now_ms + self.pace.reserve_ms;
         self.book(
@@ -114,9 +114,11 @@
     /// Gives the room that `attempt` may take, without what others were promised.
     pub(super) fn room_for(&self, now_ms: u64, host: &Host, attempt: &AttemptId) -> Resources {
         let room = self.room(host);
-        match &host.promise {
-            Some(promise) if now_ms < promise.until_ms && promise.attempt != *attempt => {
-                room.minus(promise.need)
+        match &host.urgent_hold {
+            Some(urgent_hold)
+                if now_ms < urgent_hold.until_ms && urgent_hold.attempt != *attempt =>
+            {
+                room.minus(urgent_hold.need)
             }
             _ => room,
         }
@@ -127,14 +129,14 @@
     pub(super) fn make_room(&mut self, now_ms: u64, order: &TaskOrder) {
         let mut best: Option<(usize, HostKey, Vec<TaskKey>)> = None;
         for (key, host) in &self.hosts {
-            let promise = host
-                .promise
+            let urgent_hold = host
+                .urgent_hold
                 .as_ref()
-                .filter(|promise| now_ms < promise.until_ms);
-            if promise.is_some_and(|promise| promise.attempt == order.attempt) {
+                .filter(|urgent_hold| now_ms < urgent_hold.until_ms);
+            if urgent_hold.is_some_and(|urgent_hold| urgent_hold.attempt == order.attempt) {
                 return;
             }
-            if promise.is_some() || !self.is_open(now_ms, host, &order.job) {
+            if urgent_hold.is_some() || !self.is_open(now_ms, host, &order.job) {
                 continue;
             }
             let Some(victims) = self.victims(host, order.need) else {
@@ -150,7 +152,7 @@
         let Some((_, host, victims)) = best else {
             return;
         };
-        self.hosts[host].promise = Some(Promise {
+        self.hosts[host].urgent_hold = Some(UrgentHold {
             attempt: order.attempt.clone(),
             need: order.need,
             until_ms: now_ms + self.pace.reserve_ms,
--- a/crates/core/src/placement/types.rs
+++ b/crates/core/src/placement/types.rs
@@ -46,19 +46,19 @@
     }
 
     /// One task as a worker lists it.
-    pub struct ListedTask {
+    pub struct TaskReport {
         /// What it was told to run.
         pub order: TaskOrder,
         /// Where it stands.
-        pub state: ListedState,
+        pub state: ReportedState,
     }
 
     /// What a worker answers.
-    pub struct Listing {
+    pub struct WorkerReport {
         /// Number of this listing; it only grows.
         pub number: u64,
         /// All tasks it has, those that ended and were not forgotten included.
-        pub tasks: Box<[ListedTask]>,
+        pub tasks: Box<[TaskReport]>,
         /// Worst latency of a service's instance on it, as a multiple of its
         /// usual one in thousandths; late, and 0 if not measured.
         pub service_slowdown_permille: u32,
@@ -67,7 +67,7 @@
 
 /// Where a task stands by its worker's account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListedState {
+pub enum ReportedState {
     /// It runs.
     Running,
     /// It finished.
@@ -135,12 +135,12 @@
     /// Room is held.
     Held,
     /// There is none; for urgent work some is being made.
-    NoRoom,
+    Unavailable,
 }
 
 /// How an order to start is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Manner {
+pub struct StartOptions {
     /// It overtakes other work.
     pub is_urgent: bool,
     /// It may have been given before, to a former owner of the cell.
@@ -162,7 +162,7 @@
 
 /// What happened to a task, for its home.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Report {
+pub struct TaskUpdate {
     /// The attempt.
     pub attempt: AttemptId,
     /// How it ended, or `None` if it started to run.
@@ -171,7 +171,7 @@
 
 /// Times and bounds of a cell of workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pace {
+pub struct WorkerTiming {
     /// How long a worker runs on without a call.
     pub lease_ms: u64,
     /// Time between two calls.
@@ -184,7 +184,7 @@
 
 plain! {
     /// A host as the inventory and the platform's list describe it.
-    pub struct ListedHost {
+    pub struct HostEntry {
         /// Its name.
         pub name: Box<str>,
         /// Address of its worker; empty while the platform does not list it.
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -35,7 +35,7 @@
     /// What speaks against a job. It is kept in the log, as whoever owns the job next must go on
     /// counting.
     #[derive(Default)]
-    pub struct Tally {
+    pub struct FailureCounts {
         /// Runs that failed by themselves.
         pub failures: u32,
         /// Workers that restarted under it.
@@ -74,13 +74,13 @@
         /// A member asks for cells that are free.
         Claim { member: Member, cells: Box<[Cell]> },
         /// An owner gives up cells, to an heir if one is named.
-        Release { member: Member, cells: Box<[Cell]>, heir: Option<Member> },
+        Release { member: Member, cells: Box<[Cell]>, successor: Option<Member> },
         /// The table of claims as of a position, in place of all records before.
-        ClaimsCarried { as_of: u64, owners: Box<[(Cell, Member, Term)]>, deposed: Box<[Member]> },
+        ClaimsSnapshot { as_of: u64, owners: Box<[(Cell, Member, Term)]>, deposed: Box<[Member]> },
         /// A change of configuration; takes effect if its base is current.
         Config(ConfigChange),
         /// The configuration as of a position, in place of all records before.
-        ConfigCarried { as_of: u64, version: u64, changes: Box<[Change]> },
+        ConfigSnapshot { as_of: u64, version: u64, changes: Box<[Change]> },
         /// A new owner starts to write; records of lower terms after it are void.
         Open { member: Member },
         /// A non-idempotent request is about to run.
@@ -92,11 +92,11 @@
         /// A job is about to start in a cell of workers.
         Assigned { id: Box<str>, attempt: u32, cell: Cell },
         /// An attempt has stopped for good; the job resumes from the checkpoint.
-        Evicted { id: Box<str>, attempt: u32, checkpoint: u64, tally: Tally },
+        Evicted { id: Box<str>, attempt: u32, checkpoint: u64, failure_counts: FailureCounts },
         /// A job has ended.
         Ended { id: Box<str>, attempt: u32, end: JobEnd },
         /// The state that follows in the same batch replaces all before.
-        Carried,
+        Snapshot,
     }
 
     /// What one append holds.
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -21,7 +21,7 @@
 
 /// How an attempt under a grant ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum GrantOutcome {
     /// The instance gave a whole answer after `latency_ms`.
     Answered {
         /// Time from sending to the whole answer.
@@ -42,24 +42,24 @@
 
 /// The end of an attempt under a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Released {
+pub struct SlotRelease {
     /// The grant.
     pub grant: GrantKey,
     /// Who held it.
-    pub asker: Member,
+    pub requester: Member,
     /// The request that it was used for.
     pub request: u64,
     /// How the attempt ended.
-    pub ended: Ended,
+    pub ended: GrantOutcome,
     /// Request for which the asker goes on to use the slot.
     pub next: Option<u64>,
 }
 
 /// A request that asks for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Entry host that will send the attempt.
-    pub asker: Member,
+    pub requester: Member,
     /// Its number there.
     pub request: u64,
     /// When its owner was first asked for it.
@@ -116,7 +116,7 @@
 #[derive(Debug, Clone)]
 struct Grant {
     instance: InstanceKey,
-    asker: Member,
+    requester: Member,
     request: u64,
     waited_ms: u64,
     ends_by_ms: u64,
@@ -142,7 +142,7 @@
     by_name: HashMap<Box<str>, InstanceKey>,
     grants: SlotMap<GrantKey, Grant>,
     by_request: HashMap<(Member, u64), GrantKey>,
-    waiting: VecDeque<Ask>,
+    waiting: VecDeque<SlotRequest>,
 }
 
 /// One failure in a row more than this and an instance is shunned.
@@ -170,7 +170,7 @@
     }
 
     /// Lists or updates an instance.
-    pub fn list(&mut self, name: &str, address: &str, slots: u32, is_leaving: bool) {
+    pub fn update_instance(&mut self, name: &str, address: &str, slots: u32, is_leaving: bool) {
         if let Some(key) = self.by_name.get(name) {
             let instance = &mut self.instances[*key];
             instance.slots = slots;
@@ -199,14 +199,14 @@
     }
 
     /// Stops granting slots of an instance that is no longer listed.
-    pub fn unlist(&mut self, name: &str) {
+    pub fn remove_instance(&mut self, name: &str) {
         if let Some(key) = self.by_name.get(name) {
             self.instances[*key].is_leaving = true;
         }
     }
 
     /// Names the instances that are listed and not leaving.
-    pub fn names(&self) -> Vec<Box<str>> {
+    pub fn instance_names(&self) -> Vec<Box<str>> {
         let staying = self
             .instances
             .values()
@@ -243,7 +243,7 @@
     }
 
     /// Gives the free slots in sight of new requests.
-    pub fn free(&self, now_ms: u64) -> u32 {
+    pub fn free_slots(&self, now_ms: u64) -> u32 {
         let mut free = 0;
         for instance in self.instances.values() {
             if instance.is_leaving || now_ms < instance.shunned_until_ms {
@@ -260,15 +260,15 @@
     }
 
     /// Asks for a slot; `None` means that the request waits for one.
-    pub fn ask(&mut self, now_ms: u64, ask: Ask) -> Option<Verdict> {
-        if let Some(grant) = self.by_request.get(&(ask.asker, ask.request)) {
+    pub fn request_slot(&mut self, now_ms: u64, entry: SlotRequest) -> Option<Verdict> {
+        if let Some(grant) = self.by_request.get(&(entry.requester, entry.request)) {
             // The asker did not hear the first answer and asks again.
             return Some(self.granted(*grant));
         }
         if self
             .waiting
             .iter()
-            .any(|other| (other.asker, other.request) == (ask.asker, ask.request))
+            .any(|other| (other.requester, other.request) == (entry.requester, entry.request))
         {
             return None;
         }
@@ -279,25 +279,25 @@
         if self.waiting.is_empty()
             && let Some(instance) = self.choose(now_ms)
         {
-            return Some(self.grant(now_ms, instance, ask));
+            return Some(self.grant(now_ms, instance, entry));
         }
         let wait_ms = self.expected_wait_ms(now_ms);
         let slots = self.open_slots(now_ms);
         let is_full = self.waiting.len() as u32 >= slots * self.bounds.waiting_per_slot;
-        if is_full || slots == 0 || now_ms + wait_ms > ask.begin_by_ms {
+        if is_full || slots == 0 || now_ms + wait_ms > entry.begin_by_ms {
             let retry_after_ms = wait_ms.max(1);
             return Some(Verdict::Refused { retry_after_ms });
         }
-        self.waiting.push_back(ask);
+        self.waiting.push_back(entry);
         None
     }
 
     /// Drops a request that waits, or that was granted and never sent.
-    pub fn cancel(&mut self, asker: Member, request: u64) {
+    pub fn cancel(&mut self, requester: Member, request: u64) {
         self.waiting
-            .retain(|ask| (ask.asker, ask.request) != (asker, request));
-        if let Some(grant) = self.by_request.get(&(asker, request)).copied() {
-            self.free_slot(grant);
+            .retain(|entry| (entry.requester, entry.request) != (requester, request));
+        if let Some(grant) = self.by_request.get(&(requester, request)).copied() {
+            self.release_slot(grant);
         }
     }
 
@@ -309,59 +309,61 @@
     /// waits, which saves the two messages in which the slot would stand idle. The
     /// grant's end stays where it was, so that it is safe even if this message is
     /// lost.
-    pub fn release(&mut self, now_ms: u64, released: Released) {
+    pub fn release(&mut self, now_ms: u64, released: SlotRelease) {
         let Some(held) = self.grants.get_mut(released.grant) else {
             return;
         };
-        if (held.asker.seat, held.request) != (released.asker.seat, released.request) {
+        if (held.requester.seat, held.request) != (released.requester.seat, released.request) {
             return;
         }
         let key = held.instance;
         match released.ended {
-            Ended::Answered { latency_ms } => self.note_answer(key, latency_ms),
-            Ended::Failed { .. } | Ended::NotStarted => self.note_failure(now_ms, key),
-            Ended::Unused => {}
-            Ended::Unknown => {
+            GrantOutcome::Answered { latency_ms } => self.note_answer(key, latency_ms),
+            GrantOutcome::Failed { .. } | GrantOutcome::NotStarted => {
+                self.note_failure(now_ms, key)
+            }
+            GrantOutcome::Unused => {}
+            GrantOutcome::Unknown => {
                 self.note_failure(now_ms, key);
                 return;
             }
         }
         let Some(next) = released.next else {
-            self.free_slot(released.grant);
+            self.release_slot(released.grant);
             return;
         };
-        let asker = released.asker;
+        let requester = released.requester;
         self.waiting
-            .retain(|ask| (ask.asker.seat, ask.request) != (asker.seat, next));
+            .retain(|entry| (entry.requester.seat, entry.request) != (requester.seat, next));
         if let Some(held) = self.grants.get_mut(released.grant) {
-            self.by_request.remove(&(held.asker, held.request));
+            self.by_request.remove(&(held.requester, held.request));
             held.request = next;
         }
     }
 
     /// Ends what has run out and serves those that wait; gives their verdicts.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<(Ask, Verdict)> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<(SlotRequest, Verdict)> {
         let ended = self
             .grants
             .iter()
             .filter(|(_, grant)| now_ms >= grant.ends_by_ms);
         let ended: Vec<GrantKey> = ended.map(|(key, _)| key).collect();
         for grant in ended {
-            self.free_slot(grant);
+            self.release_slot(grant);
         }
         let mut verdicts = Vec::new();
-        while let Some(ask) = self.waiting.front().copied() {
-            if now_ms > ask.begin_by_ms {
+        while let Some(entry) = self.waiting.front().copied() {
+            if now_ms > entry.begin_by_ms {
                 self.waiting.pop_front();
                 let retry_after_ms = self.expected_wait_ms(now_ms).max(1);
-                verdicts.push((ask, Verdict::Refused { retry_after_ms }));
+                verdicts.push((entry, Verdict::Refused { retry_after_ms }));
                 continue;
             }
             let Some(instance) = self.choose(now_ms) else {
                 break;
             };
             self.waiting.pop_front();
-            verdicts.push((ask, self.grant(now_ms, instance, ask)));
+            verdicts.push((entry, self.grant(now_ms, instance, entry)));
         }
         verdicts
     }
@@ -404,18 +406,19 @@
         instance.latency_us.max(1) * (1_000 + busy)
     }
 
-    fn grant(&mut self, now_ms: u64, instance: InstanceKey, ask: Ask) -> Verdict {
+    fn grant(&mut self, now_ms: u64, instance: InstanceKey, entry: SlotRequest) -> Verdict {
         let held = &mut self.instances[instance];
         held.in_use += 1;
         held.used_ms = now_ms;
         let grant = self.grants.insert(Grant {
             instance,
-            asker: ask.asker,
-            request: ask.request,
-            waited_ms: now_ms.saturating_sub(ask.asked_ms),
+            requester: entry.requester,
+            request: entry.request,
+            waited_ms: now_ms.saturating_sub(entry.asked_ms),
             ends_by_ms: now_ms + self.bounds.use_ms + self.bounds.timeout_ms,
         });
-        self.by_request.insert((ask.asker, ask.request), grant);
+        self.by_request
+            .insert((entry.requester, entry.request), grant);
         self.granted(grant)
     }
 
@@ -428,11 +431,11 @@
         }
     }
 
-    fn free_slot(&mut self, grant: GrantKey) {
+    fn release_slot(&mut self, grant: GrantKey) {
         let Some(held) = self.grants.remove(grant) else {
             return;
         };
-        let request = (held.asker, held.request);
+        let request = (held.requester, held.request);
         if self.by_request.get(&request) == Some(&grant) {
             self.by_request.remove(&request);
         }
--- a/crates/core/src/writer.rs
+++ b/crates/core/src/writer.rs
@@ -116,7 +116,7 @@
     }
 
     /// Tells whether state carried forward is not yet known to be in the log.
-    pub fn is_carrying(&self) -> bool {
+    pub fn has_pending_snapshot(&self) -> bool {
         self.alone.is_some() || self.is_alone
     }
 
--- a/crates/daemon/src/answers.rs
+++ b/crates/daemon/src/answers.rs
@@ -1,10 +1,10 @@
 //! Answers to callers: outcome header, problem details, when to come back.
 
 use goldcrestway_core::Answer;
-use goldcrestway_core::Fate;
 use goldcrestway_core::JobEnd;
 use goldcrestway_core::JobState;
 use goldcrestway_core::Outcome;
+use goldcrestway_core::PublishOutcome;
 use serde::Serialize;
 use std::io::Cursor;
 use tiny_http::Header;
@@ -165,13 +165,13 @@
     serde_json::json!({ "state": job_word(state) }).to_string()
 }
 
-fn published(fate: &Fate) -> Reply {
+fn published(fate: &PublishOutcome) -> Reply {
     match fate {
-        Fate::Accepted { version } => {
+        PublishOutcome::Accepted { version } => {
             let body = serde_json::json!({ "version": version }).to_string();
             reply(200, "application/json", body)
         }
-        Fate::Overtaken { version, author } => problem(
+        PublishOutcome::Overtaken { version, author } => problem(
             409,
             "overtaken",
             "Another change came first",
@@ -179,7 +179,7 @@
                 "Version {version} by {author} is in force. Compare with `goldcrestway diff FILE`, then publish again."
             ),
         ),
-        Fate::Faulty { faults } => {
+        PublishOutcome::Faulty { faults } => {
             problem(422, "faulty", "The inventory would be faulty", &**faults)
         }
     }
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at an instance: send a request, take its answer whole or not at
 //! all.
 
-use goldcrestway_core::AttemptEnd;
+use goldcrestway_core::AttemptOutcome;
 use std::io::ErrorKind;
 use std::time::Duration;
 use std::time::Instant;
@@ -49,7 +49,7 @@
     address: &str,
     timeout_ms: u64,
     most_bytes: u64,
-) -> (AttemptEnd, Option<Whole>) {
+) -> (AttemptOutcome, Option<Whole>) {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .timeout_global(Some(Duration::from_millis(timeout_ms.max(1))))
         .http_status_as_error(false)
@@ -64,7 +64,7 @@
         builder = builder.header(name, value);
     }
     let Ok(request) = builder.body(ask.body.clone()) else {
-        return (AttemptEnd::NotStarted, None);
+        return (AttemptOutcome::NotStarted, None);
     };
     let began = Instant::now();
     let response = match agent.run(request) {
@@ -72,18 +72,18 @@
         Err(error) => return (end_of(&error), None),
     };
     match take_whole(response, most_bytes) {
-        None => (AttemptEnd::Cut, None),
+        None => (AttemptOutcome::Interrupted, None),
         Some(whole) => {
             let latency_ms = began.elapsed().as_millis() as u64;
             let status = whole.status;
-            (AttemptEnd::Whole { status, latency_ms }, Some(whole))
+            (AttemptOutcome::Complete { status, latency_ms }, Some(whole))
         }
     }
 }
 
 /// Tells whether anything can have reached the instance. Only a connection that
 /// was never made is proof that nothing did.
-fn end_of(error: &ureq::Error) -> AttemptEnd {
+fn end_of(error: &ureq::Error) -> AttemptOutcome {
     let is_refused = match error {
         ureq::Error::Io(error) => {
             matches!(
@@ -96,9 +96,9 @@
         _ => false,
     };
     if is_refused {
-        AttemptEnd::NotStarted
+        AttemptOutcome::NotStarted
     } else {
-        AttemptEnd::Cut
+        AttemptOutcome::Interrupted
     }
 }
 
--- a/crates/daemon/src/front.rs
+++ b/crates/daemon/src/front.rs
@@ -14,11 +14,11 @@
 use crate::attempt::is_passed_on;
 use crate::metrics::Metrics;
 use goldcrestway_core::Answer;
-use goldcrestway_core::AttemptEnd;
+use goldcrestway_core::AttemptOutcome;
 use goldcrestway_core::Event;
 use goldcrestway_core::Request as CoreRequest;
 use goldcrestway_core::hash;
-use goldcrestway_core::wide_hash;
+use goldcrestway_core::identity_hash;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -236,13 +236,13 @@
                 } => {
                     // A thread that was paused must not send on a grant or lease
                     // that has run out meanwhile.
-                    let (end, whole) = match self.now_ms() > begin_by_ms {
-                        true => (AttemptEnd::Late, None),
+                    let (outcome, whole) = match self.now_ms() > begin_by_ms {
+                        true => (AttemptOutcome::Expired, None),
                         false => attempt(ask, &address, timeout_ms, response_max_bytes),
                     };
                     held = whole.or(held);
                     let request = place.number;
-                    let _ = self.events.send(Event::AttemptEnded { request, end });
+                    let _ = self.events.send(Event::AttemptEnded { request, outcome });
                 }
             }
         }
@@ -370,7 +370,7 @@
     {
         return Err(bad("Write an Idempotency-Key of 1 to 256 bytes."));
     }
-    let identity = key.map(|key| wide_hash(format!("{service}\n{key}").as_bytes()));
+    let identity = key.map(|key| identity_hash(format!("{service}\n{key}").as_bytes()));
     let asked = format!(
         "{}\n{}\n{}",
         ask.method,
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -5,14 +5,14 @@
 use goldcrestway_core::AttemptId;
 use goldcrestway_core::Batch;
 use goldcrestway_core::Event;
-use goldcrestway_core::ListedState;
-use goldcrestway_core::ListedTask;
-use goldcrestway_core::Listing;
-use goldcrestway_core::Part;
 use goldcrestway_core::PlatformHost;
+use goldcrestway_core::ReportedState;
 use goldcrestway_core::Stream;
+use goldcrestway_core::StreamPage;
 use goldcrestway_core::TaskOrder;
+use goldcrestway_core::TaskReport;
 use goldcrestway_core::WorkerCall;
+use goldcrestway_core::WorkerReport;
 use goldcrestway_inventory::Resources;
 use goldcrestway_platform::HostListClient;
 use goldcrestway_platform::LogClient;
@@ -127,12 +127,12 @@
                         true => None,
                         false => worker.call(&address, &call_out(&call)).ok(),
                     };
-                    let listing = reply.and_then(listing_in);
-                    let _ = events.send(Event::Worker {
+                    let report = reply.and_then(listing_in);
+                    let _ = events.send(Event::WorkerAnswered {
                         cell,
                         host,
                         token,
-                        listing,
+                        report,
                     });
                 });
             }
@@ -157,11 +157,11 @@
     fn read(&self, stream: Stream, from: u64) {
         let (log, events) = (self.log.clone(), self.events.clone());
         self.reads.run(move || {
-            let part = log
+            let page = log
                 .read(&stream.to_string(), from)
                 .ok()
-                .map(|part| part_in(from, &part));
-            let _ = events.send(Event::Read { stream, part });
+                .map(|page| part_in(from, &page));
+            let _ = events.send(Event::Read { stream, page });
         });
     }
 }
@@ -188,16 +188,16 @@
 }
 
 /// Turns what was read from offset `from` on into what the decisions take.
-pub fn part_in(from: u64, part: &LogPart) -> Part {
-    let next = part
+pub fn part_in(from: u64, page: &LogPart) -> StreamPage {
+    let next = page
         .records
         .last()
-        .map_or(part.oldest.max(from), |(offset, _)| offset + 1);
-    let batches = part.records.iter();
-    Part {
-        oldest: part.oldest,
+        .map_or(page.oldest.max(from), |(offset, _)| offset + 1);
+    let batches = page.records.iter();
+    StreamPage {
+        oldest: page.oldest,
         next,
-        is_end: next >= part.end,
+        is_end: next >= page.end,
         batches: batches
             .map(|(offset, bytes)| (*offset, goldcrestway_wire::decode_batch(bytes).ok()))
             .collect(),
@@ -236,28 +236,28 @@
 }
 
 /// Reads a worker's answer; one with an unknown state counts as no answer.
-pub fn listing_in(reply: WorkerReply) -> Option<Listing> {
-    let tasks: Option<Vec<ListedTask>> = reply.tasks.into_iter().map(task_in).collect();
-    Some(Listing {
+pub fn listing_in(reply: WorkerReply) -> Option<WorkerReport> {
+    let tasks: Option<Vec<TaskReport>> = reply.tasks.into_iter().map(task_in).collect();
+    Some(WorkerReport {
         number: reply.number,
         tasks: tasks?.into(),
         service_slowdown_permille: reply.service_slowdown_permille,
     })
 }
 
-fn task_in(task: WorkerTask) -> Option<ListedTask> {
+fn task_in(task: WorkerTask) -> Option<TaskReport> {
     let state = match &*task.state {
-        "running" => ListedState::Running,
-        "finished" => ListedState::Finished,
-        "failed" => ListedState::Failed,
-        "refused" => ListedState::Refused,
-        "stopped" => ListedState::Stopped {
+        "running" => ReportedState::Running,
+        "finished" => ReportedState::Finished,
+        "failed" => ReportedState::Failed,
+        "refused" => ReportedState::Refused,
+        "stopped" => ReportedState::Stopped {
             checkpoint: task.checkpoint,
         },
         _ => return None,
     };
     let order = task.order;
-    Some(ListedTask {
+    Some(TaskReport {
         state,
         order: TaskOrder {
             attempt: AttemptId {
--- a/crates/wire/src/message/decode.rs
+++ b/crates/wire/src/message/decode.rs
@@ -19,13 +19,13 @@
 use crate::proto::Tagged;
 use crate::record::record_in;
 use goldcrestway_core::Cell;
-use goldcrestway_core::Ended;
+use goldcrestway_core::GrantOutcome;
 use goldcrestway_core::GrantVerdict;
-use goldcrestway_core::HandedKeys;
 use goldcrestway_core::Handover;
 use goldcrestway_core::IntentVerdict;
 use goldcrestway_core::JobState;
 use goldcrestway_core::JobVerdict;
+use goldcrestway_core::KeyHandover;
 use goldcrestway_core::Member;
 use goldcrestway_core::Message;
 use goldcrestway_core::Seat;
@@ -40,25 +40,25 @@
 pub fn decode_message(kind: &Kind) -> Result<Message, WireFault> {
     let message = match kind {
         Kind::Heartbeat(heartbeat) => Message::Heartbeat {
-            life: member_in(need(heartbeat.life.as_ref(), "life")?)?,
+            member: member_in(need(heartbeat.life.as_ref(), "life")?)?,
             sent_ms: heartbeat.sent_ms,
             config_version: heartbeat.config_version,
             is_leaving: heartbeat.flag,
         },
-        Kind::Promise(promise) => Message::Promise {
-            life: member_in(need(promise.life.as_ref(), "life")?)?,
+        Kind::Promise(promise) => Message::LeaseVote {
+            member: member_in(need(promise.life.as_ref(), "life")?)?,
             sent_ms: promise.sent_ms,
             is_granted: promise.flag,
             config_version: promise.config_version,
             alive: promise.alive,
         },
-        Kind::AliveAsk(_) => Message::AliveAsk,
+        Kind::AliveAsk(_) => Message::AliveRequest,
         Kind::Alive(alive) => Message::Alive {
             digest: alive.digest,
             members: members_in(&alive.members)?,
-            carried: alive.carried.iter().map(carried_in).collect::<Read<_>>()?,
+            inherited: alive.carried.iter().map(carried_in).collect::<Read<_>>()?,
         },
-        Kind::StateAsk(_) => Message::StateAsk,
+        Kind::StateAsk(_) => Message::StateRequest,
         Kind::State(batch) => {
             let [claims, config] = batch.records.as_slice() else {
                 return Err(missing("claims and configuration"));
@@ -69,7 +69,7 @@
             }
         }
         Kind::Handover(handover) => Message::Handover(handover_in(handover)?),
-        Kind::ConsentAsk(consent) => Message::ConsentAsk {
+        Kind::ConsentAsk(consent) => Message::ConsentRequest {
             target: member_in(need(consent.target.as_ref(), "target")?)?,
             asked_ms: consent.asked_ms,
         },
@@ -81,12 +81,12 @@
             cell: cell_in(&slot.cell)?,
             request: slot.request,
         },
-        Kind::GrantAsk(slot) => Message::GrantAsk {
+        Kind::GrantAsk(slot) => Message::GrantRequest {
             cell: cell_in(&slot.cell)?,
             request: slot.request,
             begin_in_ms: slot.value,
         },
-        Kind::Granted(slot) => Message::GrantAnswer {
+        Kind::Granted(slot) => Message::GrantResponse {
             cell: cell_in(&slot.cell)?,
             request: slot.request,
             free: slot.free,
@@ -96,7 +96,7 @@
                 waited_ms: slot.value,
             },
         },
-        Kind::Refused(slot) => Message::GrantAnswer {
+        Kind::Refused(slot) => Message::GrantResponse {
             cell: cell_in(&slot.cell)?,
             request: slot.request,
             free: slot.free,
@@ -104,7 +104,7 @@
                 retry_after_ms: slot.value,
             },
         },
-        Kind::Queued(slot) => Message::GrantAnswer {
+        Kind::Queued(slot) => Message::GrantResponse {
             cell: cell_in(&slot.cell)?,
             request: slot.request,
             free: slot.free,
@@ -123,34 +123,34 @@
         },
         Kind::IntentAsk(talk) => {
             let intent = need(talk.intent.as_ref(), "intent")?;
-            Message::IntentAsk {
+            Message::IntentRequest {
                 cell: cell_in(&talk.cell)?,
                 request: talk.request,
                 identity: identity_in(intent)?,
                 fingerprint: intent.fingerprint,
             }
         }
-        Kind::IntentAnswer(talk) => Message::IntentAnswer {
+        Kind::IntentAnswer(talk) => Message::IntentResponse {
             request: talk.request,
             verdict: intent_verdict_in(need(talk.verdict.as_ref(), "verdict")?)?,
         },
         Kind::IntentEnd(talk) => {
             let intent = need(talk.intent.as_ref(), "intent")?;
-            Message::IntentEnd {
+            Message::IntentOutcome {
                 cell: cell_in(&talk.cell)?,
                 request: talk.request,
-                was_let_go: talk.was_let_go,
+                was_admitted: talk.was_admitted,
                 identity: identity_in(intent)?,
                 outcome: outcome_in(intent.outcome)?,
                 status: status_in(intent.status)?,
             }
         }
-        Kind::JobAsk(talk) => Message::JobAsk {
+        Kind::JobAsk(talk) => Message::JobRequest {
             cell: cell_in(&talk.cell)?,
             request: talk.request,
             spec: spec_in(need(talk.spec.as_ref(), "job")?),
         },
-        Kind::JobAnswer(talk) => Message::JobAnswer {
+        Kind::JobAnswer(talk) => Message::JobResponse {
             request: talk.request,
             verdict: job_verdict_in(need(talk.verdict.as_ref(), "verdict")?)?,
         },
@@ -178,11 +178,11 @@
             cell: cell_in(&task.cell)?,
             attempt: attempt_in(&task.attempt)?,
         },
-        Kind::ReportNoted(task) => Message::ReportNoted {
+        Kind::ReportNoted(task) => Message::TaskUpdateRecorded {
             cell: cell_in(&task.cell)?,
             attempt: attempt_in(&task.attempt)?,
         },
-        Kind::Report(task) => Message::Report {
+        Kind::Report(task) => Message::TaskUpdate {
             home: cell_in(&task.home)?,
             cell: cell_in(&task.cell)?,
             attempt: attempt_in(&task.attempt)?,
@@ -202,7 +202,7 @@
     let (mut keys, mut workers, mut upstreams) = (Vec::new(), Vec::new(), Vec::new());
     for handed in &handover.cells {
         match cell_in(&handed.cell)? {
-            Cell::Keys(number) => keys.push(HandedKeys {
+            Cell::Keys(number) => keys.push(KeyHandover {
                 number,
                 term: Term(handed.term),
                 sequence: handed.count,
@@ -213,24 +213,24 @@
         }
     }
     Ok(Handover {
-        life: member_in(need(handover.life.as_ref(), "life")?)?,
+        member: member_in(need(handover.life.as_ref(), "life")?)?,
         keys: keys.into(),
         workers: workers.into(),
         upstreams: upstreams.into(),
     })
 }
 
-fn ended_in(ended: &Tagged) -> Read<Ended> {
+fn ended_in(ended: &Tagged) -> Read<GrantOutcome> {
     match ended.kind {
-        1 => Ok(Ended::Answered {
+        1 => Ok(GrantOutcome::Answered {
             latency_ms: ended.value,
         }),
-        2 => Ok(Ended::Failed {
+        2 => Ok(GrantOutcome::Failed {
             latency_ms: ended.value,
         }),
-        3 => Ok(Ended::NotStarted),
-        4 => Ok(Ended::Unknown),
-        5 => Ok(Ended::Unused),
+        3 => Ok(GrantOutcome::NotStarted),
+        4 => Ok(GrantOutcome::Unknown),
+        5 => Ok(GrantOutcome::Unused),
         _ => Err(missing("end of an attempt")),
     }
 }
@@ -252,8 +252,8 @@
 fn intent_verdict_in(verdict: &Tagged) -> Read<IntentVerdict> {
     const STATUS_BITS: u32 = 16;
     match verdict.kind {
-        1 => Ok(IntentVerdict::Go),
-        2 => Ok(IntentVerdict::Begun),
+        1 => Ok(IntentVerdict::Proceed),
+        2 => Ok(IntentVerdict::Pending),
         3 => Ok(IntentVerdict::Ended {
             outcome: outcome_in((verdict.value >> STATUS_BITS) as u32)?,
             status: (verdict.value & 0xffff) as u16,
--- a/crates/wire/src/message/encode.rs
+++ b/crates/wire/src/message/encode.rs
@@ -15,7 +15,7 @@
 use crate::proto::Tagged;
 use crate::record::record_out;
 use goldcrestway_core::Cell;
-use goldcrestway_core::Ended;
+use goldcrestway_core::GrantOutcome;
 use goldcrestway_core::GrantVerdict;
 use goldcrestway_core::Handover;
 use goldcrestway_core::IntentVerdict;
@@ -28,33 +28,33 @@
 pub fn encode_message(message: &Message) -> Kind {
     match message {
         Message::Heartbeat {
-            life,
+            member,
             sent_ms,
             config_version,
             is_leaving,
         } => Kind::Heartbeat(proto::Heartbeat {
-            life: Some(member_out(*life)),
+            life: Some(member_out(*member)),
             ..heartbeat(*sent_ms, *config_version, *is_leaving, 0)
         }),
-        Message::Promise {
-            life,
+        Message::LeaseVote {
+            member,
             sent_ms,
             is_granted,
             config_version,
             alive,
         } => Kind::Promise(proto::Heartbeat {
-            life: Some(member_out(*life)),
+            life: Some(member_out(*member)),
             ..heartbeat(*sent_ms, *config_version, *is_granted, *alive)
         }),
-        Message::AliveAsk => Kind::AliveAsk(proto::Empty {}),
+        Message::AliveRequest => Kind::AliveAsk(proto::Empty {}),
         Message::Alive {
             digest,
             members,
-            carried,
+            inherited,
         } => Kind::Alive(proto::Alive {
             digest: *digest,
             members: members_out(members),
-            carried: carried
+            carried: inherited
                 .iter()
                 .map(|(life, seat)| proto::CarriedLife {
                     life: Some(member_out(*life)),
@@ -62,13 +62,13 @@
                 })
                 .collect(),
         }),
-        Message::StateAsk => Kind::StateAsk(proto::Empty {}),
+        Message::StateRequest => Kind::StateAsk(proto::Empty {}),
         Message::State { claims, config } => Kind::State(proto::Batch {
             records: vec![record_out(claims), record_out(config)],
             ..proto::Batch::default()
         }),
         Message::Handover(handover) => Kind::Handover(handover_out(handover)),
-        Message::ConsentAsk { target, asked_ms } => Kind::ConsentAsk(proto::Consent {
+        Message::ConsentRequest { target, asked_ms } => Kind::ConsentAsk(proto::Consent {
             target: Some(member_out(*target)),
             asked_ms: *asked_ms,
         }),
@@ -77,7 +77,7 @@
             asked_ms: *asked_ms,
         }),
         Message::NotOwner { cell, request } => Kind::NotOwner(slot(*cell, *request)),
-        Message::GrantAsk {
+        Message::GrantRequest {
             cell,
             request,
             begin_in_ms,
@@ -85,7 +85,7 @@
             value: *begin_in_ms,
             ..slot(*cell, *request)
         }),
-        Message::GrantAnswer {
+        Message::GrantResponse {
             cell,
             request,
             verdict,
@@ -104,7 +104,7 @@
             next: *next,
             ..slot(*cell, *request)
         }),
-        Message::IntentAsk {
+        Message::IntentRequest {
             cell,
             request,
             identity,
@@ -114,23 +114,23 @@
             request: *request,
             intent: Some(intent_out(*identity, *fingerprint)),
             verdict: None,
-            was_let_go: false,
+            was_admitted: false,
         }),
-        Message::IntentAnswer { request, verdict } => Kind::IntentAnswer(proto::IntentTalk {
+        Message::IntentResponse { request, verdict } => Kind::IntentAnswer(proto::IntentTalk {
             request: *request,
             verdict: Some(intent_verdict_out(*verdict)),
             ..proto::IntentTalk::default()
         }),
-        Message::IntentEnd {
+        Message::IntentOutcome {
             cell,
             request,
             identity,
-            was_let_go,
+            was_admitted,
             outcome,
             status,
         } => Kind::IntentEnd(proto::IntentTalk {
             request: *request,
-            was_let_go: *was_let_go,
+            was_admitted: *was_admitted,
             cell: Some(cell_out(*cell)),
             intent: Some(proto::Intent {
                 outcome: outcome_out(*outcome),
@@ -139,7 +139,7 @@
             }),
             ..proto::IntentTalk::default()
         }),
-        Message::JobAsk {
+        Message::JobRequest {
             cell,
             request,
             spec,
@@ -149,7 +149,7 @@
             spec: Some(spec_out(spec)),
             verdict: None,
         }),
-        Message::JobAnswer { request, verdict } => Kind::JobAnswer(proto::JobTalk {
+        Message::JobResponse { request, verdict } => Kind::JobAnswer(proto::JobTalk {
             request: *request,
             verdict: Some(job_verdict_out(*verdict)),
             ..proto::JobTalk::default()
@@ -199,12 +199,12 @@
             attempt: Some(attempt_out(attempt)),
             ..proto::TaskTalk::default()
         }),
-        Message::ReportNoted { cell, attempt } => Kind::ReportNoted(proto::TaskTalk {
+        Message::TaskUpdateRecorded { cell, attempt } => Kind::ReportNoted(proto::TaskTalk {
             cell: Some(cell_out(*cell)),
             attempt: Some(attempt_out(attempt)),
             ..proto::TaskTalk::default()
         }),
-        Message::Report {
+        Message::TaskUpdate {
             home,
             cell,
             attempt,
@@ -244,7 +244,7 @@
         });
     }
     proto::Handover {
-        life: Some(member_out(handover.life)),
+        life: Some(member_out(handover.member)),
         cells,
     }
 }
@@ -291,13 +291,13 @@
     }
 }
 
-fn ended_out(ended: Ended) -> Tagged {
+fn ended_out(ended: GrantOutcome) -> Tagged {
     match ended {
-        Ended::Answered { latency_ms } => tagged(1, latency_ms),
-        Ended::Failed { latency_ms } => tagged(2, latency_ms),
-        Ended::NotStarted => tagged(3, 0),
-        Ended::Unknown => tagged(4, 0),
-        Ended::Unused => tagged(5, 0),
+        GrantOutcome::Answered { latency_ms } => tagged(1, latency_ms),
+        GrantOutcome::Failed { latency_ms } => tagged(2, latency_ms),
+        GrantOutcome::NotStarted => tagged(3, 0),
+        GrantOutcome::Unknown => tagged(4, 0),
+        GrantOutcome::Unused => tagged(5, 0),
     }
 }
 
@@ -315,8 +315,8 @@
 fn intent_verdict_out(verdict: IntentVerdict) -> Tagged {
     const STATUS_BITS: u32 = 16;
     match verdict {
-        IntentVerdict::Go => tagged(1, 0),
-        IntentVerdict::Begun => tagged(2, 0),
+        IntentVerdict::Proceed => tagged(1, 0),
+        IntentVerdict::Pending => tagged(2, 0),
         IntentVerdict::Ended { outcome, status } => {
             let outcome = u64::from(outcome_out(outcome));
             tagged(3, (outcome << STATUS_BITS) | u64::from(status))
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -95,7 +95,7 @@
     #[prost(message, repeated, tag = "2")]
     pub cells: Vec<Cell>,
     #[prost(message, optional, tag = "3")]
-    pub heir: Option<Member>,
+    pub successor: Option<Member>,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -313,7 +313,7 @@
     #[prost(message, optional, tag = "4")]
     pub verdict: Option<Tagged>,
     #[prost(bool, tag = "5")]
-    pub was_let_go: bool,
+    pub was_admitted: bool,
 }
 
 /// Everything about the submission of a job.
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -6,8 +6,8 @@
 use crate::proto::RecordKind;
 use goldcrestway_core::Batch;
 use goldcrestway_core::ConfigChange;
+use goldcrestway_core::FailureCounts;
 use goldcrestway_core::Record;
-use goldcrestway_core::Tally;
 use goldcrestway_core::Term;
 use goldcrestway_inventory::Change;
 use prost::Message;
@@ -46,18 +46,18 @@
         Record::Claim { member, cells } => RecordKind::Claim(proto::Cells {
             member: Some(member_out(*member)),
             cells: cells.iter().copied().map(cell_out).collect(),
-            heir: None,
+            successor: None,
         }),
         Record::Release {
             member,
             cells,
-            heir,
+            successor,
         } => RecordKind::Release(proto::Cells {
             member: Some(member_out(*member)),
             cells: cells.iter().copied().map(cell_out).collect(),
-            heir: heir.map(member_out),
+            successor: successor.map(member_out),
         }),
-        Record::ClaimsCarried {
+        Record::ClaimsSnapshot {
             as_of,
             owners,
             deposed,
@@ -79,7 +79,7 @@
             author: change.author.to_string(),
             changes: change.changes.iter().map(change_out).collect(),
         }),
-        Record::ConfigCarried {
+        Record::ConfigSnapshot {
             as_of,
             version,
             changes,
@@ -110,16 +110,16 @@
             id,
             attempt,
             checkpoint,
-            tally,
+            failure_counts,
         } => RecordKind::Evicted(proto::Step {
-            failures: tally.failures,
-            crashes: tally.crashes,
+            failures: failure_counts.failures,
+            crashes: failure_counts.crashes,
             ..step(id, *attempt, None, *checkpoint)
         }),
         Record::Ended { id, attempt, end } => {
             RecordKind::Ended(step(id, *attempt, None, job_end_out(*end)))
         }
-        Record::Carried => RecordKind::Carried(proto::Empty {}),
+        Record::Snapshot => RecordKind::Carried(proto::Empty {}),
     };
     proto::Record { kind: Some(kind) }
 }
@@ -149,9 +149,9 @@
         RecordKind::Release(release) => Record::Release {
             member: member_in(need(release.member.as_ref(), "member")?)?,
             cells: cells_in(&release.cells)?,
-            heir: release.heir.as_ref().map(member_in).transpose()?,
+            successor: release.successor.as_ref().map(member_in).transpose()?,
         },
-        RecordKind::ClaimsCarried(carried) => Record::ClaimsCarried {
+        RecordKind::ClaimsCarried(carried) => Record::ClaimsSnapshot {
             as_of: carried.as_of,
             owners: carried
                 .owners
@@ -166,7 +166,7 @@
             author: config.author.as_str().into(),
             changes: config.changes.iter().map(change_in).collect(),
         }),
-        RecordKind::ConfigCarried(carried) => Record::ConfigCarried {
+        RecordKind::ConfigCarried(carried) => Record::ConfigSnapshot {
             as_of: carried.as_of,
             version: carried.version,
             changes: carried.changes.iter().map(change_in).collect(),
@@ -198,7 +198,7 @@
                 id: attempt.id,
                 attempt: attempt.attempt,
                 checkpoint: step.value,
-                tally: Tally {
+                failure_counts: FailureCounts {
                     failures: step.failures,
                     crashes: step.crashes,
                 },
@@ -212,7 +212,7 @@
                 end: job_end_in(step.value)?,
             }
         }
-        RecordKind::Carried(_) => Record::Carried,
+        RecordKind::Carried(_) => Record::Snapshot,
     };
     Ok(record)
 }
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -6,21 +6,21 @@
 use goldcrestway_core::Batch;
 use goldcrestway_core::Cell;
 use goldcrestway_core::ConfigChange;
-use goldcrestway_core::Ended;
+use goldcrestway_core::FailureCounts;
+use goldcrestway_core::GrantOutcome;
 use goldcrestway_core::GrantVerdict;
-use goldcrestway_core::HandedKeys;
 use goldcrestway_core::Handover;
 use goldcrestway_core::IntentVerdict;
 use goldcrestway_core::JobEnd;
 use goldcrestway_core::JobSpec;
 use goldcrestway_core::JobState;
 use goldcrestway_core::JobVerdict;
+use goldcrestway_core::KeyHandover;
 use goldcrestway_core::Member;
 use goldcrestway_core::Message;
 use goldcrestway_core::Outcome;
 use goldcrestway_core::Record;
 use goldcrestway_core::Seat;
-use goldcrestway_core::Tally;
 use goldcrestway_core::TaskEnd;
 use goldcrestway_core::TaskOrder;
 use goldcrestway_core::Term;
@@ -76,14 +76,14 @@
 const GROUP: Cell = Cell::Upstreams(12);
 
 fn handover() -> Handover {
-    let keys = HandedKeys {
+    let keys = KeyHandover {
         number: 3,
         term: Term(8),
         sequence: 5,
         records: records().into(),
     };
     Handover {
-        life: member(),
+        member: member(),
         keys: Box::new([keys]),
         workers: Box::new([(7, Term(2), 44)]),
         upstreams: Box::new([u64::MAX]),
@@ -94,31 +94,31 @@
     let cell = GROUP;
     let mut messages = vec![
         Message::Heartbeat {
-            life: member(),
+            member: member(),
             sent_ms: 1,
             config_version: 2,
             is_leaving: true,
         },
-        Message::Promise {
-            life: member(),
+        Message::LeaseVote {
+            member: member(),
             sent_ms: 1,
             is_granted: true,
             config_version: 2,
             alive: 3,
         },
-        Message::AliveAsk,
+        Message::AliveRequest,
         Message::Alive {
             digest: 9,
             members: Box::new([member()]),
-            carried: Box::new([(member(), Seat(9))]),
+            inherited: Box::new([(member(), Seat(9))]),
         },
-        Message::StateAsk,
+        Message::StateRequest,
         Message::State {
             claims: records()[4].clone(),
             config: records()[6].clone(),
         },
         Message::Handover(handover()),
-        Message::ConsentAsk {
+        Message::ConsentRequest {
             target: member(),
             asked_ms: 5,
         },
@@ -127,12 +127,12 @@
             asked_ms: 5,
         },
         Message::NotOwner { cell, request: 6 },
-        Message::GrantAsk {
+        Message::GrantRequest {
             cell,
             request: 6,
             begin_in_ms: 7,
         },
-        Message::GrantAnswer {
+        Message::GrantResponse {
             cell,
             request: 6,
             free: 8,
@@ -142,34 +142,34 @@
                 address: "1.2.3.4:5".into(),
             },
         },
-        Message::GrantAnswer {
+        Message::GrantResponse {
             cell,
             request: 6,
             free: 0,
             verdict: GrantVerdict::Refused { retry_after_ms: 10 },
         },
-        Message::GrantAnswer {
+        Message::GrantResponse {
             cell,
             request: 6,
             free: 0,
             verdict: GrantVerdict::Queued,
         },
         Message::GrantCancel { cell, request: 6 },
-        Message::IntentAsk {
+        Message::IntentRequest {
             cell: HOME,
             request: 6,
             identity: u128::MAX,
             fingerprint: 3,
         },
-        Message::IntentEnd {
+        Message::IntentOutcome {
             cell: HOME,
             request: 6,
-            was_let_go: true,
+            was_admitted: true,
             identity: 1,
             outcome: Outcome::NotRun,
             status: 0,
         },
-        Message::JobAsk {
+        Message::JobRequest {
             cell: HOME,
             request: 6,
             spec: spec(),
@@ -198,23 +198,23 @@
             is_urgent: false,
             is_repeat: true,
         },
-        Message::Report {
+        Message::TaskUpdate {
             home: HOME,
             cell: WORKERS,
             attempt: attempt(),
             end: None,
         },
-        Message::ReportNoted {
+        Message::TaskUpdateRecorded {
             cell: WORKERS,
             attempt: attempt(),
         },
     ];
     let ends = [
-        Ended::Answered { latency_ms: 3 },
-        Ended::Failed { latency_ms: 0 },
-        Ended::NotStarted,
-        Ended::Unknown,
-        Ended::Unused,
+        GrantOutcome::Answered { latency_ms: 3 },
+        GrantOutcome::Failed { latency_ms: 0 },
+        GrantOutcome::NotStarted,
+        GrantOutcome::Unknown,
+        GrantOutcome::Unused,
     ];
     messages.extend(ends.map(|ended| Message::Release {
         cell,
@@ -224,8 +224,8 @@
         next: Some(9),
     }));
     let verdicts = [
-        IntentVerdict::Go,
-        IntentVerdict::Begun,
+        IntentVerdict::Proceed,
+        IntentVerdict::Pending,
         IntentVerdict::Ended {
             outcome: Outcome::Answered,
             status: 200,
@@ -233,7 +233,7 @@
         IntentVerdict::Conflict,
         IntentVerdict::Refused { retry_after_ms: 5 },
     ];
-    messages.extend(verdicts.map(|verdict| Message::IntentAnswer {
+    messages.extend(verdicts.map(|verdict| Message::IntentResponse {
         request: 1,
         verdict,
     }));
@@ -245,7 +245,7 @@
         }),
         JobVerdict::Refused { retry_after_ms: 5 },
     ];
-    messages.extend(verdicts.map(|verdict| Message::JobAnswer {
+    messages.extend(verdicts.map(|verdict| Message::JobResponse {
         request: 1,
         verdict,
     }));
@@ -257,7 +257,7 @@
         TaskEnd::Lost,
         TaskEnd::Forgotten,
     ];
-    messages.extend(ends.map(|end| Message::Report {
+    messages.extend(ends.map(|end| Message::TaskUpdate {
         home: HOME,
         cell: WORKERS,
         attempt: attempt(),
@@ -303,20 +303,20 @@
         Record::Release {
             member: member(),
             cells: Box::new([HOME]),
-            heir: Some(member()),
+            successor: Some(member()),
         },
         Record::Release {
             member: member(),
             cells: Box::new([HOME]),
-            heir: None,
+            successor: None,
         },
-        Record::ClaimsCarried {
+        Record::ClaimsSnapshot {
             as_of: 4,
             owners: Box::new([(HOME, member(), Term(3))]),
             deposed: Box::new([member()]),
         },
         Record::Config(change),
-        Record::ConfigCarried {
+        Record::ConfigSnapshot {
             as_of: 3,
             version: 9,
             changes,
@@ -341,7 +341,7 @@
             id: id.clone(),
             attempt: 2,
             checkpoint: 44,
-            tally: Tally {
+            failure_counts: FailureCounts {
                 failures: 1,
                 crashes: 2,
             },
@@ -351,7 +351,7 @@
             attempt: 2,
             end: JobEnd::Unknown,
         },
-        Record::Carried,
+        Record::Snapshot,
     ]
 }
 
@@ -390,7 +390,7 @@
     let envelope = Envelope {
         from: member(),
         clock: 5,
-        message: Message::AliveAsk,
+        message: Message::AliveRequest,
     };
     let mut bytes = BytesMut::new();
     LinkCodec::new("other")
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -14,12 +14,12 @@
 use goldcrestway_core::Answer;
 use goldcrestway_core::ConfigChange;
 use goldcrestway_core::Event;
-use goldcrestway_core::Fate;
 use goldcrestway_core::JobSpec;
 use goldcrestway_core::Limits;
+use goldcrestway_core::PublishOutcome;
 use goldcrestway_core::Request;
 use goldcrestway_core::Seat;
-use goldcrestway_core::wide_hash;
+use goldcrestway_core::identity_hash;
 use goldcrestway_inventory::Section;
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::compare;
@@ -89,7 +89,7 @@
     let request = Request {
         request: number,
         service: "booking".into(),
-        identity: Some(wide_hash(identity.as_bytes())),
+        identity: Some(identity_hash(identity.as_bytes())),
         fingerprint: 7,
         is_idempotent: !is_once,
         deadline_ms: world.now_ms + patience_ms,
@@ -266,11 +266,13 @@
             world.run(10);
         }
         match &world.edges.published[&request] {
-            Some(Answer::Published(Fate::Accepted { version })) => format!("accepted {version}\n"),
-            Some(Answer::Published(Fate::Overtaken { author, version })) => {
+            Some(Answer::Published(PublishOutcome::Accepted { version })) => {
+                format!("accepted {version}\n")
+            }
+            Some(Answer::Published(PublishOutcome::Overtaken { author, version })) => {
                 format!("overtaken by {author}, version {version}\n")
             }
-            Some(Answer::Published(Fate::Faulty { .. })) => "faulty\n".into(),
+            Some(Answer::Published(PublishOutcome::Faulty { .. })) => "faulty\n".into(),
             Some(Answer::Unknown { .. }) => "unknown\n".into(),
             Some(Answer::NotRun { .. }) => "not run\n".into(),
             other => format!("{other:?}\n"),
--- a/tests/tallies.rs
+++ b/tests/tallies.rs
@@ -15,7 +15,7 @@
     let open = runs
         .filter(|run| run.to_ms.is_none())
         .map(|run| run.order.job.as_str());
-    tally(open)
+    failure_counts(open)
 }
 
 /// Names what a caller was told, in a word.
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn tally<'a>(words: impl Iterator<Item = &'a str>) -> String {
+pub(crate) fn failure_counts<'a>(words: impl Iterator<Item = &'a str>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for word in words {
         *counts.entry(word).or_default() += 1;
@@ -50,11 +50,11 @@
 }
 
 pub(crate) fn requests(world: &World) -> String {
-    tally(world.edges.told.values().map(|told| word(&told.answer)))
+    failure_counts(world.edges.told.values().map(|told| word(&told.answer)))
 }
 
 pub(crate) fn jobs(world: &World) -> String {
-    let told = tally(world.edges.jobs.values().map(|(_, told)| word(told)));
+    let told = failure_counts(world.edges.jobs.values().map(|(_, told)| word(told)));
     format!("{}finished: {}\n", told, world.finished().len())
 }
 
