--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -2,7 +2,7 @@
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Answer;
-use goldcrestway_core::AttemptEnd;
+use goldcrestway_core::AttemptOutcome;
 use goldcrestway_core::Event;
 use goldcrestway_core::Member;
 use goldcrestway_core::Message;
@@ -288,11 +288,11 @@
             _ => 3,
         };
         let is_down = self.log_mode == LogMode::Down || self.log_cuts.contains(&seat);
-        let part =
+        let page =
             (!is_down).then(|| part_in(from, &self.log.read(&stream.to_string(), from, RECORDS)));
         self.put(
             now_ms + delay_ms,
-            Due::Event(seat, Event::Read { stream, part }),
+            Due::Event(seat, Event::Read { stream, page }),
         );
     }
 
@@ -329,34 +329,36 @@
             .as_deref()
             .is_some_and(|poison| identity.starts_with(poison));
         self.upstream_crashes += u32::from(is_poisoned);
-        let end = match mode {
-            _ if is_poisoned => AttemptEnd::Cut,
-            UpstreamMode::Refuses => AttemptEnd::NotStarted,
-            UpstreamMode::Fails => AttemptEnd::Whole {
+        let outcome = match mode {
+            _ if is_poisoned => AttemptOutcome::Interrupted,
+            UpstreamMode::Refuses => AttemptOutcome::NotStarted,
+            UpstreamMode::Fails => AttemptOutcome::Complete {
                 status: 503,
                 latency_ms: work_ms,
             },
-            UpstreamMode::Answers if work_ms <= timeout_ms => AttemptEnd::Whole {
+            UpstreamMode::Answers if work_ms <= timeout_ms => AttemptOutcome::Complete {
                 status: 200,
                 latency_ms: work_ms,
             },
-            _ => AttemptEnd::Cut,
+            _ => AttemptOutcome::Interrupted,
         };
-        let answered_ms = match end {
-            AttemptEnd::NotStarted | AttemptEnd::Late => now_ms + 1,
-            AttemptEnd::Cut if is_poisoned => now_ms + 1,
-            AttemptEnd::Cut => now_ms + timeout_ms,
-            AttemptEnd::Whole { .. } => now_ms + work_ms,
+        let answered_ms = match outcome {
+            AttemptOutcome::NotStarted | AttemptOutcome::Expired => now_ms + 1,
+            AttemptOutcome::Interrupted if is_poisoned => now_ms + 1,
+            AttemptOutcome::Interrupted => now_ms + timeout_ms,
+            AttemptOutcome::Complete { .. } => now_ms + work_ms,
         };
-        if end != AttemptEnd::NotStarted {
+        if outcome != AttemptOutcome::NotStarted {
             told.attempts += 1;
             let until_ms = now_ms + work_ms;
             let run = upstream.state.begin(&identity, now_ms, until_ms);
             self.put(until_ms, Due::EndRun(address, run));
         }
-        let event = Event::AttemptEnded { request, end };
+        let event = Event::AttemptEnded { request, outcome };
         self.put(answered_ms, Due::Event(seat, event));
-        if let (Some(told), AttemptEnd::Whole { .. }) = (self.told.get_mut(&request), end) {
+        if let (Some(told), AttemptOutcome::Complete { .. }) =
+            (self.told.get_mut(&request), outcome)
+        {
             told.has_whole = true;
         }
     }
@@ -377,23 +379,23 @@
         let Some(worker) = self.workers.get_mut(address) else {
             return;
         };
-        let mut listing = None;
+        let mut report = None;
         let mut delay_ms = TIMEOUT_MS;
         if worker.is_paused {
             worker.held.push((seat, action.clone()));
         } else if !worker.is_dead && !worker.is_cut {
             delay_ms = 3;
-            listing = worker
+            report = worker
                 .state
                 .call(now_ms, &call_out(call))
                 .and_then(listing_in);
             worker.state.note_heard();
         }
-        let event = Event::Worker {
+        let event = Event::WorkerAnswered {
             cell,
             host,
             token,
-            listing,
+            report,
         };
         self.put(now_ms + delay_ms, Due::Event(seat, event));
     }
