--- a/crates/bench/src/sharing.rs
+++ b/crates/bench/src/sharing.rs
@@ -176,7 +176,7 @@
             (false, true) => service,
             (false, false) => Resources::default(),
         },
-        barred: Vec::new(),
+        excluded_jobs: Vec::new(),
         is_leaving: false,
     }
 }
@@ -193,9 +193,9 @@
     let mut cell = WorkerCell::new(Term(1), pace);
     if policy == Policy::EvictAtOnce {
         cell.set_interference_settings(InterferenceSettings {
-            least_share: 1.0,
-            patience: 1,
-            learns: false,
+            min_share: 1.0,
+            eviction_samples: 1,
+            is_learning: false,
             ..INTERFERENCE_SETTINGS
         });
     }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -209,7 +209,7 @@
                         accelerators: 1,
                     },
                     reserved: Resources::default(),
-                    barred: Vec::new(),
+                    excluded_jobs: Vec::new(),
                     is_leaving: false,
                 },
             );
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -26,7 +26,7 @@
 pub struct ClaimTable {
     owners: BTreeMap<Cell, Owner>,
     deposed: HashMap<Seat, u64>,
-    former: HashMap<Cell, Term>,
+    previous_terms: HashMap<Cell, Term>,
 }
 
 impl ClaimTable {
@@ -51,7 +51,7 @@
 
     /// Tells whether `cell` ever had an owner, so that acts of it may linger.
     pub fn had_owner(&self, cell: Cell) -> bool {
-        self.former.contains_key(&cell)
+        self.previous_terms.contains_key(&cell)
     }
 
     /// Tells whether `member` is deposed.
@@ -108,7 +108,7 @@
 
     fn free(&mut self, cell: Cell) {
         if let Some(owner) = self.owners.remove(&cell) {
-            self.former.insert(cell, owner.term);
+            self.previous_terms.insert(cell, owner.term);
         }
     }
 
@@ -165,7 +165,7 @@
                 term: *term,
             };
             self.owners.insert(*cell, owner);
-            self.former.insert(*cell, *term);
+            self.previous_terms.insert(*cell, *term);
         }
         for member in deposed {
             self.deposed.insert(member.seat, member.incarnation);
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -40,7 +40,7 @@
 }
 
 /// Identities of changes whose fate is remembered for those who ask again.
-const REMEMBERED: usize = 1_000;
+const MAX_OUTCOMES: usize = 1_000;
 
 /// The configuration and how it came about.
 #[derive(Debug, Clone, Default)]
@@ -49,7 +49,7 @@
     author: Box<str>,
     sections: Sections,
     inventory: Inventory,
-    fates: HashMap<Box<str>, PublishOutcome>,
+    outcomes: HashMap<Box<str>, PublishOutcome>,
     order: VecDeque<Box<str>>,
 }
 
@@ -76,7 +76,7 @@
 
     /// Tells what became of the change with this identity, if it was seen.
     pub fn publish_outcome(&self, id: &str) -> Option<&PublishOutcome> {
-        self.fates.get(id)
+        self.outcomes.get(id)
     }
 
     /// Applies the record at `offset`; tells whether the configuration changed.
@@ -88,16 +88,16 @@
     }
 
     fn change(&mut self, offset: u64, change: &ConfigChange) -> bool {
-        if self.fates.contains_key(&change.id) {
+        if self.outcomes.contains_key(&change.id) {
             return false;
         }
-        let fate = self.judge(offset, change);
-        let is_accepted = matches!(fate, PublishOutcome::Accepted { .. });
-        self.remember(change.id.clone(), fate);
+        let outcome = self.evaluate(offset, change);
+        let is_accepted = matches!(outcome, PublishOutcome::Accepted { .. });
+        self.remember(change.id.clone(), outcome);
         is_accepted
     }
 
-    fn judge(&mut self, offset: u64, change: &ConfigChange) -> PublishOutcome {
+    fn evaluate(&mut self, offset: u64, change: &ConfigChange) -> PublishOutcome {
         if change.base != self.version {
             return PublishOutcome::Overtaken {
                 version: self.version,
@@ -134,13 +134,13 @@
         true
     }
 
-    fn remember(&mut self, id: Box<str>, fate: PublishOutcome) {
-        self.fates.insert(id.clone(), fate);
+    fn remember(&mut self, id: Box<str>, outcome: PublishOutcome) {
+        self.outcomes.insert(id.clone(), outcome);
         self.order.push_back(id);
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_OUTCOMES
             && let Some(oldest) = self.order.pop_front()
         {
-            self.fates.remove(&oldest);
+            self.outcomes.remove(&oldest);
         }
     }
 
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Gives jobs whose cell of workers has not answered for `patience_ms`.
-    pub fn overdue(&mut self, now_ms: u64, patience_ms: u64) -> Vec<JobKey> {
+    /// Gives jobs whose cell of workers has not answered for `answer_timeout_ms`.
+    pub fn overdue(&mut self, now_ms: u64, answer_timeout_ms: u64) -> Vec<JobKey> {
         let mut overdue = Vec::new();
         for _ in 0..self.open.len() {
             let Some(key) = self.open.pop_front() else {
@@ -265,7 +265,7 @@
                 Some(JobState::Reserving { asked_ms, .. }) => asked_ms,
                 _ => continue,
             };
-            if now_ms < asked_ms + patience_ms {
+            if now_ms < asked_ms + answer_timeout_ms {
                 self.open.push_back(key);
                 continue;
             }
--- a/crates/core/src/jobs/queues.rs
+++ b/crates/core/src/jobs/queues.rs
@@ -45,21 +45,21 @@
         for wants_urgent in [true, false] {
             for _ in 0..self.ring.len() {
                 let team = self.ring.pop_front()?;
-                let taken = self.take(now_ms, team, wants_urgent, inventory);
+                let removed = self.take_from_team(now_ms, team, wants_urgent, inventory);
                 let entry = &mut self.teams[team];
                 entry.is_in_ring = !(entry.urgent.is_empty() && entry.batch.is_empty());
                 if entry.is_in_ring {
                     self.ring.push_back(team);
                 }
-                if taken.is_some() {
-                    return taken;
+                if removed.is_some() {
+                    return removed;
                 }
             }
         }
         None
     }
 
-    pub(super) fn take(
+    pub(super) fn take_from_team(
         &mut self,
         now_ms: u64,
         team_key: TeamKey,
@@ -102,14 +102,14 @@
             jobs.get(*key)
                 .is_some_and(|job| inventory.jobs.contains_key(&job.spec.job))
         };
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for team in self.teams.values_mut() {
             for queue in [&mut team.urgent, &mut team.batch] {
-                taken.extend(queue.iter().copied().filter(|key| !is_listed(key)));
+                removed.extend(queue.iter().copied().filter(|key| !is_listed(key)));
                 queue.retain(is_listed);
             }
         }
-        taken
+        removed
     }
 
     pub(super) fn discharge(&mut self, key: JobKey) {
@@ -134,18 +134,18 @@
 
     /// Notes a refusal; the job rests, longer with each one up to a second.
     pub fn requeue_refused(&mut self, now_ms: u64, key: JobKey, is_urgent: bool) {
-        const REST_MS: u64 = 20;
-        const LONGEST_MS: u64 = 1_000;
-        const LONGEST_URGENT_MS: u64 = 100;
-        let longest = if is_urgent {
-            LONGEST_URGENT_MS
+        const BACKOFF_MS: u64 = 20;
+        const MAX_BACKOFF_MS: u64 = 1_000;
+        const MAX_URGENT_BACKOFF_MS: u64 = 100;
+        let max_ms = if is_urgent {
+            MAX_URGENT_BACKOFF_MS
         } else {
-            LONGEST_MS
+            MAX_BACKOFF_MS
         };
         if let Some(job) = self.jobs.get_mut(key) {
             job.refusals += 1;
-            let rest_ms = (REST_MS << job.refusals.min(10)).min(longest);
-            job.retry_at_ms = now_ms + rest_ms;
+            let backoff_ms = (BACKOFF_MS << job.refusals.min(10)).min(max_ms);
+            job.retry_at_ms = now_ms + backoff_ms;
         }
         self.enqueue(now_ms, key, is_urgent, true);
     }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -118,7 +118,7 @@
         *newest = (*newest).max(member.incarnation);
         let until_ms = now_ms + limits.vote_ms();
         self.promised_until_ms.insert(member, until_ms);
-        self.forget_ended(now_ms);
+        self.remove_expired(now_ms);
         true
     }
 
@@ -136,9 +136,9 @@
     }
 
     /// Drops promises that ended and consents that a newer life has made moot.
-    fn forget_ended(&mut self, now_ms: u64) {
-        const MANY: usize = 1_024;
-        if self.promised_until_ms.len() + self.consented.len() < MANY {
+    fn remove_expired(&mut self, now_ms: u64) {
+        const MIN_ENTRIES: usize = 1_024;
+        if self.promised_until_ms.len() + self.consented.len() < MIN_ENTRIES {
             return;
         }
         self.promised_until_ms
--- a/crates/core/src/placement/calls.rs
+++ b/crates/core/src/placement/calls.rs
@@ -3,7 +3,7 @@
 use super::CALLS_PER_TERM_BITS;
 use super::Contact;
 use super::HostKey;
-use super::Pending;
+use super::PendingCall;
 use super::TaskKey;
 use super::WorkerCell;
 use super::cores_of;
@@ -42,7 +42,7 @@
         self.calls += 1;
         let token = (self.term.0 << CALLS_PER_TERM_BITS) + self.calls;
         let host = &mut self.hosts[key];
-        let mut pending = Pending {
+        let mut pending = PendingCall {
             token,
             starts: Vec::new(),
             stops: Vec::new(),
@@ -61,14 +61,14 @@
         let call = WorkerCall {
             token,
             answers: host.last_report,
-            lease_ms: self.pace.lease_ms,
+            lease_ms: self.timing.lease_ms,
             start: pending.starts.iter().map(order).collect(),
             stop: pending.stops.iter().map(attempt).collect(),
             forget: pending.forgets.iter().map(attempt).collect(),
-            batch_permille: host.guard.batch_permille(),
+            batch_permille: host.interference.batch_permille(),
         };
         host.is_dirty = false;
-        host.next_call_ms = now_ms + self.pace.poll_ms;
+        host.next_call_ms = now_ms + self.timing.poll_ms;
         host.call = Some(pending);
         call
     }
@@ -79,7 +79,7 @@
             return;
         };
         if host.call.take_if(|call| call.token == token).is_some() {
-            host.next_call_ms = now_ms + self.pace.poll_ms;
+            host.next_call_ms = now_ms + self.timing.poll_ms;
         }
     }
 
@@ -100,7 +100,7 @@
         let Some(pending) = host.call.take_if(|call| call.token == token) else {
             return;
         };
-        host.contact = Contact::Listed;
+        host.contact = Contact::Reported;
         host.last_report = report.number;
         host.renewed_ms = now_ms;
         let mut seen = Vec::new();
@@ -112,22 +112,25 @@
             seen.push(task);
             self.reconcile(now_ms, task, listed.state);
         }
-        self.settle_absent(now_ms, key, &pending, &seen);
-        self.guard_services(now_ms, key, report.service_slowdown_permille);
+        self.handle_absent(now_ms, key, &pending, &seen);
+        self.apply_slowdown(now_ms, key, report.service_slowdown_permille);
     }
 
     /// Has the host's guard look at a measurement of its services.
-    pub(super) fn guard_services(&mut self, now_ms: u64, key: HostKey, slowdown_permille: u32) {
-        let loads = self.loads(key);
+    pub(super) fn apply_slowdown(&mut self, now_ms: u64, key: HostKey, slowdown_permille: u32) {
+        let job_loads = self.job_loads(key);
         let host = &mut self.hosts[key];
-        if let Some(kind) = host.guard.note(now_ms, slowdown_permille, &loads) {
+        if let Some(kind) = host
+            .interference
+            .record(now_ms, slowdown_permille, &job_loads)
+        {
             self.evict_youngest(key, kind);
         }
     }
 
     /// Sums the cores that batch tasks of each kind hold on a host.
-    pub(super) fn loads(&self, key: HostKey) -> Vec<Load> {
-        let mut loads: Vec<Load> = Vec::new();
+    pub(super) fn job_loads(&self, key: HostKey) -> Vec<Load> {
+        let mut job_loads: Vec<Load> = Vec::new();
         for task in &self.hosts[key].tasks {
             let task = &self.tasks[*task];
             if task.state != TaskState::Running || task.is_urgent {
@@ -135,13 +138,13 @@
             }
             let kind = hash(&task.order.job);
             let cores = cores_of(task.order.need);
-            match loads.iter_mut().find(|load| load.kind == kind) {
+            match job_loads.iter_mut().find(|load| load.kind == kind) {
                 Some(load) => load.cores += cores,
-                None => loads.push(Load { kind, cores }),
+                None => job_loads.push(Load { kind, cores }),
             }
         }
-        loads.sort_by_key(|load| load.kind);
-        loads
+        job_loads.sort_by_key(|load| load.kind);
+        job_loads
     }
 
     /// Takes in a task that a former owner of the cell started.
@@ -153,7 +156,7 @@
         is_urgent: bool,
     ) -> TaskKey {
         let order = listed.order.clone();
-        self.book(now_ms, host, order, is_urgent, TaskState::Running)
+        self.insert_task(now_ms, host, order, is_urgent, TaskState::Running)
     }
 
     pub(super) fn reconcile(&mut self, now_ms: u64, key: TaskKey, state: ReportedState) {
@@ -177,11 +180,11 @@
     /// Settles tasks that the worker no longer lists. Only those count that were
     /// known to it, or named, when the call was sent; later ones may be absent
     /// because the call did not speak of them.
-    pub(super) fn settle_absent(
+    pub(super) fn handle_absent(
         &mut self,
         now_ms: u64,
         host: HostKey,
-        call: &Pending,
+        call: &PendingCall,
         seen: &[TaskKey],
     ) {
         for key in self.hosts[host].tasks.clone() {
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -68,11 +68,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Contact {
     /// Not yet listed by this owner.
-    Unlisted,
+    Unreported,
     /// Listed at least once in this term.
-    Listed,
+    Reported,
     /// Its lease has lapsed without an answer; nothing runs on it any more.
-    Lost,
+    Expired,
 }
 
 #[derive(Debug, Clone)]
@@ -83,7 +83,7 @@
     reserved: Resources,
     booked: Resources,
     tasks: Vec<TaskKey>,
-    barred: Vec<Box<str>>,
+    excluded_jobs: Vec<Box<str>>,
     contact: Contact,
     is_leaving: bool,
     is_listed: bool,
@@ -92,12 +92,12 @@
     /// call arrives there, the lease ends by this clock first at the worker.
     last_report: u64,
     renewed_ms: u64,
-    call: Option<Pending>,
+    call: Option<PendingCall>,
     next_call_ms: u64,
     is_dirty: bool,
     failures: u32,
-    set_aside_until_ms: u64,
-    guard: InterferenceControl,
+    avoided_until_ms: u64,
+    interference: InterferenceControl,
     urgent_hold: Option<UrgentHold>,
 }
 
@@ -110,7 +110,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Pending {
+struct PendingCall {
     token: u64,
     starts: Vec<TaskKey>,
     stops: Vec<TaskKey>,
@@ -121,24 +121,24 @@
 #[derive(Debug, Clone)]
 pub struct WorkerCell {
     term: Term,
-    pace: WorkerTiming,
-    temper: InterferenceSettings,
+    timing: WorkerTiming,
+    settings: InterferenceSettings,
     calls: u64,
     hosts: SlotMap<HostKey, Host>,
     by_name: HashMap<Box<str>, HostKey>,
     tasks: SlotMap<TaskKey, Task>,
     by_attempt: HashMap<AttemptId, TaskKey>,
     tombstones: VecDeque<(u64, AttemptId)>,
-    buried: HashMap<AttemptId, TaskEnd>,
+    ended_attempts: HashMap<AttemptId, TaskEnd>,
     /// Attempts whose reservation ran out, and whose homes were not told.
     expired: HashSet<AttemptId>,
     reports: Vec<TaskUpdate>,
 }
 
 /// Failures in a row after which a worker that fails everything is set aside.
-const FAILURES_BORNE: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 /// How long it is set aside at first; doubles up to sixteen times as long.
-const SET_ASIDE_MS: u64 = 5_000;
+const AVOID_MS: u64 = 5_000;
 /// How long the end of a forgotten attempt is remembered.
 const TOMBSTONE_MS: u64 = 60_000;
 /// Calls that fit into one term's range of tokens.
@@ -146,26 +146,26 @@
 
 impl WorkerCell {
     /// Starts with no hosts.
-    pub fn new(term: Term, pace: WorkerTiming) -> Self {
+    pub fn new(term: Term, timing: WorkerTiming) -> Self {
         Self {
             term,
-            pace,
-            temper: INTERFERENCE_SETTINGS,
+            timing,
+            settings: INTERFERENCE_SETTINGS,
             calls: 0,
             hosts: SlotMap::with_key(),
             by_name: HashMap::new(),
             tasks: SlotMap::with_key(),
             by_attempt: HashMap::new(),
             tombstones: VecDeque::new(),
-            buried: HashMap::new(),
+            ended_attempts: HashMap::new(),
             expired: HashSet::new(),
             reports: Vec::new(),
         }
     }
 
     /// Gives the hosts listed from now on guards of another temper.
-    pub fn set_interference_settings(&mut self, temper: InterferenceSettings) {
-        self.temper = temper;
+    pub fn set_interference_settings(&mut self, settings: InterferenceSettings) {
+        self.settings = settings;
     }
 
     /// Counts the calls that were made in this term.
@@ -184,7 +184,7 @@
         self.term
     }
 
-    /// Lists or updates a host. `barred` names jobs that rules keep off it.
+    /// Lists or updates a host. `excluded_jobs` names jobs that rules keep off it.
     pub fn update_host(&mut self, now_ms: u64, listed: HostEntry) {
         let key = match self.by_name.get(&listed.name) {
             Some(key) => *key,
@@ -196,8 +196,8 @@
                     reserved: listed.reserved,
                     booked: Resources::default(),
                     tasks: Vec::new(),
-                    barred: Vec::new(),
-                    contact: Contact::Unlisted,
+                    excluded_jobs: Vec::new(),
+                    contact: Contact::Unreported,
                     is_leaving: false,
                     is_listed: true,
                     // A former owner may have renewed the lease until just now.
@@ -207,8 +207,8 @@
                     next_call_ms: 0,
                     is_dirty: false,
                     failures: 0,
-                    set_aside_until_ms: 0,
-                    guard: InterferenceControl::new(self.temper),
+                    avoided_until_ms: 0,
+                    interference: InterferenceControl::new(self.settings),
                     urgent_hold: None,
                 });
                 self.by_name.insert(listed.name.clone(), key);
@@ -220,7 +220,7 @@
         host.is_listed = true;
         host.total = listed.total;
         host.reserved = listed.reserved;
-        host.barred = listed.barred;
+        host.excluded_jobs = listed.excluded_jobs;
         if !listed.address.is_empty() {
             host.address = listed.address;
         }
@@ -244,14 +244,14 @@
     }
 
     /// Takes the reports for homes that have come up since, and those whose end
-    /// was not acknowledged for `patience_ms`.
-    pub fn drain_updates(&mut self, now_ms: u64, patience_ms: u64) -> Vec<TaskUpdate> {
+    /// was not acknowledged for `answer_timeout_ms`.
+    pub fn drain_updates(&mut self, now_ms: u64, answer_timeout_ms: u64) -> Vec<TaskUpdate> {
         let mut reports = std::mem::take(&mut self.reports);
         for task in self.tasks.values_mut() {
             let TaskState::Ended { end, told_ms } = &mut task.state else {
                 continue;
             };
-            if now_ms < *told_ms + patience_ms {
+            if now_ms < *told_ms + answer_timeout_ms {
                 continue;
             }
             *told_ms = now_ms;
@@ -267,10 +267,10 @@
     pub fn free_resources(&self) -> Resources {
         let mut sum = Resources::default();
         for host in self.hosts.values() {
-            if host.contact != Contact::Listed || host.is_leaving || !host.is_listed {
+            if host.contact != Contact::Reported || host.is_leaving || !host.is_listed {
                 continue;
             }
-            sum = sum.plus(self.room(host));
+            sum = sum.plus(self.free_on(host));
         }
         sum
     }
@@ -298,22 +298,22 @@
     pub fn describe(&self, now_ms: u64, name: &str) -> Option<String> {
         let host = &self.hosts[*self.by_name.get(name)?];
         let standing = match host.contact {
-            Contact::Unlisted => "has not answered yet",
-            Contact::Lost => "is silent and its lease has lapsed",
-            Contact::Listed if host.is_leaving => "is leaving",
-            Contact::Listed if now_ms < host.set_aside_until_ms => {
+            Contact::Unreported => "has not answered yet",
+            Contact::Expired => "is silent and its lease has lapsed",
+            Contact::Reported if host.is_leaving => "is leaving",
+            Contact::Reported if now_ms < host.avoided_until_ms => {
                 "is set aside because what it starts fails"
             }
-            Contact::Listed => "answers",
+            Contact::Reported => "answers",
         };
-        let room = self.room(host);
+        let free = self.free_on(host);
         Some(format!(
             "host {name} {standing}; {} tasks; free: {} millicores, {} MB, {} accelerators; batch share {} permille",
             host.tasks.len(),
-            room.millicores,
-            room.memory_mb,
-            room.accelerators,
-            host.guard.batch_permille()
+            free.millicores,
+            free.memory_mb,
+            free.accelerators,
+            host.interference.batch_permille()
         ))
     }
 }
--- a/crates/core/src/placement/orders.rs
+++ b/crates/core/src/placement/orders.rs
@@ -1,10 +1,10 @@
 //! Orders to start, and the ends of attempts.
 
+use super::AVOID_MS;
 use super::Contact;
-use super::FAILURES_BORNE;
 use super::Host;
 use super::HostKey;
-use super::SET_ASIDE_MS;
+use super::MAX_FAILURES;
 use super::TOMBSTONE_MS;
 use super::TaskKey;
 use super::WorkerCell;
@@ -43,11 +43,11 @@
     /// every host was listed or its lease has lapsed, so it no longer runs.
     pub fn start(&mut self, now_ms: u64, order: TaskOrder, manner: StartOptions) -> StartAnswer {
         let is_first = !manner.is_repeat;
-        match self.buried.get(&order.attempt) {
+        match self.ended_attempts.get(&order.attempt) {
             // Its reservation ran out, since the log was slow. It was never started,
             // nor was its home told so: a first order may still find room.
             Some(TaskEnd::NotStarted) if is_first && self.expired.remove(&order.attempt) => {
-                self.buried.remove(&order.attempt);
+                self.ended_attempts.remove(&order.attempt);
             }
             Some(end) => {
                 let end = *end;
@@ -59,7 +59,7 @@
         if let Some(key) = self.by_attempt.get(&order.attempt).copied() {
             return self.start_known(key, order);
         }
-        let is_unlisted = |host: &Host| host.contact == Contact::Unlisted;
+        let is_unlisted = |host: &Host| host.contact == Contact::Unreported;
         if manner.is_repeat {
             return match self.hosts.values().any(is_unlisted) {
                 true => StartAnswer::Wait,
@@ -72,15 +72,15 @@
                 self.start_known(key, order)
             }
             Reservation::Unavailable => {
-                self.bury(now_ms, order.attempt, TaskEnd::NotStarted);
+                self.record_end(now_ms, order.attempt, TaskEnd::NotStarted);
                 StartAnswer::Ended(TaskEnd::NotStarted)
             }
         }
     }
 
     /// Remembers how an attempt ended, for orders and reports that come late.
-    pub(super) fn bury(&mut self, now_ms: u64, attempt: AttemptId, end: TaskEnd) {
-        self.buried.insert(attempt.clone(), end);
+    pub(super) fn record_end(&mut self, now_ms: u64, attempt: AttemptId, end: TaskEnd) {
+        self.ended_attempts.insert(attempt.clone(), end);
         self.tombstones.push_back((now_ms, attempt));
     }
 
@@ -108,9 +108,9 @@
         let TaskState::Ended { end, .. } = self.tasks[key].state else {
             return;
         };
-        self.bury(now_ms, attempt.clone(), end);
+        self.record_end(now_ms, attempt.clone(), end);
         let host = self.tasks[key].host;
-        if self.hosts[host].contact == Contact::Lost {
+        if self.hosts[host].contact == Contact::Expired {
             self.remove(key);
             return;
         }
@@ -146,9 +146,9 @@
             TaskEnd::Finished => host.failures = 0,
             TaskEnd::Failed => {
                 host.failures += 1;
-                if host.failures >= FAILURES_BORNE {
-                    let doublings = (host.failures - FAILURES_BORNE).min(4);
-                    host.set_aside_until_ms = now_ms + (SET_ASIDE_MS << doublings);
+                if host.failures >= MAX_FAILURES {
+                    let doublings = (host.failures - MAX_FAILURES).min(4);
+                    host.avoided_until_ms = now_ms + (AVOID_MS << doublings);
                 }
             }
             _ => {}
@@ -171,21 +171,22 @@
         for key in stale {
             let attempt = self.tasks[key].order.attempt.clone();
             self.expired.insert(attempt.clone());
-            self.bury(now_ms, attempt, TaskEnd::NotStarted);
+            self.record_end(now_ms, attempt, TaskEnd::NotStarted);
             self.remove(key);
         }
-        let silence_ms = self.pace.lease_ms + self.pace.lease_ms * self.pace.skew_permille / 1_000;
+        let silence_ms =
+            self.timing.lease_ms + self.timing.lease_ms * self.timing.skew_permille / 1_000;
         let lost: Vec<HostKey> = self
             .hosts
             .iter()
             .filter(|(_, host)| {
                 let is_silent = now_ms >= host.renewed_ms + silence_ms;
-                is_silent && host.contact != Contact::Lost
+                is_silent && host.contact != Contact::Expired
             })
             .map(|(key, _)| key)
             .collect();
         for key in lost {
-            self.hosts[key].contact = Contact::Lost;
+            self.hosts[key].contact = Contact::Expired;
             for task in self.hosts[key].tasks.clone() {
                 self.end(now_ms, task, TaskEnd::Lost);
             }
@@ -195,7 +196,7 @@
                 break;
             }
             self.tombstones.pop_front();
-            self.buried.remove(&attempt);
+            self.ended_attempts.remove(&attempt);
             self.expired.remove(&attempt);
         }
     }
--- a/crates/core/src/placement/room.rs
+++ b/crates/core/src/placement/room.rs
@@ -1,9 +1,9 @@
 //! Room on hosts: reserving, choosing a host, making room for urgent work.
 
 use super::Contact;
-use super::FAILURES_BORNE;
 use super::Host;
 use super::HostKey;
+use super::MAX_FAILURES;
 use super::Task;
 use super::TaskKey;
 use super::UrgentHold;
@@ -27,14 +27,14 @@
                 Reservation::Unavailable
             };
         }
-        let Some(host) = self.choose(now_ms, &order, is_urgent) else {
+        let Some(host) = self.choose_host(now_ms, &order, is_urgent) else {
             if is_urgent {
-                self.make_room(now_ms, &order);
+                self.preempt_for(now_ms, &order);
             }
             return Reservation::Unavailable;
         };
-        let until_ms = now_ms + self.pace.reserve_ms;
-        self.book(
+        let until_ms = now_ms + self.timing.reserve_ms;
+        self.insert_task(
             now_ms,
             host,
             order,
@@ -44,7 +44,7 @@
         Reservation::Held
     }
 
-    pub(super) fn book(
+    pub(super) fn insert_task(
         &mut self,
         now_ms: u64,
         host: HostKey,
@@ -69,7 +69,7 @@
 
     /// Picks the host whose remaining room fits the order most tightly, so that
     /// large jobs still find room elsewhere.
-    pub(super) fn choose(
+    pub(super) fn choose_host(
         &self,
         now_ms: u64,
         order: &TaskOrder,
@@ -79,14 +79,14 @@
         let cores = cores_of(order.need);
         let mut best: Option<(u64, HostKey)> = None;
         for (key, host) in &self.hosts {
-            let room = self.room_for(now_ms, host, &order.attempt);
-            if !self.is_open(now_ms, host, &order.job) || !order.need.fits(room) {
+            let free = self.free_for(now_ms, host, &order.attempt);
+            if !self.is_eligible(now_ms, host, &order.job) || !order.need.fits(free) {
                 continue;
             }
-            if !is_urgent && !host.guard.accepts(kind, cores) {
+            if !is_urgent && !host.interference.accepts(kind, cores) {
                 continue;
             }
-            let left = room.minus(order.need);
+            let left = free.minus(order.need);
             let score = u64::from(left.millicores)
                 + u64::from(left.memory_mb) / 4
                 + u64::from(left.accelerators) * 100_000;
@@ -97,36 +97,39 @@
         best.map(|(_, key)| key)
     }
 
-    pub(super) fn is_open(&self, now_ms: u64, host: &Host, job: &str) -> bool {
-        let is_probing = host.failures >= FAILURES_BORNE && !host.tasks.is_empty();
-        host.contact == Contact::Listed
+    pub(super) fn is_eligible(&self, now_ms: u64, host: &Host, job: &str) -> bool {
+        let is_probing = host.failures >= MAX_FAILURES && !host.tasks.is_empty();
+        host.contact == Contact::Reported
             && host.is_listed
             && !host.is_leaving
             && !is_probing
-            && now_ms >= host.set_aside_until_ms
-            && !host.barred.iter().any(|barred| &**barred == job)
+            && now_ms >= host.avoided_until_ms
+            && !host
+                .excluded_jobs
+                .iter()
+                .any(|excluded_jobs| &**excluded_jobs == job)
     }
 
-    pub(super) fn room(&self, host: &Host) -> Resources {
+    pub(super) fn free_on(&self, host: &Host) -> Resources {
         host.total.minus(host.reserved).minus(host.booked)
     }
 
     /// Gives the room that `attempt` may take, without what others were promised.
-    pub(super) fn room_for(&self, now_ms: u64, host: &Host, attempt: &AttemptId) -> Resources {
-        let room = self.room(host);
+    pub(super) fn free_for(&self, now_ms: u64, host: &Host, attempt: &AttemptId) -> Resources {
+        let free = self.free_on(host);
         match &host.urgent_hold {
             Some(urgent_hold)
                 if now_ms < urgent_hold.until_ms && urgent_hold.attempt != *attempt =>
             {
-                room.minus(urgent_hold.need)
+                free.minus(urgent_hold.need)
             }
-            _ => room,
+            _ => free,
         }
     }
 
     /// Evicts the fewest batch tasks of one host that make room for urgent work,
     /// and promises it the room. A job that asks again keeps the same host.
-    pub(super) fn make_room(&mut self, now_ms: u64, order: &TaskOrder) {
+    pub(super) fn preempt_for(&mut self, now_ms: u64, order: &TaskOrder) {
         let mut best: Option<(usize, HostKey, Vec<TaskKey>)> = None;
         for (key, host) in &self.hosts {
             let urgent_hold = host
@@ -136,7 +139,7 @@
             if urgent_hold.is_some_and(|urgent_hold| urgent_hold.attempt == order.attempt) {
                 return;
             }
-            if urgent_hold.is_some() || !self.is_open(now_ms, host, &order.job) {
+            if urgent_hold.is_some() || !self.is_eligible(now_ms, host, &order.job) {
                 continue;
             }
             let Some(victims) = self.victims(host, order.need) else {
@@ -155,7 +158,7 @@
         self.hosts[host].urgent_hold = Some(UrgentHold {
             attempt: order.attempt.clone(),
             need: order.need,
-            until_ms: now_ms + self.pace.reserve_ms,
+            until_ms: now_ms + self.timing.reserve_ms,
         });
         for victim in victims {
             self.evict(victim);
@@ -166,12 +169,12 @@
     /// least. Room that is being freed already counts, so that asking again while
     /// tasks stop does not evict more.
     pub(super) fn victims(&self, host: &Host, need: Resources) -> Option<Vec<TaskKey>> {
-        let mut room = self.room(host);
+        let mut free = self.free_on(host);
         let mut running = Vec::new();
         for key in &host.tasks {
             let task = &self.tasks[*key];
             match task.state {
-                TaskState::Stopping => room = room.plus(task.order.need),
+                TaskState::Stopping => free = free.plus(task.order.need),
                 TaskState::Running if !task.is_urgent => running.push(*key),
                 _ => {}
             }
@@ -179,13 +182,13 @@
         running.sort_by_key(|key| std::cmp::Reverse(self.tasks[*key].since_ms));
         let mut victims = Vec::new();
         for key in running {
-            if need.fits(room) {
+            if need.fits(free) {
                 break;
             }
-            room = room.plus(self.tasks[key].order.need);
+            free = free.plus(self.tasks[key].order.need);
             victims.push(key);
         }
-        need.fits(room).then_some(victims)
+        need.fits(free).then_some(victims)
     }
 
     /// Gives back room that will not be used.
--- a/crates/core/src/placement/types.rs
+++ b/crates/core/src/placement/types.rs
@@ -194,7 +194,7 @@
         /// What services' instances reserve on it.
         pub reserved: Resources,
         /// Jobs that rules keep off it.
-        pub barred: Vec<Box<str>>,
+        pub excluded_jobs: Vec<Box<str>>,
         /// Gets no new work, and its tasks move.
         pub is_leaving: bool,
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -8,30 +8,30 @@
 }
 
 /// What one retry costs.
-const COST: u32 = 1_000;
+const RETRY_COST: u32 = 1_000;
 /// Most that can be saved up, in retries.
-const MOST_SAVED: u32 = 10;
+const MAX_SAVED_RETRIES: u32 = 10;
 
 impl Budget {
     /// Starts a budget that earns `permille` retries per thousand requests.
     pub fn new(permille: u32) -> Self {
         Self {
             permille,
-            balance: COST,
+            balance: RETRY_COST,
         }
     }
 
     /// Notes a new request.
     pub fn earn(&mut self) {
-        self.balance = (self.balance + self.permille).min(COST * MOST_SAVED);
+        self.balance = (self.balance + self.permille).min(RETRY_COST * MAX_SAVED_RETRIES);
     }
 
     /// Takes one retry from the budget if there is one.
     pub fn spend(&mut self) -> bool {
-        if self.balance < COST {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.balance -= COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -98,15 +98,15 @@
     /// Smoothed time of an answer, in microseconds; 0 before the first one.
     latency_us: u64,
     failures: u32,
-    shunned_until_ms: u64,
+    avoided_until_ms: u64,
     /// When a slot of it was granted last.
-    used_ms: u64,
+    last_granted_ms: u64,
 }
 
 impl Instance {
     /// Gives the slots that may be used; one that failed often is only probed.
     fn usable_slots(&self) -> u32 {
-        match self.failures >= FAILURES_BORNE {
+        match self.failures >= MAX_FAILURES {
             true => self.slots.min(1),
             false => self.slots,
         }
@@ -146,13 +146,13 @@
 }
 
 /// One failure in a row more than this and an instance is shunned.
-const FAILURES_BORNE: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 /// An instance that takes this many times as long as the fastest one is slow.
 const SLOW_FACTOR: u64 = 3;
 /// Time after which a slow instance gets a request all the same.
 const PROBE_MS: u64 = 1_000;
 /// How long an instance is shunned at first; doubles up to eight times as long.
-const SHUN_MS: u64 = 500;
+const AVOID_MS: u64 = 500;
 
 impl UpstreamCell {
     /// Starts with no instances; nothing is granted before `opens_ms`, since a
@@ -180,7 +180,7 @@
                 // while slots of the old one stay taken until released.
                 instance.address = address.into();
                 instance.failures = 0;
-                instance.shunned_until_ms = 0;
+                instance.avoided_until_ms = 0;
             }
             return;
         }
@@ -192,8 +192,8 @@
             is_leaving,
             latency_us: 0,
             failures: 0,
-            shunned_until_ms: 0,
-            used_ms: 0,
+            avoided_until_ms: 0,
+            last_granted_ms: 0,
         });
         self.by_name.insert(name.into(), key);
     }
@@ -231,10 +231,10 @@
     /// Counts the slots of instances that take requests now. One that is shunned
     /// counts for nothing, and one on probation for a single slot, so that a broken
     /// cell does not look idle and draw the requests of the whole service.
-    fn open_slots(&self, now_ms: u64) -> u32 {
+    fn available_slots(&self, now_ms: u64) -> u32 {
         let mut sum = 0;
         for instance in self.instances.values() {
-            if instance.is_leaving || now_ms < instance.shunned_until_ms {
+            if instance.is_leaving || now_ms < instance.avoided_until_ms {
                 continue;
             }
             sum += instance.usable_slots();
@@ -246,7 +246,7 @@
     pub fn free_slots(&self, now_ms: u64) -> u32 {
         let mut free = 0;
         for instance in self.instances.values() {
-            if instance.is_leaving || now_ms < instance.shunned_until_ms {
+            if instance.is_leaving || now_ms < instance.avoided_until_ms {
                 continue;
             }
             free += instance.usable_slots().saturating_sub(instance.in_use);
@@ -277,12 +277,12 @@
             return Some(Verdict::Refused { retry_after_ms });
         }
         if self.waiting.is_empty()
-            && let Some(instance) = self.choose(now_ms)
+            && let Some(instance) = self.choose_instance(now_ms)
         {
             return Some(self.grant(now_ms, instance, entry));
         }
         let wait_ms = self.expected_wait_ms(now_ms);
-        let slots = self.open_slots(now_ms);
+        let slots = self.available_slots(now_ms);
         let is_full = self.waiting.len() as u32 >= slots * self.bounds.waiting_per_slot;
         if is_full || slots == 0 || now_ms + wait_ms > entry.begin_by_ms {
             let retry_after_ms = wait_ms.max(1);
@@ -318,13 +318,13 @@
         }
         let key = held.instance;
         match released.ended {
-            GrantOutcome::Answered { latency_ms } => self.note_answer(key, latency_ms),
+            GrantOutcome::Answered { latency_ms } => self.record_answer(key, latency_ms),
             GrantOutcome::Failed { .. } | GrantOutcome::NotStarted => {
-                self.note_failure(now_ms, key)
+                self.record_failure(now_ms, key)
             }
             GrantOutcome::Unused => {}
             GrantOutcome::Unknown => {
-                self.note_failure(now_ms, key);
+                self.record_failure(now_ms, key);
                 return;
             }
         }
@@ -359,7 +359,7 @@
                 verdicts.push((entry, Verdict::Refused { retry_after_ms }));
                 continue;
             }
-            let Some(instance) = self.choose(now_ms) else {
+            let Some(instance) = self.choose_instance(now_ms) else {
                 break;
             };
             self.waiting.pop_front();
@@ -373,11 +373,11 @@
     /// An instance that has become slow is passed over while a slot of a fast one
     /// is expected to come free early enough. One request a second still goes
     /// there, so that one notices when it has recovered.
-    fn choose(&self, now_ms: u64) -> Option<InstanceKey> {
+    fn choose_instance(&self, now_ms: u64) -> Option<InstanceKey> {
         let mut best: Option<(u64, InstanceKey)> = None;
         let mut fastest_us = u64::MAX;
         for (key, instance) in &self.instances {
-            if instance.is_leaving || now_ms < instance.shunned_until_ms {
+            if instance.is_leaving || now_ms < instance.avoided_until_ms {
                 continue;
             }
             if instance.failures == 0 && instance.latency_us > 0 {
@@ -394,7 +394,7 @@
         let (_, key) = best?;
         let instance = &self.instances[key];
         let is_slow = instance.latency_us / SLOW_FACTOR > fastest_us;
-        if !is_slow || now_ms >= instance.used_ms + PROBE_MS {
+        if !is_slow || now_ms >= instance.last_granted_ms + PROBE_MS {
             return Some(key);
         }
         let wait_us = self.expected_wait_ms(now_ms) * 1_000;
@@ -409,7 +409,7 @@
     fn grant(&mut self, now_ms: u64, instance: InstanceKey, entry: SlotRequest) -> Verdict {
         let held = &mut self.instances[instance];
         held.in_use += 1;
-        held.used_ms = now_ms;
+        held.last_granted_ms = now_ms;
         let grant = self.grants.insert(Grant {
             instance,
             requester: entry.requester,
@@ -443,7 +443,7 @@
         instance.in_use -= 1;
     }
 
-    fn note_answer(&mut self, key: InstanceKey, latency_ms: u64) {
+    fn record_answer(&mut self, key: InstanceKey, latency_ms: u64) {
         const WEIGHT: u64 = 8;
         let instance = &mut self.instances[key];
         let latest_us = latency_ms.max(1) * 1_000;
@@ -457,21 +457,21 @@
     /// Counts a failure. An instance that fails everything at once would look
     /// the fastest of all and draw all load; its failures shun it for a while,
     /// after which one request probes it.
-    fn note_failure(&mut self, now_ms: u64, key: InstanceKey) {
+    fn record_failure(&mut self, now_ms: u64, key: InstanceKey) {
         let instance = &mut self.instances[key];
         instance.failures += 1;
-        if instance.failures < FAILURES_BORNE {
+        if instance.failures < MAX_FAILURES {
             return;
         }
-        let doublings = (instance.failures - FAILURES_BORNE).min(3);
-        instance.shunned_until_ms = now_ms + (SHUN_MS << doublings);
+        let doublings = (instance.failures - MAX_FAILURES).min(3);
+        instance.avoided_until_ms = now_ms + (AVOID_MS << doublings);
     }
 
     fn expected_wait_ms(&self, now_ms: u64) -> u64 {
         const UNKNOWN_US: u64 = 10_000;
-        let slots = self.open_slots(now_ms);
+        let slots = self.available_slots(now_ms);
         if slots == 0 {
-            return SHUN_MS;
+            return AVOID_MS;
         }
         let known = self
             .instances
--- a/crates/core/src/writer.rs
+++ b/crates/core/src/writer.rs
@@ -42,9 +42,9 @@
         const WHOLE: u64 = 1_000;
         let passed_ms = now_ms.saturating_sub(self.counted_ms);
         self.counted_ms = self.counted_ms.max(now_ms);
-        let most = WHOLE * limits.appends_per_s / 2 + WHOLE;
+        let cap = WHOLE * limits.appends_per_s / 2 + WHOLE;
         let earned = passed_ms.saturating_mul(limits.appends_per_s);
-        self.thousandths = self.thousandths.saturating_add(earned).min(most);
+        self.thousandths = self.thousandths.saturating_add(earned).min(cap);
         if self.thousandths < WHOLE {
             return false;
         }
@@ -63,8 +63,8 @@
     /// When the pending records are to be sent; never if there are none.
     due_ms: u64,
     under_way: Vec<Record>,
-    alone: Option<Vec<Record>>,
-    is_alone: bool,
+    snapshot: Option<Vec<Record>>,
+    is_snapshot: bool,
     failures: u32,
 }
 
@@ -78,8 +78,8 @@
             pending: Vec::new(),
             due_ms: u64::MAX,
             under_way: Vec::new(),
-            alone: None,
-            is_alone: false,
+            snapshot: None,
+            is_snapshot: false,
             failures: 0,
         }
     }
@@ -112,18 +112,18 @@
     /// reader could otherwise find a part of it, and the writer would take the
     /// records for new ones and act on them again.
     pub fn push_alone(&mut self, records: Vec<Record>) {
-        self.alone = Some(records);
+        self.snapshot = Some(records);
     }
 
     /// Tells whether state carried forward is not yet known to be in the log.
     pub fn has_pending_snapshot(&self) -> bool {
-        self.alone.is_some() || self.is_alone
+        self.snapshot.is_some() || self.is_snapshot
     }
 
     /// Counts the records that are not yet known to be in the log.
     pub fn waiting(&self) -> usize {
-        let alone = self.alone.as_ref().map_or(0, Vec::len);
-        self.pending.len() + self.under_way.len() + alone
+        let snapshot = self.snapshot.as_ref().map_or(0, Vec::len);
+        self.pending.len() + self.under_way.len() + snapshot
     }
 
     /// Gives back the records that were never sent; for refusing their callers.
@@ -160,16 +160,16 @@
     /// Records that come while one is under way, or while the budget is used up,
     /// share the next.
     fn begin(&mut self, now_ms: u64, limits: &Limits, budget: &mut Appends) -> Option<Step> {
-        let is_due = self.alone.is_some()
+        let is_due = self.snapshot.is_some()
             || self.pending.len() >= limits.batch_records
             || now_ms >= self.due_ms;
         if !is_due || !budget.take(now_ms, limits) {
             return None;
         }
         self.sequence += 1;
-        if let Some(records) = self.alone.take() {
+        if let Some(records) = self.snapshot.take() {
             self.under_way = records;
-            self.is_alone = true;
+            self.is_snapshot = true;
             return Some(self.send(now_ms));
         }
         let count = self.pending.len().min(limits.batch_records);
@@ -198,7 +198,7 @@
         self.phase = Phase::Idle;
         self.failures = 0;
         let records = std::mem::take(&mut self.under_way);
-        if std::mem::take(&mut self.is_alone) {
+        if std::mem::take(&mut self.is_snapshot) {
             return Vec::new();
         }
         records
