--- a/crates/core/src/placement/calls.rs
+++ b/crates/core/src/placement/calls.rs
@@ -14,8 +14,8 @@
 use super::types::TaskUpdate;
 use super::types::WorkerCall;
 use super::types::WorkerReport;
-use crate::guard::Load;
 use crate::ids::hash;
+use crate::interference::Load;
 
 impl WorkerCell {
     /// Does what is due; gives the calls to send, by host.
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -12,13 +12,13 @@
 
 mod calls;
 mod orders;
-mod room;
+mod reservations;
 mod types;
 
-use crate::guard::INTERFERENCE_SETTINGS;
-use crate::guard::InterferenceControl;
-use crate::guard::InterferenceSettings;
 use crate::ids::Term;
+use crate::interference::INTERFERENCE_SETTINGS;
+use crate::interference::InterferenceControl;
+use crate::interference::InterferenceSettings;
 use crate::macros::plain;
 use goldcrestway_inventory::Resources;
 use slotmap::SlotMap;
