--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,8 +1,8 @@
-//! Who owns which cell, as the log's order decides it.
+//! The owners of all cells, as decided by the order of the log.
 //!
-//! Readers of the stream `claims` all reach the same table, since a record takes
-//! effect or not by what stands before it. A plain append is enough: a claim of a
-//! cell that has an owner simply has no effect.
+//! All readers of the stream `claims` compute the same table, because whether a
+//! record takes effect depends only on the records before it. A plain append is
+//! enough: a claim of a cell that has an owner has no effect.
 
 use crate::ids::Cell;
 use crate::ids::Member;
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// The owner of a cell and since which claim.
+/// The owner of a cell and the term of its ownership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Owner {
     /// The member.
     pub member: Member,
-    /// Fencing token of its ownership.
+    /// Fencing token of the ownership.
     pub term: Term,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl ClaimTable {
-    /// Applies the record at `offset`; gives the cells whose owner changed.
+    /// Applies the record at `offset`; returns the cells whose owner changed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Vec<Cell> {
         match record {
             Record::Depose { target, .. } => self.depose(*target),
@@ -44,33 +44,36 @@
         }
     }
 
-    /// Gives the owner of `cell`.
+    /// Returns the owner of `cell`.
     pub fn owner(&self, cell: Cell) -> Option<Owner> {
         self.owners.get(&cell).copied()
     }
 
-    /// Tells whether `cell` ever had an owner, so that acts of it may linger.
+    /// Returns whether `cell` ever had an owner, whose actions may still be in
+    /// flight.
     pub fn had_owner(&self, cell: Cell) -> bool {
         self.previous_terms.contains_key(&cell)
     }
 
-    /// Tells whether `member` is deposed.
+    /// Returns whether `member` is deposed, which means that its ownerships have
+    /// ended.
     pub fn is_deposed(&self, member: Member) -> bool {
         let deposed = self.deposed.get(&member.seat);
         deposed.is_some_and(|incarnation| member.incarnation <= *incarnation)
     }
 
-    /// Gives the highest incarnation at a seat that was deposed; 0 if none was.
+    /// Returns the highest incarnation at a seat that was deposed; 0 if none was.
     pub fn deposed_incarnation(&self, seat: Seat) -> u64 {
         self.deposed.get(&seat).copied().unwrap_or(0)
     }
 
-    /// Lists the cells with their owners.
+    /// Returns the cells with their owners.
     pub fn owners(&self) -> impl Iterator<Item = (Cell, Owner)> + '_ {
         self.owners.iter().map(|(cell, owner)| (*cell, *owner))
     }
 
-    /// Gives the whole table as a record that stands for all before `as_of`.
+    /// Returns the table as a snapshot record that replaces all records before
+    /// `as_of`.
     pub fn snapshot(&self, as_of: u64) -> Record {
         let mut deposed: Vec<Member> = Vec::new();
         for (seat, incarnation) in &self.deposed {
@@ -156,7 +159,7 @@
         changed
     }
 
-    /// Replaces the table by one that was carried forward.
+    /// Replaces the table by a snapshot.
     pub fn restore(&mut self, owners: &[(Cell, Member, Term)], deposed: &[Member]) {
         self.owners.clear();
         for (cell, member, term) in owners {
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,9 +1,9 @@
-//! The configuration in force, as the log's order decides it.
+//! The configuration in force, as decided by the order of the log.
 //!
-//! A change names the version on which it was made and takes effect only if that
-//! version is current where the change stands in the log. Of two operators who
-//! publish at once exactly one wins; every process reaches the same verdict.
-//! Versions only grow, so nothing reverts.
+//! A change names the version that it is based on and takes effect only if that
+//! version is current at the change's position in the log. Of two operators who
+//! publish at the same time exactly one succeeds, and every process computes the same
+//! outcome. Versions only grow, and no change is reverted.
 
 use crate::macros::plain;
 use crate::record::ConfigChange;
@@ -17,21 +17,21 @@
 use std::collections::VecDeque;
 
 plain! {
-    /// What became of a published change.
+    /// Outcome of publishing a change.
     pub enum PublishOutcome {
-        /// It is the configuration with this version.
+        /// The change is the configuration with this version.
         Accepted {
             /// The version.
             version: u64,
         },
         /// Another change came first.
         Overtaken {
-            /// Version that was current where the change stands.
+            /// Version that was current at the change's position.
             version: u64,
-            /// Who made that version.
+            /// Author of that version.
             author: Box<str>,
         },
-        /// The result would be faulty.
+        /// The resulting configuration would be faulty.
         Faulty {
             /// The faults, one a line.
             faults: Box<str>,
@@ -39,10 +39,11 @@
     }
 }
 
-/// Identities of changes whose fate is remembered for those who ask again.
+/// Maximum number of changes whose outcome is remembered for operators that ask
+/// again.
 const MAX_OUTCOMES: usize = 1_000;
 
-/// The configuration and how it came about.
+/// The configuration and the outcomes of recent changes.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
     version: u64,
@@ -54,32 +55,32 @@
 }
 
 impl Config {
-    /// Gives the version in force; 0 before the first one.
+    /// Returns the version in force; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Gives who made the version in force.
+    /// Returns the author of the version in force.
     pub fn author(&self) -> &str {
         &self.author
     }
 
-    /// Gives the inventory in force.
+    /// Returns the inventory in force.
     pub fn inventory(&self) -> &Inventory {
         &self.inventory
     }
 
-    /// Gives the sections in force.
+    /// Returns the sections in force.
     pub fn sections(&self) -> &Sections {
         &self.sections
     }
 
-    /// Tells what became of the change with this identity, if it was seen.
+    /// Returns the outcome of the change with this identity, if it was seen.
     pub fn publish_outcome(&self, id: &str) -> Option<&PublishOutcome> {
         self.outcomes.get(id)
     }
 
-    /// Applies the record at `offset`; tells whether the configuration changed.
+    /// Applies the record at `offset`; returns whether the configuration changed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> bool {
         match record {
             Record::Config(change) => self.change(offset, change),
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Takes over a configuration that was carried forward.
+    /// Replaces the configuration by a snapshot, if that is newer; returns whether it
+    /// was replaced.
     pub fn restore(&mut self, version: u64, changes: &[Change]) -> bool {
         if version <= self.version {
             return false;
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Gives the whole configuration as a record that stands for all before
-    /// `as_of`.
+    /// Returns the configuration as a snapshot record that replaces all records
+    /// before `as_of`.
     pub fn snapshot(&self, as_of: u64) -> Record {
         Record::ConfigSnapshot {
             as_of,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions and what comes out.
+//! Events that a node handles, and the actions and answers that it returns.
 
 use crate::config::PublishOutcome;
 use crate::ids::Member;
@@ -17,63 +17,66 @@
 use crate::record::Outcome;
 
 plain! {
-    /// A caller's request, as far as the decisions need it.
+    /// A caller's request, with what the node needs to know of it.
     pub struct Request {
-        /// Number given by this entry host.
+        /// Number that this entry host has given to the request.
         pub request: u64,
-        /// Service that it is for.
+        /// Service that the request is for.
         pub service: Box<str>,
         /// Identity given by the caller, hashed with the service's name.
         pub identity: Option<u128>,
-        /// Hash of what it asks, to notice an identity that is used twice.
+        /// Hash of the request's content, which shows whether an identity is used for
+        /// two different requests.
         pub fingerprint: u64,
-        /// May safely be sent again once a former attempt has ended.
+        /// The request may be sent again once the previous attempt has ended.
         pub is_idempotent: bool,
-        /// When its caller stops waiting.
+        /// Time at which the caller stops waiting.
         pub deadline_ms: u64,
     }
 
-    /// How an attempt at an instance ended.
+    /// Outcome of an attempt to send a request to an instance.
     #[derive(Copy)]
     pub enum AttemptOutcome {
-        /// A whole answer arrived and is held at the edge.
+        /// A complete answer arrived; the edge keeps it until the node says what to
+        /// do with it.
         Complete {
             /// Its HTTP status.
             status: u16,
-            /// Time from sending to the whole answer.
+            /// Time from sending the request until the answer was complete.
             latency_ms: u64,
         },
-        /// Nothing reached the instance, though it was tried.
+        /// The attempt was made, but nothing reached the instance.
         NotStarted,
-        /// It was too late to try.
+        /// The time by which the attempt had to begin had passed.
         Expired,
-        /// No whole answer came; the instance may still be working.
+        /// No complete answer arrived; the instance may still be working on the
+        /// request.
         Interrupted,
     }
 
-    /// A part of a stream.
+    /// Records of a stream that one read has returned.
     pub struct StreamPage {
-        /// Offset of the oldest record still kept.
+        /// Offset of the oldest record that the log still has.
         pub oldest: u64,
-        /// Where reading goes on.
+        /// Offset at which the next read begins.
         pub next: u64,
-        /// Whether the part reaches the end of the stream.
+        /// Whether the page reaches the end of the stream.
         pub is_end: bool,
-        /// Batches with their offsets; `None` for one that can't be read.
+        /// Batches with their offsets; `None` for a batch that can't be decoded.
         pub batches: Box<[(u64, Option<Batch>)]>,
     }
 
     /// A host or instance in the platform's list.
     pub struct PlatformHost {
-        /// Name of the host or upstream in the inventory.
+        /// Name of the host or instance in the inventory.
         pub name: Box<str>,
-        /// Where it is reached.
+        /// Address at which it is reached.
         pub address: Box<str>,
-        /// It is about to go.
+        /// The platform is about to remove it.
         pub is_leaving: bool,
     }
 
-    /// Something that happened.
+    /// An input of the node.
     #[expect(missing_docs, reason = "The comment of each variant covers its fields.")]
     pub enum Event {
         /// Time has passed.
@@ -82,7 +85,7 @@
         Peer { from: Member, message: Message },
         /// A caller's request.
         Request(Request),
-        /// A caller has gone and awaits no answer.
+        /// A caller has disconnected and awaits no answer.
         CallerGone { request: u64 },
         /// An attempt has ended.
         AttemptEnded { request: u64, outcome: AttemptOutcome },
@@ -90,52 +93,53 @@
         Submit { request: u64, spec: JobSpec },
         /// A change of configuration is published.
         Publish { request: u64, change: ConfigChange },
-        /// An append was acknowledged, or its answer was lost.
+        /// An append was acknowledged with its offset; `None` if there was no
+        /// acknowledgement.
         Appended { stream: Stream, sequence: u64, offset: Option<u64> },
-        /// A part of a stream was read, or reading failed.
+        /// A page of a stream was read; `None` if the read failed.
         Read { stream: Stream, page: Option<StreamPage> },
-        /// A worker answered, or did not.
+        /// A worker answered a call with its report; `None` if the call failed.
         WorkerAnswered { cell: u64, host: HostKey, token: u64, report: Option<WorkerReport> },
         /// The platform's list of hosts.
         Hosts(Box<[PlatformHost]>),
-        /// A planned stop begins.
+        /// A planned shutdown begins.
         Stop,
     }
 
-    /// What a caller or operator is told.
+    /// The answer to a caller or operator.
     #[expect(missing_docs, reason = "The comment of each variant covers its fields.")]
     pub enum Answer {
-        /// The whole answer that the edge holds.
+        /// The complete answer that the edge has kept.
         Whole,
-        /// It did not run; asking again makes sense after the given time.
+        /// The request did not run. The caller may repeat it after the given time.
         NotRun { reason: &'static str, retry_after_ms: u64 },
-        /// Whether it ran can't be told; asking again makes sense after the given
-        /// time, or not at all if that is 0.
+        /// It is unknown whether the request ran. The caller may repeat it after the
+        /// given time, or not at all if that is 0.
         Unknown { reason: &'static str, retry_after_ms: u64 },
-        /// An earlier request with this identity has ended like this.
+        /// An earlier request with this identity has ended with this outcome.
         Repeated { outcome: Outcome, status: u16 },
         /// The identity was used for a different request.
         Conflict,
-        /// No such service or job is listed.
+        /// The inventory has no such service or job.
         NotListed,
-        /// The job is accepted and stands here.
+        /// The job is accepted and in this state.
         Job { state: JobState },
-        /// The job could never run.
+        /// No worker could ever run the job.
         NeverRuns { reason: Box<str> },
-        /// What became of the published change.
+        /// The outcome of publishing a change.
         Published(PublishOutcome),
     }
 
-    /// Something to do.
+    /// An output of the node, which the process that embeds it carries out.
     #[expect(missing_docs, reason = "The comment of each variant covers its fields.")]
     pub enum Action {
         /// Send a message to the process at a seat.
         Send { to: Seat, message: Message },
         /// Append a batch.
         Append { stream: Stream, batch: Batch },
-        /// Read a stream on from an offset.
+        /// Read a stream from an offset.
         Read { stream: Stream, from: u64 },
-        /// Send a request to an instance, unless the time has passed.
+        /// Send a request to an instance, unless `begin_by_ms` has passed.
         Attempt {
             request: u64,
             address: Box<str>,
@@ -143,15 +147,15 @@
             begin_by_ms: u64,
             response_max_bytes: u64,
         },
-        /// Call a worker, unless the time has passed.
+        /// Call a worker, unless `begin_by_ms` has passed.
         CallWorker { cell: u64, host: HostKey, address: Box<str>, call: WorkerCall, begin_by_ms: u64 },
         /// Answer a caller or operator.
         Answer { request: u64, answer: Answer },
-        /// Say what happened.
+        /// Log a numbered event.
         Note(Note),
-        /// Tell the balancer whether to send requests here.
+        /// Set the readiness that the load balancer sees.
         Ready(bool),
-        /// The planned stop is complete.
+        /// The planned shutdown is complete.
         Stopped,
     }
 }
--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -1,31 +1,31 @@
-//! Identities of non-idempotent requests: each runs at most once.
+//! Identities of non-idempotent requests, each of which runs at most once.
 //!
-//! What goes wrong without it: a caller hears nothing, repeats its request at
-//! another entry host, and a truck is sent twice. The owner of the identity's
-//! cell records an intent in the log before the request may run, so a later
-//! owner knows of it. A repeat is told what became of the first.
+//! Without them, a caller that gets no answer and repeats its request at another
+//! entry host causes it to run twice, and a truck is sent twice. The owner of the
+//! identity's cell records an intent in the log before the request may run, which
+//! informs later owners. A repeated request gets the outcome of the first one.
 
 use crate::record::Outcome;
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
-/// What is known of an identity.
+/// State of an identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Its intent is on the way into the log.
+    /// Its intent is being written to the log.
     Recording,
-    /// It may run, or may have run.
+    /// The request may run, or may have run.
     Begun,
-    /// It ended.
+    /// The request has ended.
     Ended {
-        /// How.
+        /// Its outcome.
         outcome: Outcome,
         /// HTTP status of the answer, 0 if there was none.
         status: u16,
     },
 }
 
-/// What a request with an identity is told.
+/// Result of admitting a request with an identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// New: its intent must be recorded, then it may run.
@@ -51,7 +51,7 @@
 }
 
 impl IdentityTable {
-    /// Admits a request; a new one is entered as recording.
+    /// Admits a request; a new identity is entered in the state `Recording`.
     pub fn admit(&mut self, now_ms: u64, identity: u128, fingerprint: u64) -> Admission {
         match self.entries.get(&identity) {
             Some(entry) if entry.fingerprint != fingerprint => Admission::Conflict,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Gives what is known of an identity.
+    /// Returns the state of an identity.
     pub fn state(&self, identity: u128) -> Option<State> {
         self.entries.get(&identity).map(|entry| entry.state)
     }
 
-    /// Notes that the intent stands in the log.
+    /// Records that the intent is in the log.
     pub fn begin(&mut self, now_ms: u64, identity: u128, fingerprint: u64) {
         match self.entries.get_mut(&identity) {
             Some(entry) => entry.state = State::Begun,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Notes how a request ended; one that did not run may be sent again.
+    /// Records the outcome of a request; one that did not run may be sent again.
     pub fn end(&mut self, identity: u128, outcome: Outcome, status: u16) {
         if outcome == Outcome::NotRun {
             self.entries.remove(&identity);
@@ -87,14 +87,15 @@
         }
     }
 
-    /// Forgets an identity whose intent never reached the log.
+    /// Removes an identity whose intent never reached the log.
     pub fn withdraw(&mut self, identity: u128) {
         if self.entries.get(&identity).map(|entry| entry.state) == Some(State::Recording) {
             self.entries.remove(&identity);
         }
     }
 
-    /// Forgets identities older than the window within which callers repeat.
+    /// Removes identities older than `window_ms`, the time within which callers
+    /// repeat requests.
     pub fn forget(&mut self, now_ms: u64, window_ms: u64) {
         while let Some((since_ms, identity)) = self.by_age.front().copied() {
             if now_ms < since_ms + window_ms {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Lists identities that are in the log, for carrying them forward.
+    /// Returns the identities that are in the log, for a snapshot.
     pub fn list(&self) -> Vec<(u128, u64, State)> {
         let kept = self
             .entries
@@ -121,12 +122,12 @@
         list
     }
 
-    /// Counts the identities.
+    /// Returns the number of identities.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether there are no identities.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Small `Copy` keys for members, cells, terms and streams.
+//! Identifiers of members, cells, terms and streams.
 
 use crate::macros::key;
 use std::fmt;
@@ -6,21 +6,22 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 key! {
-    /// Place of an entry host in the settings; processes come and go at it.
+    /// Number of an entry host in the settings. A process that is replaced keeps the
+    /// seat of its predecessor.
     pub struct Seat(pub u16);
 
-    /// One life of a process at a seat. A later life has a higher incarnation;
-    /// a life whose lease lapsed is over for good.
+    /// One incarnation of the process at a seat. A later one has a higher number, and
+    /// an incarnation whose lease has expired never acts again.
     pub struct Member {
         /// The seat.
         pub seat: Seat,
-        /// Wall-clock milliseconds at the start of this life, or higher.
+        /// Wall-clock milliseconds at the start of this incarnation, or higher.
         pub incarnation: u64,
     }
 
-    /// A part of the fleet with one owner at a time.
+    /// A shard of the fleet's state, which has one owner at a time.
     pub enum Cell {
-        /// Request identities and jobs whose hash falls into this range.
+        /// Request identities and jobs whose hash falls into this shard.
         Keys(u16),
         /// The workers of one rack, by [`hash`] of the rack's name.
         Workers(u64),
@@ -29,8 +30,9 @@
         Upstreams(u64),
     }
 
-    /// Offset of the claim that made a member owner of a cell, plus one. It only
-    /// grows, and it is the fencing token on every act for the cell.
+    /// Fencing token of an ownership: the offset of the claim that made a member the
+    /// owner of a cell, plus one. It only grows, and every action for the cell
+    /// carries it.
     #[derive(Default)]
     pub struct Term(pub u64);
 
@@ -72,35 +74,36 @@
 }
 
 impl Cell {
-    /// Names the cell of the workers in `rack`.
+    /// Returns the cell of the workers in `rack`.
     pub fn workers(rack: &str) -> Self {
         Cell::Workers(hash(rack))
     }
 
-    /// Names the cell of the instances of `service` in `failure_domain`.
+    /// Returns the cell of the instances of `service` in `failure_domain`.
     pub fn upstreams(service: &str, failure_domain: &str) -> Self {
         Cell::Upstreams(hash(&format!("{service}/{failure_domain}")))
     }
 
-    /// Names the cell that keeps `text`, one of `cells`.
+    /// Returns the cell of keys, one of `cells`, that `text` is hashed to.
     pub fn keys(text: &str, cells: u16) -> Self {
         Cell::Keys((hash(text) % u64::from(cells.max(1))) as u16)
     }
 }
 
-/// Hashes a name to a key that is the same in every process.
+/// Hashes a name to a number that is the same in every process.
 pub fn hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
 
-/// Hashes a request's identity, wide enough that two never meet.
+/// Hashes a request's identity to 128 bits, which makes collisions negligible.
 pub fn identity_hash(bytes: &[u8]) -> u128 {
     xxh3_128(bytes)
 }
 
-/// Ranks `seat` for `cell`: the live seat with the highest weight should own it.
+/// Returns the rendezvous hashing weight of `seat` for `cell`. The live seat with the
+/// highest weight should own the cell.
 ///
-/// Rendezvous hashing moves only the cells of a seat that comes or goes.
+/// When a seat is added or removed, only its own cells move.
 pub fn rendezvous_weight(cell: Cell, seat: Seat) -> u64 {
     let (kind, number) = match cell {
         Cell::Keys(number) => (1_u8, u64::from(number)),
--- a/crates/core/src/layout.rs
+++ b/crates/core/src/layout.rs
@@ -1,4 +1,4 @@
-//! Which cells the inventory is cut into.
+//! The cells that an inventory is divided into.
 
 use crate::ids::Cell;
 use goldcrestway_inventory::Inventory;
@@ -10,7 +10,7 @@
 pub struct Group {
     /// The service.
     pub service: Box<str>,
-    /// Names of its instances here.
+    /// Names of its instances in the failure domain.
     pub upstreams: Vec<Box<str>>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Layout {
-    /// Cuts `inventory` into cells, with `key_cells` cells of keys.
+    /// Divides `inventory` into cells, with `key_cells` cells of keys.
     pub fn build(inventory: &Inventory, key_cells: u16) -> Self {
         let mut layout = Layout::default();
         layout.cells.extend((0..key_cells).map(Cell::Keys));
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,15 +1,15 @@
-//! The lease under which a member may act, and the voters' promises behind it.
+//! The lease under which a member may act, and the votes that extend it.
 //!
-//! Every member asks the voters (the first few seats of the settings) for
-//! promises with each heartbeat. While a majority of promises holds, no other
-//! member can be allowed to depose it, because deposing takes the consent of a
-//! majority too, and a voter gives none while its own promise holds. This needs
-//! no log, so ownership outlives an outage of the log.
+//! With each heartbeat a member asks the voters (the first few seats of the settings)
+//! for their votes. While the votes of a majority are in force, no other member can
+//! depose it: deposing needs the consent of a majority too, and a voter does not
+//! consent while its own vote is in force. This needs no log, which means that
+//! ownership survives an outage of the log.
 //!
-//! What goes wrong without it: a member that is paused, or cut off while others
-//! are not, goes on acting for cells that somebody else has claimed. It notices
-//! by its own clock: the moment its lease lapses, that life of it is over, and it
-//! starts another one without cells.
+//! The lease guards against a member that was paused, or is cut off while others are
+//! not, and still acts for cells that another member has claimed. The member detects
+//! this by its own clock: once its lease expires, that incarnation never acts again,
+//! and the process starts a new one without cells.
 
 use crate::ids::Member;
 use crate::ids::Seat;
@@ -17,17 +17,17 @@
 use std::collections::HashMap;
 use std::collections::HashSet;
 
-/// Where a member's own lease stands.
+/// State of a member's own lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// No majority has promised yet.
+    /// No majority has voted yet.
     Joining,
     /// The member may act until the given time.
     InForce {
         /// End of the lease by the member's own clock.
         until_ms: u64,
     },
-    /// The lease was in force and has lapsed; this life is over.
+    /// The lease was in force and has expired; this incarnation has ended.
     Expired,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Lease {
-    /// Starts without promises, of which a majority of `voters` will be needed.
+    /// Creates a lease without votes; it needs those of a majority of `voters`.
     pub fn new(voters: usize) -> Self {
         Self {
             quorum: voters / 2 + 1,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Notes a promise to a heartbeat that was sent at `sent_ms`.
+    /// Records a vote in answer to a heartbeat that was sent at `sent_ms`.
     pub fn record_vote(&mut self, voter: Seat, sent_ms: u64, lease_ms: u64) {
         let until = self.until_ms.entry(voter).or_default();
         *until = (*until).max(sent_ms + lease_ms);
@@ -63,7 +63,7 @@
         self.end_ms = ends[self.quorum - 1];
     }
 
-    /// Tells where the lease stands at `now_ms`.
+    /// Returns the state of the lease at `now_ms`.
     pub fn state(&mut self, now_ms: u64) -> LeaseState {
         if now_ms < self.end_ms {
             self.was_in_force = true;
@@ -79,11 +79,11 @@
     }
 }
 
-/// What a voter has promised and consented to.
+/// The votes and consents that a voter has given.
 ///
-/// A voter keeps nothing across restarts, so a new one abstains for as long as a
-/// promise of its former life could hold. Otherwise it would consent to depose a
-/// member that still holds a promise which the voter has forgotten.
+/// A voter stores nothing across restarts. A new one abstains for as long as a vote
+/// of its previous incarnation could be in force; otherwise it could consent to
+/// depose a member whose lease rests on a vote that the voter no longer knows.
 #[derive(Debug, Clone)]
 pub struct Voter {
     abstains_until_ms: u64,
@@ -93,7 +93,7 @@
 }
 
 impl Voter {
-    /// Starts a voter at `now_ms`.
+    /// Creates a voter that starts at `now_ms`.
     pub fn new(now_ms: u64, limits: &Limits) -> Self {
         Self {
             abstains_until_ms: now_ms + limits.vote_ms(),
@@ -103,17 +103,19 @@
         }
     }
 
-    /// Tells whether this voter still abstains.
+    /// Returns whether this voter still abstains.
     pub fn abstains(&self, now_ms: u64) -> bool {
         now_ms < self.abstains_until_ms
     }
 
-    /// Promises `member` not to consent to deposing it for a while, if it may.
+    /// Votes for the lease of `member`, which rules out consent to deposing it for
+    /// [`Limits::vote_ms`]; returns whether the vote is granted.
     pub fn grant_vote(&mut self, now_ms: u64, member: Member, limits: &Limits) -> bool {
         if self.abstains(now_ms) || self.consented.contains(&member) {
             return false;
         }
-        // An earlier life at the seat may be carried on by another process.
+        // An earlier incarnation at the seat may be inherited by another process and
+        // vote later.
         let newest = self.newest.entry(member.seat).or_insert(member.incarnation);
         *newest = (*newest).max(member.incarnation);
         let until_ms = now_ms + limits.vote_ms();
@@ -122,7 +124,8 @@
         true
     }
 
-    /// Consents to deposing `target` if no promise to it holds.
+    /// Consents to deposing `target` unless a vote for it is in force; returns
+    /// whether it consents.
     pub fn consent(&mut self, now_ms: u64, target: Member) -> bool {
         if self.abstains(now_ms) {
             return false;
@@ -135,7 +138,8 @@
         true
     }
 
-    /// Drops promises that ended and consents that a newer life has made moot.
+    /// Removes votes that have expired and consents to deposing members that have a
+    /// newer incarnation.
     fn remove_expired(&mut self, now_ms: u64) {
         const MIN_ENTRIES: usize = 1_024;
         if self.promised_until_ms.len() + self.consented.len() < MIN_ENTRIES {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,16 @@
-//! The decisions of goldcrestway: who may act, where requests and jobs go, and
-//! what happens when hosts, links and the log fail.
+//! The decisions of goldcrestway: which host may act, where requests and jobs go, and
+//! how the system reacts when hosts, connections and the log fail.
 //!
-//! Nothing here does input or output, reads a clock or starts a thread. Events and
-//! a time go into a [`Node`], actions come out, and whoever embeds it carries them
-//! out. Times are milliseconds of any monotonic clock.
+//! Nothing in this crate does input or output, reads a clock or starts a thread. A
+//! [`Node`] is given events with the present time and returns actions, which the
+//! embedding process carries out. Times are milliseconds of any monotonic clock.
 //!
 //! ```
 //! use goldcrestway_core::{Action, Event, Limits, Member, Node, Seat};
 //!
 //! let me = Member { seat: Seat(0), incarnation: 1 };
 //! let mut node = Node::new(me, &[Seat(0)], Limits::default(), 0);
-//! // A lone member votes for itself once its former life's promises have ended.
+//! // A single member votes for itself once the votes of its previous incarnation have expired.
 //! let mut now_ms = 0;
 //! let mut is_ready = false;
 //! while !is_ready && now_ms < 10_000 {
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,55 +1,60 @@
-//! Times and bounds that the decisions keep to.
+//! Settings of timeouts, intervals and sizes.
 
 use crate::macros::plain;
 
 plain! {
-    /// Settings of the decisions; the defaults suit today's sizes.
+    /// Timeouts, intervals and sizes; the defaults suit the present size of the
+    /// fleet.
     #[derive(Copy)]
     pub struct Limits {
-        /// Seats that vote on leases, the first ones of those given; odd. A majority
-        /// of them must be reachable for anybody to act.
+        /// Number of seats that vote on leases, the first ones of those given; odd. A
+        /// majority of them must be reachable for any member to act.
         pub voters: usize,
-        /// How long one promise of a voter holds.
+        /// Time for which one vote extends a lease.
         pub lease_ms: u64,
         /// Time between two heartbeats of a member.
         pub heartbeat_ms: u64,
-        /// How much two clocks may differ in rate, in thousandths.
+        /// Largest difference in rate between two clocks, in thousandths.
         pub skew_permille: u64,
-        /// How long an act may still be under way after its lease was checked.
+        /// Longest time for which an action may still be in flight after its lease
+        /// was checked.
         pub act_ms: u64,
-        /// Silence after which a member is taken for dead.
+        /// Time without a heartbeat after which a member is taken for dead.
         pub suspect_ms: u64,
         /// Number of [`crate::Cell::Keys`] cells; the same on every host.
         pub key_cells: u16,
-        /// Appends that this host may make; all hosts together must stay within
-        /// what the log takes.
+        /// Appends per second that this host may make; all hosts together must stay
+        /// within what the log accepts.
         pub appends_per_s: u64,
-        /// How long records that nobody waits for may wait to share an append.
+        /// Time for which records that nobody waits for are delayed to share an
+        /// append.
         pub lazy_ms: u64,
-        /// Most records that share an append.
+        /// Maximum number of records that share an append.
         pub batch_records: usize,
         /// Time between two reads of a followed stream.
         pub poll_ms: u64,
-        /// Longest silence of the log before an append counts as unresolved.
+        /// Time without an answer from the log after which an append counts as
+        /// unresolved.
         pub append_timeout_ms: u64,
-        /// How long the identity of a request is remembered.
+        /// Time for which the identity of a request is remembered.
         pub identity_window_ms: u64,
-        /// How long a worker runs its tasks on without hearing from the owner.
+        /// Time for which a worker runs its tasks without a call from the owner.
         pub worker_lease_ms: u64,
         /// Time between two calls to a worker.
         pub worker_poll_ms: u64,
-        /// Time within which attempts under a grant must have begun.
+        /// Time within which attempts under a grant must begin.
         pub grant_use_ms: u64,
         /// Retries per thousand requests.
         pub retry_permille: u32,
-        /// Requests that may wait per slot.
+        /// Maximum number of requests that wait per slot.
         pub waiting_per_slot: u32,
-        /// How long a reservation waits for its job's record.
+        /// Time for which resources stay reserved until the job's assignment is
+        /// recorded.
         pub reserve_ms: u64,
-        /// Records after which state is carried forward in a stream.
+        /// Number of records after which a stream gets a new snapshot.
         pub carry_records: u64,
-        /// Time after which state is carried forward even so; well below the
-        /// time for which the log keeps records.
+        /// Time after which a stream gets a new snapshot even so; well below the time
+        /// for which the log retains records.
         pub carry_ms: u64,
     }
 }
@@ -83,11 +88,12 @@
 }
 
 impl Limits {
-    /// How long a voter keeps to a promise, by its own clock.
+    /// Returns the time for which a voter is bound by a lease vote, by its own clock.
     ///
-    /// A member counts its lease from before it asked; the voter counts from when
-    /// it heard. The difference in clock rates and an act that was checked just
-    /// before the lease ended are added, so that the member has stopped first.
+    /// A member counts its lease from before it asked; the voter counts from when the
+    /// request arrived. The difference in clock rates and an action that was checked
+    /// just before the lease ended are added, which makes sure that the member stops
+    /// first.
     pub fn vote_ms(&self) -> u64 {
         self.lease_ms + self.lease_ms * self.skew_permille / 1_000 + self.act_ms
     }
--- a/crates/core/src/macros.rs
+++ b/crates/core/src/macros.rs
@@ -1,6 +1,6 @@
-//! The common sets of derives, so that each kind of type gets the same ones.
+//! Macros that derive the same set of traits for each kind of type.
 
-/// Derives what plain data needs.
+/// Derives the traits of plain data.
 macro_rules! plain {
     ($($item:item)*) => { $(
         #[derive(Debug, Clone, PartialEq, Eq)]
@@ -8,7 +8,7 @@
     )* };
 }
 
-/// Derives what a small `Copy` key needs.
+/// Derives the traits of a small `Copy` key.
 macro_rules! key {
     ($($item:item)*) => { $(
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,4 +1,4 @@
-//! Records that the product keeps in the platform's log.
+//! Records in the platform's log.
 
 use crate::ids::Cell;
 use crate::ids::Member;
@@ -8,100 +8,107 @@
 use goldcrestway_inventory::Change;
 
 key! {
-    /// How a request ended, as a caller is told.
+    /// Outcome of a request, as reported to its caller.
     pub enum Outcome {
-        /// It ran and the whole answer was passed on.
+        /// The request ran and the complete answer was passed on.
         Answered,
-        /// It truly did not run.
+        /// The request certainly did not run.
         NotRun,
-        /// It may have run; whether it did can't be told.
+        /// The request may have run; whether it did can't be known.
         Unknown,
     }
 
-    /// How a job ended.
+    /// Outcome of a job.
     pub enum JobEnd {
-        /// It finished.
+        /// The job finished.
         Finished,
-        /// It failed by itself.
+        /// The job failed by itself.
         Failed,
-        /// It may have run and must not run twice.
+        /// The job may have run and must not run twice.
         Unknown,
-        /// An operator took it back before it started.
+        /// An operator cancelled the job before it started.
         Cancelled,
     }
 }
 
 key! {
-    /// What speaks against a job. It is kept in the log, as whoever owns the job next must go on
-    /// counting.
+    /// Failures and crashes of a job so far. They are recorded in the log, because
+    /// the next owner must continue the count.
     #[derive(Default)]
     pub struct FailureCounts {
         /// Runs that failed by themselves.
         pub failures: u32,
-        /// Workers that restarted under it.
+        /// Workers that restarted while the job ran on them.
         pub crashes: u32,
     }
 }
 
 plain! {
-    /// One submitted job as it is kept.
+    /// A submitted job.
     pub struct JobSpec {
         /// Team and identity, such as `night/roster-17`; unique for good.
         pub id: Box<str>,
         /// Name of the job in the inventory.
         pub job: Box<str>,
-        /// Team that is charged.
+        /// Team whose quota is charged.
         pub team: Box<str>,
     }
 
     /// One configuration change.
     pub struct ConfigChange {
-        /// Version on which it was made.
+        /// Version that the change is based on.
         pub base: u64,
-        /// Identity given by the operator's tool, for asking again.
+        /// Identity given by the operator's tool, by which it can ask for the outcome
+        /// again.
         pub id: Box<str>,
-        /// Who made it.
+        /// Author of the change.
         pub author: Box<str>,
-        /// The sections that differ.
+        /// The sections that the change replaces.
         pub changes: Box<[Change]>,
     }
 
     /// One record.
     #[expect(missing_docs, reason = "The comment of each variant covers its fields.")]
     pub enum Record {
-        /// A majority of voters saw the target's lease lapse; its cells are free.
+        /// A majority of voters has confirmed that the target's lease has expired;
+        /// its cells are free.
         Depose { target: Member, voters: Box<[Member]> },
-        /// A member asks for cells that are free.
+        /// A member claims cells that are free.
         Claim { member: Member, cells: Box<[Cell]> },
-        /// An owner gives up cells, to an heir if one is named.
+        /// An owner releases cells, to a successor if one is named.
         Release { member: Member, cells: Box<[Cell]>, successor: Option<Member> },
-        /// The table of claims as of a position, in place of all records before.
+        /// Snapshot of the table of claims up to a position; it replaces all records
+        /// before.
         ClaimsSnapshot { as_of: u64, owners: Box<[(Cell, Member, Term)]>, deposed: Box<[Member]> },
-        /// A change of configuration; takes effect if its base is current.
+        /// A change of configuration; it takes effect if its base is the current
+        /// version.
         Config(ConfigChange),
-        /// The configuration as of a position, in place of all records before.
+        /// Snapshot of the configuration up to a position; it replaces all records
+        /// before.
         ConfigSnapshot { as_of: u64, version: u64, changes: Box<[Change]> },
-        /// A new owner starts to write; records of lower terms after it are void.
+        /// A new owner starts to write. Records of lower terms after this one are
+        /// void.
         Open { member: Member },
         /// A non-idempotent request is about to run.
         Intent { identity: u128, fingerprint: u64 },
-        /// How such a request ended; `NotRun` frees its identity again.
+        /// Outcome of such a request; `NotRun` frees its identity again.
         IntentEnded { identity: u128, outcome: Outcome, status: u16 },
         /// A job was accepted.
         Accepted(JobSpec),
         /// A job is about to start in a cell of workers.
         Assigned { id: Box<str>, attempt: u32, cell: Cell },
-        /// An attempt has stopped for good; the job resumes from the checkpoint.
+        /// An attempt has stopped for good; the job will resume from the checkpoint.
         Evicted { id: Box<str>, attempt: u32, checkpoint: u64, failure_counts: FailureCounts },
         /// A job has ended.
         Ended { id: Box<str>, attempt: u32, end: JobEnd },
-        /// The state that follows in the same batch replaces all before.
+        /// The records that follow in the same batch are a snapshot and replace all
+        /// before.
         Snapshot,
     }
 
-    /// What one append holds.
+    /// Records that are appended together.
     pub struct Batch {
-        /// Term of the writer's ownership; 0 in streams with many writers.
+        /// Term of the writer's ownership; 0 in streams with several writers.
         pub term: Term,
         /// Number of the batch within its term. A batch whose acknowledgement was
         /// lost is appended again under the same number and counts once.
@@ -111,12 +118,12 @@
     }
 }
 
-/// Tells which batches of a stream count.
+/// Decides which batches of a stream take effect.
 ///
-/// Two things go wrong without it. An owner that lost its cell while an append
-/// was under way still writes after its successor began: its term is lower. A
-/// batch is appended twice because the first acknowledgement was lost: its
-/// sequence was seen.
+/// The filter guards against two faults. An owner that lost its cell while an append
+/// was in flight still writes after its successor began: its term is lower. A batch
+/// is appended twice because the first acknowledgement was lost: its sequence was
+/// seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct BatchFilter {
     /// Highest term seen.
@@ -126,7 +133,7 @@
 }
 
 impl BatchFilter {
-    /// Notes `batch`; tells whether it counts.
+    /// Records `batch` as seen; returns whether it takes effect.
     pub fn admit(&mut self, batch: &Batch) -> bool {
         let seen = (self.term, self.sequence);
         if (batch.term, batch.sequence) <= seen {
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,4 +1,4 @@
-//! A budget for retries, so that a burst of failures does not multiply load.
+//! A budget for retries, which keeps a burst of failures from multiplying the load.
 
 /// Retries allowed for one service, earned by its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -7,13 +7,13 @@
     balance: u32,
 }
 
-/// What one retry costs.
+/// Cost of one retry, in thousandths of a request's share.
 const RETRY_COST: u32 = 1_000;
-/// Most that can be saved up, in retries.
+/// Maximum number of retries that can be saved up.
 const MAX_SAVED_RETRIES: u32 = 10;
 
 impl Budget {
-    /// Starts a budget that earns `permille` retries per thousand requests.
+    /// Creates a budget that earns `permille` retries per thousand requests.
     pub fn new(permille: u32) -> Self {
         Self {
             permille,
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Notes a new request.
+    /// Adds the share of a new request.
     pub fn earn(&mut self) {
         self.balance = (self.balance + self.permille).min(RETRY_COST * MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry from the budget if there is one.
+    /// Spends one retry; returns whether the budget allowed it.
     pub fn spend(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
--- a/crates/core/src/writer.rs
+++ b/crates/core/src/writer.rs
@@ -1,23 +1,22 @@
-//! Group commit to one stream of the log, with one append under way at a time.
+//! Group commit to one stream of the log, with one append in flight at a time.
 //!
-//! What goes wrong without it: the acknowledgement of an append is lost, the
-//! writer appends again, and the records stand twice. One notices by a batch with
-//! a sequence already seen. The writer therefore reads on from where it was and
-//! appends again, under the same sequence, only if the batch is not there;
-//! [`crate::record::BatchFilter`] drops the second copy should the first one
-//! surface later all the same.
+//! If the acknowledgement of an append is lost and the writer simply appends again,
+//! the records are in the log twice. The writer therefore reads on from its last
+//! position and appends again, under the same sequence, only if the batch is not
+//! there. [`crate::record::BatchFilter`] drops the second copy should the first one
+//! appear later even so.
 
 use crate::ids::Term;
 use crate::limits::Limits;
 use crate::record::Batch;
 use crate::record::Record;
 
-/// What the writer wants done.
+/// Next step of a writer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
     /// Append this batch.
     Append(Batch),
-    /// Read the stream on to learn whether the last batch took effect.
+    /// Read on to find out whether the last batch took effect.
     ReadOn,
 }
 
@@ -28,8 +27,8 @@
     Unresolved { retry_ms: u64 },
 }
 
-/// Appends that one entry host may make, so that all hosts together stay within
-/// what the log takes: several hundred a second.
+/// Rate limit for the appends of one entry host, which keeps all hosts together
+/// within what the log accepts: several hundred a second.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Appends {
     thousandths: u64,
@@ -37,7 +36,7 @@
 }
 
 impl Appends {
-    /// Takes one append from the budget if there is one.
+    /// Spends one append; returns whether the rate limit allows it.
     fn take(&mut self, now_ms: u64, limits: &Limits) -> bool {
         const WHOLE: u64 = 1_000;
         let passed_ms = now_ms.saturating_sub(self.counted_ms);
@@ -60,7 +59,8 @@
     sequence: u64,
     phase: Phase,
     pending: Vec<Record>,
-    /// When the pending records are to be sent; never if there are none.
+    /// Time at which the pending records are to be sent; `u64::MAX` if there are
+    /// none.
     due_ms: u64,
     under_way: Vec<Record>,
     snapshot: Option<Vec<Record>>,
@@ -69,7 +69,7 @@
 }
 
 impl Writer {
-    /// Starts a writer whose last batch, if any, had number `sequence`.
+    /// Creates a writer whose last batch, if any, had number `sequence`.
     pub fn new(term: Term, sequence: u64) -> Self {
         Self {
             term,
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Gives the number of the batch that was sent last.
+    /// Returns the number of the batch that was sent last.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Gives the term of this writer.
+    /// Returns the term of this writer.
     pub fn term(&self) -> Term {
         self.term
     }
@@ -100,44 +100,46 @@
         self.pending.push(record);
     }
 
-    /// Queues a record that nobody waits for: it goes along with the next batch, or
-    /// by itself after a while.
+    /// Queues a record that nobody waits for. It is sent with the next batch, or by
+    /// itself after [`Limits::lazy_ms`].
     pub fn push_lazily(&mut self, now_ms: u64, record: Record, limits: &Limits) {
         self.due_ms = self.due_ms.min(now_ms + limits.lazy_ms);
         self.pending.push(record);
     }
 
-    /// Queues records that must stand in a batch of their own, before all that are
-    /// queued later, and that nothing follows from: state carried forward. A
-    /// reader could otherwise find a part of it, and the writer would take the
-    /// records for new ones and act on them again.
+    /// Queues a snapshot, which must be in a batch of its own, before all records
+    /// that are queued later, and which has no further effect when it is committed.
+    /// Otherwise a reader could find a part of it, and the writer would treat its
+    /// records as new ones and act on them again.
     pub fn push_alone(&mut self, records: Vec<Record>) {
         self.snapshot = Some(records);
     }
 
-    /// Tells whether state carried forward is not yet known to be in the log.
+    /// Returns whether a snapshot is not yet known to be in the log.
     pub fn has_pending_snapshot(&self) -> bool {
         self.snapshot.is_some() || self.is_snapshot
     }
 
-    /// Counts the records that are not yet known to be in the log.
+    /// Returns the number of records that are not yet known to be in the log.
     pub fn waiting(&self) -> usize {
         let snapshot = self.snapshot.as_ref().map_or(0, Vec::len);
         self.pending.len() + self.under_way.len() + snapshot
     }
 
-    /// Gives back the records that were never sent; for refusing their callers.
+    /// Removes and returns the records that were never sent, whose callers are to be
+    /// refused.
     pub fn take_unsent(&mut self) -> Vec<Record> {
         self.due_ms = u64::MAX;
         std::mem::take(&mut self.pending)
     }
 
-    /// Tells what to do now.
+    /// Returns the next step, if one is due.
     pub fn step(&mut self, now_ms: u64, limits: &Limits, budget: &mut Appends) -> Option<Step> {
         match self.phase {
             Phase::Idle => self.begin(now_ms, limits, budget),
             Phase::Appending { sent_ms } => {
-                // An append that hangs is resolved like one whose answer is lost.
+                // An append without any result is resolved like one whose answer is
+                // lost.
                 if now_ms < sent_ms + limits.append_timeout_ms * 4 {
                     return None;
                 }
@@ -156,9 +158,9 @@
         }
     }
 
-    /// Begins an append if one is due and the host's budget of appends allows it.
-    /// Records that come while one is under way, or while the budget is used up,
-    /// share the next.
+    /// Begins an append if one is due and the rate limit of the host allows it.
+    /// Records that are queued while an append is in flight, or while the rate limit
+    /// is reached, share the next batch.
     fn begin(&mut self, now_ms: u64, limits: &Limits, budget: &mut Appends) -> Option<Step> {
         let is_due = self.snapshot.is_some()
             || self.pending.len() >= limits.batch_records
@@ -189,8 +191,8 @@
         })
     }
 
-    /// Notes that the append of batch `sequence` took effect; gives the records that
-    /// something follows from.
+    /// Records that the append of batch `sequence` took effect; returns the records
+    /// that are now to be acted on.
     pub fn committed(&mut self, sequence: u64) -> Vec<Record> {
         if sequence != self.sequence || self.phase == Phase::Idle {
             return Vec::new();
@@ -204,7 +206,7 @@
         records
     }
 
-    /// Notes that the answer to an append was lost or was no answer.
+    /// Records that the answer to an append was lost or was a failure.
     pub fn lost(&mut self, now_ms: u64, limits: &Limits) {
         if !matches!(self.phase, Phase::Appending { .. }) {
             return;
@@ -217,12 +219,12 @@
         };
     }
 
-    /// Tells whether `batch` is the one sent last.
+    /// Returns whether `batch` is the one sent last.
     pub fn is_latest(&self, batch: &Batch) -> bool {
         batch.term == self.term && batch.sequence == self.sequence
     }
 
-    /// Notes a batch that was read from the stream; gives its records if it was
+    /// Handles a batch that was read from the stream; returns its records if it was
     /// the unresolved one.
     pub fn seen(&mut self, batch: &Batch) -> Vec<Record> {
         if !self.is_latest(batch) {
@@ -231,8 +233,8 @@
         self.committed(batch.sequence)
     }
 
-    /// Does as [`Writer::seen`] in a stream with many writers, where a batch is
-    /// known by its records.
+    /// Does the same as [`Writer::seen`] in a stream with several writers, where a
+    /// batch is recognized by its records.
     pub fn seen_records(&mut self, records: &[Record]) -> Vec<Record> {
         if self.under_way.is_empty() || *self.under_way != *records {
             return Vec::new();
@@ -240,7 +242,8 @@
         self.committed(self.sequence)
     }
 
-    /// Notes that the stream was read to its end without the unresolved batch.
+    /// Handles that the stream was read to its end without the unresolved batch;
+    /// returns the step that appends it again.
     pub fn absent(&mut self, now_ms: u64) -> Option<Step> {
         match self.phase {
             Phase::Unresolved { .. } => Some(self.send(now_ms)),
