--- a/crates/core/src/interference.rs
+++ b/crates/core/src/interference.rs
@@ -1,40 +1,40 @@
-//! Keeps batch tasks from harming the services beside them on one host.
+//! Keeps batch tasks from degrading the services beside them on the same host.
 //!
-//! How much a kind of job disturbs a service is hidden, differs from pair to pair,
-//! shifts with load, and shows only in measurements that arrive late. The guard
-//! learns it for each kind of job on its host, as the slowdown that one core of
-//! that kind adds. With that it
+//! How much a kind of job slows a service down is not known in advance, differs from
+//! pair to pair, changes with load, and shows only in measurements that arrive late.
+//! The control learns it for each kind of job on its host, as the slowdown that one
+//! core of that kind adds. It uses this to:
 //!
-//! - takes no task of a kind whose cores would bring the service near the bound,
-//!   and tries a kind that it does not know only one task at a time;
-//! - takes processor share from batch tasks when measurements come near the bound,
-//!   which is undone within seconds;
-//! - has a task of the most harmful kind evicted only when little share has not
-//!   helped for a while, since an eviction may cost a double confirmation.
+//! - reject tasks of a kind whose cores would bring the service near the limit, and
+//!   admit only one task at a time of a kind that it does not know;
+//! - reduce the CPU share of batch tasks when measurements come near the limit, which
+//!   can be undone within seconds;
+//! - have a task of the most harmful kind evicted, only when a low share has not
+//!   helped for a while, because an eviction may cost a double confirmation.
 //!
-//! A single bad measurement leads to nothing: the middle one of three counts. What
-//! was learned is raised fast and lowered slowly, so that noise in waves does not
-//! make the guard swing.
+//! A single bad measurement has no effect: the median of the last three counts.
+//! Learned values are raised fast and lowered slowly, which keeps fluctuating noise
+//! from causing oscillation.
 
-/// Slowdown of a service, in thousandths, above which batch work is held back.
+/// Slowdown of a service, in thousandths, from which on batch tasks are limited.
 const HARMFUL_PERMILLE: u32 = 1_250;
-/// Slowdown below which batch work gets share back.
+/// Slowdown, in thousandths, below which batch tasks get back CPU share.
 const SAFE_PERMILLE: u32 = 1_180;
 
-/// Settings of a guard; the benchmarks compare others.
+/// Settings of the control; the benchmarks compare others.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InterferenceSettings {
-    /// Slowdown that batch work may add, as a share of the usual latency.
+    /// Slowdown that batch tasks may add, as a fraction of the usual latency.
     pub max_slowdown: f64,
-    /// Least share of their processors that batch tasks keep.
+    /// Minimum CPU share that batch tasks keep.
     pub min_share: f64,
-    /// Measurements with little share before a task is evicted.
+    /// Number of measurements with a low share before a task is evicted.
     pub eviction_samples: u32,
-    /// Whether it learns, and refuses tasks by what it learned.
+    /// Whether it learns slowdowns and rejects tasks by them.
     pub is_learning: bool,
 }
 
-/// The guard's settings in the product.
+/// The settings used in production.
 pub const INTERFERENCE_SETTINGS: InterferenceSettings = InterferenceSettings {
     max_slowdown: 0.2,
     min_share: 0.25,
@@ -42,19 +42,20 @@
     is_learning: true,
 };
 
-/// Share given back per calm measurement.
+/// CPU share given back per measurement below the limit.
 const SHARE_STEP: f64 = 0.05;
-/// Share at or below which an eviction comes near.
+/// CPU share at or below which measurements count towards an eviction.
 const LOW_SHARE: f64 = 0.5;
-/// Time after a change on the host before measurements teach anything; they lag.
+/// Time after a change on the host during which measurements still show the state
+/// before it.
 const MEASURE_LAG_MS: u64 = 5_000;
-/// How fast what was learned is raised and lowered.
+/// Fractions of the forecast error by which learned values are raised and lowered.
 const RAISE_RATE: f64 = 0.3;
 const LOWER_RATE: f64 = 0.02;
-/// Teachings after which a kind counts as known.
+/// Number of measurements after which a kind counts as known.
 const MIN_COUNT: u32 = 5;
 
-/// What is known of one kind of job on a host.
+/// What was learned of one kind of job on a host.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Learned {
     kind: u64,
@@ -63,21 +64,21 @@
     samples: u32,
 }
 
-/// Cores that one kind of job holds on a host.
+/// Cores used by one kind of job on a host.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Load {
     /// Hash of the job's name.
     pub kind: u64,
-    /// Cores that its running tasks hold.
+    /// Cores reserved for its running tasks.
     pub cores: f64,
 }
 
-/// The guard of one host.
+/// Interference control of one host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InterferenceControl {
     settings: InterferenceSettings,
     share: f64,
-    /// Slowdown of the service by itself.
+    /// Slowdown of the service without batch tasks.
     base: f64,
     learned: Vec<Learned>,
     latest: [u32; 3],
@@ -94,7 +95,7 @@
 }
 
 impl InterferenceControl {
-    /// Makes a guard that knows nothing yet.
+    /// Creates a control that has learned nothing yet.
     pub fn new(settings: InterferenceSettings) -> Self {
         Self {
             settings,
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Takes in a measurement, 0 if none arrived, with what runs on the host; gives
-    /// the kind of which one task should go, if any.
+    /// Records a measurement, 0 if none arrived, with the batch tasks on the host;
+    /// returns the kind of which one task should be evicted, if any.
     pub fn record(&mut self, now_ms: u64, slowdown_permille: u32, loads: &[Load]) -> Option<u64> {
         if self.loads != loads {
             self.loads = loads.to_vec();
@@ -140,7 +141,7 @@
         self.learned.iter().find(|entry| entry.kind == kind)
     }
 
-    /// Gives the slowdown that is expected of `loads` at full share.
+    /// Returns the slowdown that `loads` are expected to add at full CPU share.
     fn expected(&self, loads: &[Load]) -> f64 {
         let mut sum = 0.0;
         for load in loads {
@@ -149,7 +150,8 @@
         sum
     }
 
-    /// Corrects what is known by the error of the forecast, each kind by its part.
+    /// Corrects the learned values by the error of the forecast, each kind by its
+    /// contribution.
     fn learn(&mut self, slowdown: f64) {
         let share = self.share;
         let error = slowdown - self.base - self.expected(&self.loads) * share;
@@ -190,7 +192,8 @@
             true => (max_slowdown - self.base).max(0.0) / expected,
             false => 1.0,
         };
-        // Measurements lag: a cut is given time to show before the next one.
+        // Measurements arrive late: the effect of a reduction must show before the
+        // next one.
         let is_settled = now_ms >= self.changed_ms + MEASURE_LAG_MS;
         if median >= HARMFUL_PERMILLE && is_settled {
             let excess = f64::from(median) / 1_000.0 - 1.0;
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Counts measurements with little share; names the worst kind in the end.
+    /// Counts measurements with a low share; returns the most harmful kind once there
+    /// are enough of them.
     fn choose_eviction(&mut self) -> Option<u64> {
         let limit = LOW_SHARE.max(self.settings.min_share);
         let is_harmed = self.median() >= HARMFUL_PERMILLE;
@@ -226,7 +230,7 @@
         worst.map(|load| load.kind)
     }
 
-    /// Tells whether the host takes another batch task of a kind.
+    /// Returns whether the host accepts another batch task of a kind.
     pub fn accepts(&self, kind: u64, cores: f64) -> bool {
         if !self.is_measured || !self.settings.is_learning {
             return true;
@@ -241,13 +245,13 @@
         }
     }
 
-    /// Tells whether a kind that is not known yet runs on the host.
+    /// Returns whether a kind that is not known yet runs on the host.
     fn has_unknown(&self) -> bool {
         let is_known = |load: &Load| self.find(load.kind).is_some_and(|l| l.samples >= MIN_COUNT);
         self.loads.iter().any(|load| !is_known(load))
     }
 
-    /// Gives the share of their processors that batch tasks may use.
+    /// Returns the CPU share that batch tasks may use, in thousandths.
     pub fn batch_permille(&self) -> u32 {
         (self.share * 1_000.0).round() as u32
     }
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,11 +1,12 @@
-//! The jobs of one key cell: accepted once, started in one place, resumed once.
+//! The jobs of one cell of keys: each is accepted once, assigned to one place at a
+//! time, and resumed there once.
 //!
-//! The owner of the cell writes each step that must not be forgotten into the log
-//! before it acts on it: accepted, assigned, evicted, ended. A later owner reads
-//! them and asks the cell of workers that an open assignment names what became of
-//! it; it never assigns the job a second time on its own guess.
+//! The owner of the cell records each step that must survive it in the log before it
+//! acts on it: accepted, assigned, evicted, ended. A later owner reads these records
+//! and asks the cell of workers named in an open assignment for the job's outcome. It
+//! never assigns the job again by assumption.
 //!
-//! All jobs of a team live in one cell, so quotas are counted exactly.
+//! All jobs of a team are in one cell, which makes quotas exact.
 
 mod queues;
 mod recovery;
@@ -27,48 +28,48 @@
     pub struct TeamKey;
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// Its record is on the way into the log.
+    /// Its acceptance is being written to the log.
     Accepting,
-    /// It waits for room.
+    /// It waits for resources.
     Queued,
-    /// A cell of workers was asked for room.
+    /// A cell of workers was asked for resources.
     Reserving {
         /// The cell.
         cell: Cell,
-        /// When it was asked.
+        /// Time at which it was asked.
         asked_ms: u64,
     },
-    /// Its assignment is on the way into the log.
+    /// Its assignment is being written to the log.
     Assigning {
         /// The cell of workers.
         cell: Cell,
     },
-    /// The cell of workers was told to start it, or must say what became of it.
+    /// The cell of workers was ordered to start it, or must report its outcome.
     Starting {
         /// The cell.
         cell: Cell,
-        /// When it was last told.
+        /// Time of the latest order.
         asked_ms: u64,
     },
-    /// It runs.
+    /// The job runs.
     Running {
         /// The cell.
         cell: Cell,
     },
-    /// It stopped or ended, and the record of that is on the way into the log. Until
-    /// it stands there, the cell of workers is the one to ask.
+    /// It has stopped or ended, and this is being written to the log. Until that is
+    /// done, the cell of workers has the only record of it.
     Recording {
         /// The cell.
         cell: Cell,
     },
-    /// It has ended.
+    /// The job has ended.
     Ended {
-        /// How.
+        /// Its outcome.
         end: JobEnd,
-        /// When this owner learned of it.
+        /// Time at which this owner learned of it.
         since_ms: u64,
     },
 }
@@ -82,19 +83,19 @@
         pub team: TeamKey,
         /// Number of its latest attempt; the first one is 1.
         pub attempt: u32,
-        /// Where it resumes; 0 for the beginning.
+        /// Checkpoint at which it resumes; 0 for the beginning.
         pub checkpoint: u64,
-        /// What speaks against it so far.
+        /// Its failures and crashes so far.
         pub failure_counts: FailureCounts,
-        /// Where it stands.
+        /// Its state.
         pub state: JobState,
-        /// When it was queued last.
+        /// Time at which it was last queued.
         pub queued_ms: u64,
-        /// Asked for room in vain that often since it was queued.
+        /// Refused requests for resources since it was queued.
         pub refusals: u32,
-        /// Is not tried again before this time.
+        /// Time before which it is not tried again.
         pub retry_at_ms: u64,
-        /// What its team is charged while it holds room.
+        /// Resources that its team is charged while the job holds them.
         pub charged: Resources,
     }
 }
@@ -108,12 +109,12 @@
     is_in_ring: bool,
 }
 
-/// What a submission is told.
+/// Result of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Submission {
-    /// New; its record must reach the log before it counts as accepted.
+    /// The job is new; its record must reach the log before it counts as accepted.
     New(JobKey),
-    /// Known already.
+    /// The job is known and in this state.
     Known(JobState),
 }
 
@@ -130,7 +131,7 @@
 }
 
 impl JobTable {
-    /// Enters a job unless its identity is known.
+    /// Adds a job unless its identity is known.
     pub fn submit(&mut self, now_ms: u64, spec: &JobSpec) -> Submission {
         if let Some(key) = self.by_id.get(&spec.id) {
             return Submission::Known(self.jobs[*key].state);
@@ -138,7 +139,7 @@
         Submission::New(self.insert(now_ms, spec, JobState::Accepting))
     }
 
-    /// Forgets a job whose acceptance never reached the log.
+    /// Removes a job whose acceptance never reached the log.
     pub fn withdraw(&mut self, id: &str) {
         let Some(key) = self.by_id.get(id).copied() else {
             return;
@@ -179,33 +180,33 @@
         key
     }
 
-    /// Finds a job.
+    /// Returns the job with an identity and its key.
     pub fn find(&self, id: &str) -> Option<(JobKey, &Job)> {
         let key = self.by_id.get(id)?;
         Some((*key, &self.jobs[*key]))
     }
 
-    /// Gives the job behind `key`.
+    /// Returns the job with a key.
     pub fn get(&self, key: JobKey) -> Option<&Job> {
         self.jobs.get(key)
     }
 
-    /// Lists all jobs.
+    /// Returns all jobs.
     pub fn list(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// Counts the jobs that are known, ended ones included.
+    /// Returns the number of known jobs, including those that have ended.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tells whether no job is known.
+    /// Returns whether no job is known.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Moves a job to `state`.
+    /// Sets the state of a job.
     pub fn set_state(&mut self, key: JobKey, state: JobState) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -220,14 +221,14 @@
         }
     }
 
-    /// Starts the next attempt of a job; gives its number.
+    /// Begins the next attempt of a job; returns its number.
     pub fn begin_attempt(&mut self, key: JobKey) -> u32 {
         let job = &mut self.jobs[key];
         job.attempt += 1;
         job.attempt
     }
 
-    /// Notes that a job has ended.
+    /// Records that a job has ended.
     pub fn end(&mut self, now_ms: u64, key: JobKey, end: JobEnd) {
         self.discharge(key);
         self.ended.push_back((now_ms, key));
@@ -240,7 +241,7 @@
         );
     }
 
-    /// Forgets jobs that ended longer than `window_ms` ago.
+    /// Removes jobs that ended longer than `window_ms` ago.
     pub fn forget_ended(&mut self, now_ms: u64, window_ms: u64) {
         while let Some((since_ms, key)) = self.ended.front().copied() {
             if now_ms < since_ms + window_ms {
@@ -253,7 +254,8 @@
         }
     }
 
-    /// Gives jobs whose cell of workers has not answered for `answer_timeout_ms`.
+    /// Returns jobs whose cell of workers has not answered for `answer_timeout_ms`,
+    /// and stops tracking them until their state is set again.
     pub fn overdue(&mut self, now_ms: u64, answer_timeout_ms: u64) -> Vec<JobKey> {
         let mut overdue = Vec::new();
         for _ in 0..self.open.len() {
--- a/crates/core/src/jobs/queues.rs
+++ b/crates/core/src/jobs/queues.rs
@@ -1,4 +1,4 @@
-//! Queues of teams: whose turn it is, within quotas.
+//! Queues of the teams, which are served in turn within their quotas.
 
 use super::JobKey;
 use super::JobState;
@@ -9,7 +9,8 @@
 use goldcrestway_inventory::Resources;
 
 impl JobTable {
-    /// Puts a job at the end of its team's queue, or at its head if it had waited.
+    /// Queues a job at the end of its team's queue, or at the head if it had waited
+    /// before.
     pub fn enqueue(&mut self, now_ms: u64, key: JobKey, is_urgent: bool, at_head: bool) {
         self.discharge(key);
         let Some(job) = self.jobs.get_mut(key) else {
@@ -36,11 +37,12 @@
         }
     }
 
-    /// Takes the next job that its team's quota allows, urgent ones first.
+    /// Removes and returns the next job that its team's quota allows, urgent ones
+    /// first.
     ///
-    /// Teams take turns, so none starves behind a large one; within a team the
-    /// oldest goes first, and a job that must rest after a refusal keeps its place
-    /// without holding up teams behind it.
+    /// Teams are served in turn, which prevents starvation behind a large one. Within
+    /// a team the oldest job is first; one that is delayed after a refusal keeps its
+    /// place without delaying other teams.
     pub fn next_job(&mut self, now_ms: u64, inventory: &Inventory) -> Option<JobKey> {
         for wants_urgent in [true, false] {
             for _ in 0..self.ring.len() {
@@ -93,9 +95,9 @@
         Some(key)
     }
 
-    /// Takes the waiting jobs out of the queues whose kind is no longer listed.
+    /// Removes and returns waiting jobs whose kind is not in the inventory any more.
     ///
-    /// Left there, the first of them would hold up its team for ever.
+    /// Otherwise the first of them would block its team forever.
     pub fn remove_unlisted(&mut self, inventory: &Inventory) -> Vec<JobKey> {
         let jobs = &self.jobs;
         let is_listed = |key: &JobKey| {
@@ -121,7 +123,8 @@
         job.charged = Resources::default();
     }
 
-    /// Charges a job's team for room that it already holds, after a take-over.
+    /// Charges a job's team for resources that the job already holds after a change
+    /// of owner.
     pub fn charge(&mut self, key: JobKey, need: Resources) {
         let job = &mut self.jobs[key];
         if job.charged != Resources::default() {
@@ -132,7 +135,8 @@
         team.held = team.held.plus(need);
     }
 
-    /// Notes a refusal; the job rests, longer with each one up to a second.
+    /// Records a refusal and queues the job again, with an exponential delay of up to
+    /// 1 s, or 100 ms if it is urgent.
     pub fn requeue_refused(&mut self, now_ms: u64, key: JobKey, is_urgent: bool) {
         const BACKOFF_MS: u64 = 20;
         const MAX_BACKOFF_MS: u64 = 1_000;
@@ -150,7 +154,8 @@
         self.enqueue(now_ms, key, is_urgent, true);
     }
 
-    /// Notes that an attempt stopped; the job will resume at `checkpoint`.
+    /// Records that an attempt stopped and queues the job, which will resume at
+    /// `checkpoint`.
     pub fn requeue_evicted(
         &mut self,
         now_ms: u64,
@@ -167,7 +172,7 @@
         self.enqueue(now_ms, key, is_urgent, true);
     }
 
-    /// Counts what the team holds and how many of its jobs wait.
+    /// Returns the resources that a team holds and the number of its waiting jobs.
     pub fn team_load(&self, name: &str) -> (Resources, usize) {
         let Some(team) = self.team_by_name.get(name).map(|key| &self.teams[*key]) else {
             return (Resources::default(), 0);
--- a/crates/core/src/jobs/recovery.rs
+++ b/crates/core/src/jobs/recovery.rs
@@ -1,4 +1,4 @@
-//! Jobs as records: read from the log, taken up again, carried forward.
+//! Recovery of jobs from the log, and snapshots of them.
 
 use super::JobKey;
 use super::JobState;
@@ -7,7 +7,7 @@
 use goldcrestway_inventory::Inventory;
 
 impl JobTable {
-    /// Applies a record that was read from the log after a take-over.
+    /// Applies a record that was read from the log after a change of owner.
     pub fn apply(&mut self, now_ms: u64, record: &Record) {
         match record {
             Record::Accepted(spec) if !self.by_id.contains_key(&spec.id) => {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// After all records were applied: queues what waits, charges what may run.
+    /// Queues waiting jobs and charges teams for jobs that may run, once all records
+    /// are applied.
     pub fn resume(&mut self, now_ms: u64, inventory: &Inventory) {
         let keys: Vec<JobKey> = self.jobs.keys().collect();
         for key in keys {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Lists what the log must keep of the jobs, for carrying it forward.
+    /// Returns the records that stand for all jobs, for a snapshot.
     pub fn snapshot(&self) -> Vec<Record> {
         let mut records = Vec::new();
         for job in self.jobs.values() {
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,10 +1,10 @@
-//! The slots of a service's instances in one failure domain, exactly counted by
-//! the one owner of their cell.
+//! The slots of a service's instances in one failure domain, counted exactly by the
+//! one owner of their cell.
 //!
-//! What goes wrong without one owner: several entry hosts each see a free slot
-//! and together send an instance more than it can work on. A slot is therefore
-//! granted, held and released here. It stays taken while the fate of an attempt
-//! is unknown, until the instance must have ended it.
+//! Without a single owner, several entry hosts could see the same free slot and
+//! together send an instance more requests than it can process. A slot is therefore
+//! granted, held and released here. It stays in use while the outcome of an attempt
+//! is unknown, until the instance must have ended the request.
 
 use crate::ids::Member;
 use crate::macros::plain;
@@ -19,43 +19,43 @@
     pub struct GrantKey;
 }
 
-/// How an attempt under a grant ended.
+/// Outcome of an attempt under a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantOutcome {
-    /// The instance gave a whole answer after `latency_ms`.
+    /// The instance gave a complete answer.
     Answered {
-        /// Time from sending to the whole answer.
+        /// Time from sending the request until the answer was complete.
         latency_ms: u64,
     },
-    /// The instance gave a whole answer that says it failed.
+    /// The instance gave a complete answer that reports a failure.
     Failed {
-        /// Time from sending to the whole answer.
+        /// Time from sending the request until the answer was complete.
         latency_ms: u64,
     },
-    /// Nothing reached the instance, though it was tried.
+    /// The attempt was made, but nothing reached the instance.
     NotStarted,
     /// The slot was not used.
     Unused,
-    /// The instance may still be working on it.
+    /// The outcome is unknown; the instance may still be working on the request.
     Unknown,
 }
 
-/// The end of an attempt under a grant.
+/// Release of a grant after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotRelease {
     /// The grant.
     pub grant: GrantKey,
-    /// Who held it.
+    /// Member that held the grant.
     pub requester: Member,
-    /// The request that it was used for.
+    /// Request that the grant was used for.
     pub request: u64,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub ended: GrantOutcome,
-    /// Request for which the asker goes on to use the slot.
+    /// Request for which the requester uses the slot next.
     pub next: Option<u64>,
 }
 
-/// A request that asks for a slot.
+/// A request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotRequest {
     /// Entry host that will send the attempt.
@@ -69,20 +69,20 @@
 }
 
 plain! {
-    /// What the owner of the cell answers.
+    /// Answer of the cell's owner.
     pub enum Verdict {
-        /// A slot is held for the asker.
+        /// A slot is granted to the requester.
         Granted {
-            /// Names the grant when it is released.
+            /// Key of the grant, which its release must name.
             grant: GrantKey,
             /// Address of the instance.
             address: Box<str>,
             /// How long the request had waited when the slot was granted.
             waited_ms: u64,
         },
-        /// No slot comes free in time.
+        /// No slot will be free in time.
         Refused {
-            /// When asking again makes sense.
+            /// Time after which it makes sense to ask again.
             retry_after_ms: u64,
         },
     }
@@ -95,16 +95,17 @@
     slots: u32,
     in_use: u32,
     is_leaving: bool,
-    /// Smoothed time of an answer, in microseconds; 0 before the first one.
+    /// Moving average of the latency in microseconds; 0 before the first answer.
     latency_us: u64,
     failures: u32,
     avoided_until_ms: u64,
-    /// When a slot of it was granted last.
+    /// Time at which a slot of it was last granted.
     last_granted_ms: u64,
 }
 
 impl Instance {
-    /// Gives the slots that may be used; one that failed often is only probed.
+    /// Returns the number of slots that may be used: only one, as a probe, after
+    /// [`MAX_FAILURES`] failures in a row.
     fn usable_slots(&self) -> u32 {
         match self.failures >= MAX_FAILURES {
             true => self.slots.min(1),
@@ -122,18 +123,19 @@
     ends_by_ms: u64,
 }
 
-/// Bounds of one cell of upstreams.
+/// Settings of one cell of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Time within which an instance ends any request.
     pub timeout_ms: u64,
-    /// Time within which attempts under a grant begin.
+    /// Time within which attempts under a grant must begin.
     pub use_ms: u64,
-    /// Requests that may wait per slot.
+    /// Maximum number of requests that wait per slot.
     pub waiting_per_slot: u32,
 }
 
-/// The instances of one service in one failure domain, as their owner sees them.
+/// The instances of one service in one failure domain, with their slots, as tracked
+/// by the owner.
 #[derive(Debug, Clone)]
 pub struct UpstreamCell {
     bounds: Bounds,
@@ -145,18 +147,18 @@
     waiting: VecDeque<SlotRequest>,
 }
 
-/// One failure in a row more than this and an instance is shunned.
+/// Number of failures in a row from which on an instance is avoided for a while.
 const MAX_FAILURES: u32 = 3;
-/// An instance that takes this many times as long as the fastest one is slow.
+/// An instance whose latency is this many times that of the fastest one is slow.
 const SLOW_FACTOR: u64 = 3;
-/// Time after which a slow instance gets a request all the same.
+/// Time after which a slow instance gets a request even so.
 const PROBE_MS: u64 = 1_000;
-/// How long an instance is shunned at first; doubles up to eight times as long.
+/// Time for which an instance is avoided at first; doubles up to eight times as long.
 const AVOID_MS: u64 = 500;
 
 impl UpstreamCell {
-    /// Starts with no instances; nothing is granted before `opens_ms`, since a
-    /// former owner's grants may be in use until then.
+    /// Creates a cell without instances. Nothing is granted before `opens_ms`,
+    /// because grants of a previous owner may be in use until then.
     pub fn new(bounds: Bounds, opens_ms: u64) -> Self {
         Self {
             bounds,
@@ -169,15 +171,15 @@
         }
     }
 
-    /// Lists or updates an instance.
+    /// Adds or updates an instance.
     pub fn update_instance(&mut self, name: &str, address: &str, slots: u32, is_leaving: bool) {
         if let Some(key) = self.by_name.get(name) {
             let instance = &mut self.instances[*key];
             instance.slots = slots;
             instance.is_leaving = is_leaving;
             if &*instance.address != address {
-                // A new process at another address: its record starts afresh,
-                // while slots of the old one stay taken until released.
+                // A new process at another address starts without failures, while
+                // slots of the old one stay in use until they are released.
                 instance.address = address.into();
                 instance.failures = 0;
                 instance.avoided_until_ms = 0;
@@ -198,14 +200,14 @@
         self.by_name.insert(name.into(), key);
     }
 
-    /// Stops granting slots of an instance that is no longer listed.
+    /// Stops granting slots of an instance that was removed from the inventory.
     pub fn remove_instance(&mut self, name: &str) {
         if let Some(key) = self.by_name.get(name) {
             self.instances[*key].is_leaving = true;
         }
     }
 
-    /// Names the instances that are listed and not leaving.
+    /// Returns the names of the instances that are not leaving.
     pub fn instance_names(&self) -> Vec<Box<str>> {
         let staying = self
             .instances
@@ -214,7 +216,8 @@
         staying.map(|instance| instance.name.clone()).collect()
     }
 
-    /// Counts the slots in use and those there are on staying instances.
+    /// Returns the number of slots in use and the number of slots of instances that
+    /// are not leaving.
     pub fn load(&self) -> (u32, u32) {
         let used = self
             .instances
@@ -228,9 +231,9 @@
         (used, staying.map(|instance| instance.slots).sum())
     }
 
-    /// Counts the slots of instances that take requests now. One that is shunned
-    /// counts for nothing, and one on probation for a single slot, so that a broken
-    /// cell does not look idle and draw the requests of the whole service.
+    /// Returns the number of slots of instances that accept requests now. An avoided
+    /// instance has none, and one that is being probed a single one; otherwise a
+    /// broken cell would look idle and attract the requests of the whole service.
     fn available_slots(&self, now_ms: u64) -> u32 {
         let mut sum = 0;
         for instance in self.instances.values() {
@@ -242,7 +245,7 @@
         sum
     }
 
-    /// Gives the free slots in sight of new requests.
+    /// Returns the number of free slots that are left for new requests.
     pub fn free_slots(&self, now_ms: u64) -> u32 {
         let mut free = 0;
         for instance in self.instances.values() {
@@ -254,15 +257,15 @@
         free.saturating_sub(self.waiting.len() as u32)
     }
 
-    /// Counts the requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Asks for a slot; `None` means that the request waits for one.
+    /// Requests a slot; returns `None` if the request waits for one.
     pub fn request_slot(&mut self, now_ms: u64, entry: SlotRequest) -> Option<Verdict> {
         if let Some(grant) = self.by_request.get(&(entry.requester, entry.request)) {
-            // The asker did not hear the first answer and asks again.
+            // The requester did not receive the first answer and asks again.
             return Some(self.granted(*grant));
         }
         if self
@@ -292,7 +295,7 @@
         None
     }
 
-    /// Drops a request that waits, or that was granted and never sent.
+    /// Removes a request that waits, or that was granted a slot and never sent.
     pub fn cancel(&mut self, requester: Member, request: u64) {
         self.waiting
             .retain(|entry| (entry.requester, entry.request) != (requester, request));
@@ -301,14 +304,14 @@
         }
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt and frees its slot, unless the outcome is
+    /// unknown.
     ///
-    /// A release that names another request than the grant's comes from a time
-    /// before this owner, whose grants had the same names; it is passed over. With
-    /// `next` the asker goes on to use the slot for a request of its own that
-    /// waits, which saves the two messages in which the slot would stand idle. The
-    /// grant's end stays where it was, so that it is safe even if this message is
-    /// lost.
+    /// A release that names another request than the grant's is from a previous
+    /// owner, whose grants had the same keys; it is ignored. With `next` the
+    /// requester uses the slot for another of its waiting requests, which saves the
+    /// two messages during which the slot would be idle. The end of the grant does
+    /// not change, which keeps it safe even if this message is lost.
     pub fn release(&mut self, now_ms: u64, released: SlotRelease) {
         let Some(held) = self.grants.get_mut(released.grant) else {
             return;
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Ends what has run out and serves those that wait; gives their verdicts.
+    /// Ends expired grants and serves waiting requests; returns their verdicts.
     pub fn tick(&mut self, now_ms: u64) -> Vec<(SlotRequest, Verdict)> {
         let ended = self
             .grants
@@ -368,11 +371,11 @@
         verdicts
     }
 
-    /// Picks the free slot where an answer is expected soonest.
+    /// Returns the instance with a free slot whose answer is expected first.
     ///
-    /// An instance that has become slow is passed over while a slot of a fast one
-    /// is expected to come free early enough. One request a second still goes
-    /// there, so that one notices when it has recovered.
+    /// A slow instance is skipped while a slot of a fast one is expected to be free
+    /// early enough. One request a second is still sent there, which shows when it
+    /// has recovered.
     fn choose_instance(&self, now_ms: u64) -> Option<InstanceKey> {
         let mut best: Option<(u64, InstanceKey)> = None;
         let mut fastest_us = u64::MAX;
@@ -454,9 +457,9 @@
         instance.failures = 0;
     }
 
-    /// Counts a failure. An instance that fails everything at once would look
-    /// the fastest of all and draw all load; its failures shun it for a while,
-    /// after which one request probes it.
+    /// Counts a failure. An instance that fails everything at once would appear to be
+    /// the fastest one and attract all load. It is therefore avoided for a while
+    /// after several failures; then one request probes it.
     fn record_failure(&mut self, now_ms: u64, key: InstanceKey) {
         let instance = &mut self.instances[key];
         instance.failures += 1;
