--- a/crates/core/src/placement/calls.rs
+++ b/crates/core/src/placement/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to workers, and what their answers mean.
+//! Calls to workers, and the handling of their reports.
 
 use super::CALLS_PER_TERM_BITS;
 use super::Contact;
@@ -18,7 +18,8 @@
 use crate::interference::Load;
 
 impl WorkerCell {
-    /// Does what is due; gives the calls to send, by host.
+    /// Expires reservations and leases; returns the calls that are due, with the host
+    /// and address of each.
     pub fn tick(&mut self, now_ms: u64) -> Vec<(HostKey, Box<str>, WorkerCall)> {
         self.expire(now_ms);
         let mut calls = Vec::new();
@@ -73,7 +74,7 @@
         call
     }
 
-    /// Notes that a call to a host failed or went unanswered.
+    /// Records that a call to a host failed or got no answer.
     pub fn handle_call_failure(&mut self, now_ms: u64, key: HostKey, token: u64) {
         let Some(host) = self.hosts.get_mut(key) else {
             return;
@@ -83,9 +84,10 @@
         }
     }
 
-    /// Takes in what a worker answered.
+    /// Handles the report of a worker.
     ///
-    /// `is_urgent` tells from the name of a job whether it overtakes others.
+    /// `is_urgent` returns, by the name of a job, whether it has priority over
+    /// others.
     pub fn handle_report(
         &mut self,
         now_ms: u64,
@@ -116,7 +118,7 @@
         self.apply_slowdown(now_ms, key, report.service_slowdown_permille);
     }
 
-    /// Has the host's guard look at a measurement of its services.
+    /// Passes a measurement of a host's services to its interference control.
     pub(super) fn apply_slowdown(&mut self, now_ms: u64, key: HostKey, slowdown_permille: u32) {
         let job_loads = self.job_loads(key);
         let host = &mut self.hosts[key];
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Sums the cores that batch tasks of each kind hold on a host.
+    /// Returns the cores that batch tasks of each kind use on a host.
     pub(super) fn job_loads(&self, key: HostKey) -> Vec<Load> {
         let mut job_loads: Vec<Load> = Vec::new();
         for task in &self.hosts[key].tasks {
@@ -147,7 +149,7 @@
         job_loads
     }
 
-    /// Takes in a task that a former owner of the cell started.
+    /// Adds a task that a previous owner of the cell has started.
     pub(super) fn adopt(
         &mut self,
         now_ms: u64,
@@ -177,9 +179,9 @@
         }
     }
 
-    /// Settles tasks that the worker no longer lists. Only those count that were
-    /// known to it, or named, when the call was sent; later ones may be absent
-    /// because the call did not speak of them.
+    /// Ends tasks that the worker no longer lists. Only tasks count that the worker
+    /// was known to run, or that the call named, when the call was sent; later ones
+    /// may be absent because the call did not mention them.
     pub(super) fn handle_absent(
         &mut self,
         now_ms: u64,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Evicts the batch task of a kind that started last on a host.
+    /// Evicts the batch task of a kind that was started last on a host.
     pub(super) fn evict_youngest(&mut self, host: HostKey, kind: u64) {
         let running = self.hosts[host].tasks.iter().copied().filter(|key| {
             let task = &self.tasks[*key];
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,14 +1,14 @@
-//! The workers of one rack and what runs on them, as the cell's owner sees them.
+//! The workers of one rack and the tasks on them, as tracked by the cell's owner.
 //!
-//! Room is booked from the moment it is reserved until the worker itself lists
-//! the task as gone: a task that is starting, stopping or of unknown fate still
-//! counts. Services' instances are counted as reserved by the inventory.
+//! Resources are in use from their reservation until the worker itself lists the task
+//! as ended: a task that is starting, stopping or in an unknown state still counts.
+//! Instances of services are accounted for by what the inventory reserves for them.
 //!
-//! A worker is told everything in one call that names tasks to start, to stop and
-//! to forget, and answers with all tasks it has. The call carries a fencing token
-//! that grows with the owner's term and with every call, so a call that was
-//! delayed, or that comes from an owner that was replaced, has no effect. That
-//! makes the worker itself the final reference for what runs on it.
+//! A worker gets one call that names the tasks to start, to stop and to forget, and
+//! answers with all tasks it has. The call carries a fencing token that grows with
+//! the owner's term and with every call; a call that was delayed, or that is from a
+//! replaced owner, therefore has no effect. This makes the worker itself the
+//! authority on what runs on it.
 
 mod calls;
 mod orders;
@@ -49,29 +49,29 @@
 }
 
 plain! {
-    /// One task.
+    /// A task on a worker.
     pub struct Task {
-        /// What the worker is told.
+        /// Order that the worker gets.
         pub order: TaskOrder,
-        /// Its worker.
+        /// Host of the task.
         pub host: HostKey,
-        /// Overtakes other work.
+        /// Whether it has priority over batch tasks.
         pub is_urgent: bool,
-        /// Where it stands.
+        /// Its state.
         pub state: TaskState,
-        /// When it was reserved.
+        /// Time at which its resources were reserved.
         pub since_ms: u64,
     }
 }
 
-/// What is known of a host.
+/// Whether a host's worker is known to run tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Contact {
-    /// Not yet listed by this owner.
+    /// No report has arrived in this term.
     Unreported,
-    /// Listed at least once in this term.
+    /// At least one report has arrived in this term.
     Reported,
-    /// Its lease has lapsed without an answer; nothing runs on it any more.
+    /// Its lease has expired without an answer; nothing runs on it any more.
     Expired,
 }
 
@@ -87,9 +87,9 @@
     contact: Contact,
     is_leaving: bool,
     is_listed: bool,
-    /// Number of the latest listing and when it arrived. The worker counts its
-    /// lease from when it gave the listing, which was earlier; so however late a
-    /// call arrives there, the lease ends by this clock first at the worker.
+    /// Number of the latest report and the time at which it arrived. The worker
+    /// counts its lease from when it sent the report, which was earlier. However late
+    /// a call arrives there, the lease therefore expires at the worker first.
     last_report: u64,
     renewed_ms: u64,
     call: Option<PendingCall>,
@@ -101,7 +101,7 @@
     urgent_hold: Option<UrgentHold>,
 }
 
-/// Room that is being made for an urgent attempt and that no other may take.
+/// Resources that are being freed for an urgent attempt and that no other may use.
 #[derive(Debug, Clone)]
 struct UrgentHold {
     attempt: AttemptId,
@@ -130,22 +130,22 @@
     by_attempt: HashMap<AttemptId, TaskKey>,
     tombstones: VecDeque<(u64, AttemptId)>,
     ended_attempts: HashMap<AttemptId, TaskEnd>,
-    /// Attempts whose reservation ran out, and whose homes were not told.
+    /// Attempts whose reservation has expired; their homes were not informed.
     expired: HashSet<AttemptId>,
     reports: Vec<TaskUpdate>,
 }
 
-/// Failures in a row after which a worker that fails everything is set aside.
+/// Failures in a row after which a worker is avoided for a while.
 const MAX_FAILURES: u32 = 3;
-/// How long it is set aside at first; doubles up to sixteen times as long.
+/// Time for which it is avoided at first; doubles up to sixteen times as long.
 const AVOID_MS: u64 = 5_000;
-/// How long the end of a forgotten attempt is remembered.
+/// Time for which the end of a removed attempt is remembered.
 const TOMBSTONE_MS: u64 = 60_000;
-/// Calls that fit into one term's range of tokens.
+/// Number of low bits of a token that count the calls within one term.
 const CALLS_PER_TERM_BITS: u32 = 24;
 
 impl WorkerCell {
-    /// Starts with no hosts.
+    /// Creates a cell without hosts.
     pub fn new(term: Term, timing: WorkerTiming) -> Self {
         Self {
             term,
@@ -163,28 +163,28 @@
         }
     }
 
-    /// Gives the hosts listed from now on guards of another temper.
+    /// Sets the interference settings of hosts that are added from now on.
     pub fn set_interference_settings(&mut self, settings: InterferenceSettings) {
         self.settings = settings;
     }
 
-    /// Counts the calls that were made in this term.
+    /// Returns the number of calls in this term.
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Goes on counting calls where a former process of the same term left off, so
-    /// that tokens keep growing.
+    /// Sets the number of calls to that of a previous process of the same term, which
+    /// keeps tokens growing.
     pub fn set_calls(&mut self, calls: u64) {
         self.calls = calls;
     }
 
-    /// Gives the term under which the owner acts.
+    /// Returns the term under which the owner acts.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Lists or updates a host. `excluded_jobs` names jobs that rules keep off it.
+    /// Adds or updates a host.
     pub fn update_host(&mut self, now_ms: u64, listed: HostEntry) {
         let key = match self.by_name.get(&listed.name) {
             Some(key) => *key,
@@ -200,7 +200,7 @@
                     contact: Contact::Unreported,
                     is_leaving: false,
                     is_listed: true,
-                    // A former owner may have renewed the lease until just now.
+                    // A previous owner may have renewed the lease until now.
                     last_report: 0,
                     renewed_ms: now_ms,
                     call: None,
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Notes that a host is no longer in the inventory; its tasks are evicted.
+    /// Handles that a host is no longer in the inventory: its tasks are evicted.
     pub fn remove_host(&mut self, name: &str) {
         if let Some(key) = self.by_name.get(name).copied() {
             self.hosts[key].is_listed = false;
@@ -237,14 +237,14 @@
         }
     }
 
-    /// Names the hosts that the inventory lists.
+    /// Returns the names of the hosts in the inventory.
     pub fn host_names(&self) -> Vec<Box<str>> {
         let listed = self.hosts.values().filter(|host| host.is_listed);
         listed.map(|host| host.name.clone()).collect()
     }
 
-    /// Takes the reports for homes that have come up since, and those whose end
-    /// was not acknowledged for `answer_timeout_ms`.
+    /// Removes and returns the new updates for the homes of tasks, and repeats those
+    /// about ends that were not acknowledged for `answer_timeout_ms`.
     pub fn drain_updates(&mut self, now_ms: u64, answer_timeout_ms: u64) -> Vec<TaskUpdate> {
         let mut reports = std::mem::take(&mut self.reports);
         for task in self.tasks.values_mut() {
@@ -263,7 +263,7 @@
         reports
     }
 
-    /// Gives the room left on hosts that take work.
+    /// Returns the free resources of hosts that accept tasks.
     pub fn free_resources(&self) -> Resources {
         let mut sum = Resources::default();
         for host in self.hosts.values() {
@@ -275,17 +275,17 @@
         sum
     }
 
-    /// Counts the tasks that hold room.
+    /// Returns the number of tasks.
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Tells whether no task holds room.
+    /// Returns whether there are no tasks.
     pub fn is_empty(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// Names the host of an attempt and where the task stands.
+    /// Returns the host and the state of a job's task.
     pub fn find(&self, id: &str) -> Option<(Box<str>, TaskState)> {
         let task = self
             .tasks
@@ -294,7 +294,7 @@
         Some((self.hosts[task.host].name.clone(), task.state))
     }
 
-    /// Describes one host in a line, for operators.
+    /// Returns a description of one host in a line, for operators.
     pub fn describe(&self, now_ms: u64, name: &str) -> Option<String> {
         let host = &self.hosts[*self.by_name.get(name)?];
         let standing = match host.contact {
@@ -318,7 +318,7 @@
     }
 }
 
-/// Gives an amount of processors in cores.
+/// Returns the CPU of `need` in cores.
 fn cores_of(need: Resources) -> f64 {
     const PER_CORE: f64 = 1_000.0;
     f64::from(need.millicores) / PER_CORE
--- a/crates/core/src/placement/orders.rs
+++ b/crates/core/src/placement/orders.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Has a running task checkpointed and stopped.
+    /// Orders a running task to write a checkpoint and stop.
     pub(super) fn evict(&mut self, key: TaskKey) {
         let task = &mut self.tasks[key];
         if !matches!(task.state, TaskState::Running | TaskState::Starting) {
@@ -34,18 +34,20 @@
         self.hosts[task.host].is_dirty = true;
     }
 
-    /// Orders an attempt to start; safe to repeat.
+    /// Orders an attempt to start; the order may be repeated.
     ///
-    /// What goes wrong without the last check: a former owner of the cell started
-    /// the attempt on a host that has since restarted and remembers nothing; a
-    /// repeated order would run it again. An attempt that this owner knows nothing
-    /// of therefore counts as lost if the order may have been given before. By then
-    /// every host was listed or its lease has lapsed, so it no longer runs.
+    /// The last check guards against this fault: a previous owner of the cell started
+    /// the attempt on a host that has since restarted and does not know it; a
+    /// repeated order would run it again. An attempt that is unknown to this owner
+    /// therefore counts as lost if the order may have been given before. By then
+    /// every host has reported or its lease has expired, which means that the attempt
+    /// no longer runs.
     pub fn start(&mut self, now_ms: u64, order: TaskOrder, manner: StartOptions) -> StartAnswer {
         let is_first = !manner.is_repeat;
         match self.ended_attempts.get(&order.attempt) {
-            // Its reservation ran out, since the log was slow. It was never started,
-            // nor was its home told so: a first order may still find room.
+            // Its reservation has expired because the log was slow. It was never
+            // started, and its home was not informed: a first order may still find
+            // resources.
             Some(TaskEnd::NotStarted) if is_first && self.expired.remove(&order.attempt) => {
                 self.ended_attempts.remove(&order.attempt);
             }
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Remembers how an attempt ended, for orders and reports that come late.
+    /// Records how an attempt ended, for orders and reports that arrive late.
     pub(super) fn record_end(&mut self, now_ms: u64, attempt: AttemptId, end: TaskEnd) {
         self.ended_attempts.insert(attempt.clone(), end);
         self.tombstones.push_back((now_ms, attempt));
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Notes that the home has recorded an attempt's end.
+    /// Handles that the home has recorded an attempt's end.
     pub fn acknowledge(&mut self, now_ms: u64, attempt: &AttemptId) {
         let Some(key) = self.by_attempt.get(attempt).copied() else {
             return;
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Moves a task to its end and frees its room.
+    /// Ends a task, releases its resources and informs its home.
     pub(super) fn end(&mut self, now_ms: u64, key: TaskKey, end: TaskEnd) {
         let task = &mut self.tasks[key];
         if matches!(task.state, TaskState::Ended { .. } | TaskState::Forgetting) {
--- a/crates/core/src/placement/reservations.rs
+++ b/crates/core/src/placement/reservations.rs
@@ -1,4 +1,5 @@
-//! Room on hosts: reserving, choosing a host, making room for urgent work.
+//! Resources of hosts: reservation, choice of a host, and preemption for urgent
+//! attempts.
 
 use super::Contact;
 use super::Host;
@@ -17,7 +18,7 @@
 use goldcrestway_inventory::Resources;
 
 impl WorkerCell {
-    /// Asks for room for an attempt.
+    /// Reserves resources for an attempt.
     pub fn reserve(&mut self, now_ms: u64, order: TaskOrder, is_urgent: bool) -> Reservation {
         if let Some(key) = self.by_attempt.get(&order.attempt) {
             let held = matches!(self.tasks[*key].state, TaskState::Reserved { .. });
@@ -67,8 +68,8 @@
         key
     }
 
-    /// Picks the host whose remaining room fits the order most tightly, so that
-    /// large jobs still find room elsewhere.
+    /// Returns the host on which the order leaves the least resources free, which
+    /// keeps large gaps for large jobs.
     pub(super) fn choose_host(
         &self,
         now_ms: u64,
@@ -114,7 +115,8 @@
         host.total.minus(host.reserved).minus(host.booked)
     }
 
-    /// Gives the room that `attempt` may take, without what others were promised.
+    /// Returns the free resources that `attempt` may use, without those held for
+    /// others.
     pub(super) fn free_for(&self, now_ms: u64, host: &Host, attempt: &AttemptId) -> Resources {
         let free = self.free_on(host);
         match &host.urgent_hold {
@@ -127,8 +129,9 @@
         }
     }
 
-    /// Evicts the fewest batch tasks of one host that make room for urgent work,
-    /// and promises it the room. A job that asks again keeps the same host.
+    /// Evicts the fewest batch tasks of one host that free enough resources for an
+    /// urgent order, and holds these for it. A job that asks again keeps the same
+    /// host.
     pub(super) fn preempt_for(&mut self, now_ms: u64, order: &TaskOrder) {
         let mut best: Option<(usize, HostKey, Vec<TaskKey>)> = None;
         for (key, host) in &self.hosts {
@@ -165,9 +168,9 @@
         }
     }
 
-    /// Lists tasks to evict until `need` fits, the youngest first since they lose
-    /// least. Room that is being freed already counts, so that asking again while
-    /// tasks stop does not evict more.
+    /// Returns the tasks to evict until `need` fits, the youngest first because they
+    /// lose least. Resources that are being freed already count; asking again while
+    /// tasks stop therefore does not evict more.
     pub(super) fn victims(&self, host: &Host, need: Resources) -> Option<Vec<TaskKey>> {
         let mut free = self.free_on(host);
         let mut running = Vec::new();
@@ -191,7 +194,7 @@
         need.fits(free).then_some(victims)
     }
 
-    /// Gives back room that will not be used.
+    /// Releases resources that will not be used.
     pub fn release(&mut self, attempt: &AttemptId) {
         let Some(key) = self.by_attempt.get(attempt).copied() else {
             return;
--- a/crates/core/src/placement/types.rs
+++ b/crates/core/src/placement/types.rs
@@ -1,10 +1,10 @@
-//! What goes into a cell of workers and what comes out.
+//! Inputs and outputs of a cell of workers.
 
 use crate::macros::plain;
 use goldcrestway_inventory::Resources;
 
 plain! {
-    /// Names one attempt of a job.
+    /// Identifies one attempt of a job.
     #[derive(Hash)]
     pub struct AttemptId {
         /// Identity of the job.
@@ -13,189 +13,191 @@
         pub attempt: u32,
     }
 
-    /// What a worker must know to run a task.
+    /// Order to a worker to run a task.
     pub struct TaskOrder {
         /// The attempt.
         pub attempt: AttemptId,
-        /// Kind of job, from the inventory.
+        /// Name of the job in the inventory.
         pub job: Box<str>,
-        /// What it may use.
+        /// Resources that it may use.
         pub need: Resources,
-        /// Where it resumes; 0 for the beginning.
+        /// Checkpoint at which it resumes; 0 for the beginning.
         pub checkpoint: u64,
     }
 
     /// One call to a worker.
     pub struct WorkerCall {
-        /// Fencing token; the worker refuses any lower than it has seen.
+        /// Fencing token; the worker rejects any that is lower than the highest it
+        /// has seen.
         pub token: u64,
-        /// Number of the latest listing that the owner has received, 0 for none.
-        /// The worker's lease runs `lease_ms` from when it gave that listing. A
-        /// call that names a listing whose lease has lapsed changes nothing.
+        /// Number of the latest report that the owner has received, 0 for none. The
+        /// worker's lease runs for `lease_ms` from when it sent that report. A call
+        /// that names a report whose lease has expired has no effect.
         pub answers: u64,
-        /// How long the worker runs its tasks on after the listing named above.
+        /// Time for which the worker runs its tasks after the report named above.
         pub lease_ms: u64,
-        /// Tasks to start unless it has them already.
+        /// Tasks to start unless the worker has them already.
         pub start: Box<[TaskOrder]>,
         /// Tasks to checkpoint and stop.
         pub stop: Box<[AttemptId]>,
         /// Ended tasks to forget.
         pub forget: Box<[AttemptId]>,
-        /// Share of their processors that batch tasks may use, in thousandths.
+        /// CPU share that batch tasks may use, in thousandths.
         pub batch_permille: u32,
     }
 
-    /// One task as a worker lists it.
+    /// A task in a worker's report.
     pub struct TaskReport {
-        /// What it was told to run.
+        /// Order under which the worker has it.
         pub order: TaskOrder,
-        /// Where it stands.
+        /// Its state.
         pub state: ReportedState,
     }
 
-    /// What a worker answers.
+    /// Report of a worker in answer to a call.
     pub struct WorkerReport {
-        /// Number of this listing; it only grows.
+        /// Number of this report; it only grows.
         pub number: u64,
-        /// All tasks it has, those that ended and were not forgotten included.
+        /// All tasks that the worker has, including those that have ended and were
+        /// not forgotten.
         pub tasks: Box<[TaskReport]>,
-        /// Worst latency of a service's instance on it, as a multiple of its
-        /// usual one in thousandths; late, and 0 if not measured.
+        /// Worst latency of an instance of a service on the worker, as a multiple of
+        /// its usual one in thousandths; it arrives late, and is 0 if not measured.
         pub service_slowdown_permille: u32,
     }
 }
 
-/// Where a task stands by its worker's account.
+/// State of a task according to its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedState {
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It finished.
+    /// The task finished.
     Finished,
-    /// It failed by itself.
+    /// The task failed by itself.
     Failed,
-    /// It was stopped and can resume at the checkpoint.
+    /// The task was stopped and can resume at the checkpoint.
     Stopped {
-        /// Progress that is kept.
+        /// Checkpoint up to which its progress is kept.
         checkpoint: u64,
     },
-    /// It was never started, because the worker has no room for it.
+    /// The task was never started, because the worker lacks the resources.
     Refused,
 }
 
-/// Where a task stands by the owner's account.
+/// State of a task according to the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// Room is held until the given time.
+    /// Resources are reserved until the given time.
     Reserved {
         /// End of the reservation.
         until_ms: u64,
     },
-    /// The worker is told to start it.
+    /// The worker is ordered to start it.
     Starting,
     /// The worker lists it as running.
     Running,
-    /// The worker is told to stop it.
+    /// The worker is ordered to stop it.
     Stopping,
-    /// It has ended; its home is told until it acknowledges.
+    /// It has ended; its home is informed until it acknowledges.
     Ended {
-        /// How.
+        /// Its outcome.
         end: TaskEnd,
-        /// When its home was told last.
+        /// Time at which its home was last informed.
         told_ms: u64,
     },
-    /// Its home has acknowledged the end; the worker is told to forget it.
+    /// Its home has acknowledged the end; the worker is ordered to forget it.
     Forgetting,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEnd {
     /// The job finished.
     Finished,
     /// The job failed by itself.
     Failed,
-    /// It was stopped; the job resumes at the checkpoint.
+    /// The attempt was stopped; the job resumes at the checkpoint.
     Evicted {
-        /// Progress that is kept.
+        /// Checkpoint up to which its progress is kept.
         checkpoint: u64,
     },
-    /// The worker refused it for want of room; it did not run.
+    /// The worker refused it for lack of resources; it did not run.
     NotStarted,
-    /// Its worker is silent and its lease has lapsed, or an order for it was repeated in vain; it
-    /// no longer runs, but may have finished.
+    /// Its worker does not answer and its lease has expired, or a repeated order
+    /// found no trace of it. It no longer runs, but may have finished.
     Lost,
-    /// Its worker has restarted and knows nothing of it; it may have finished.
+    /// Its worker has restarted and does not know it; it may have finished.
     Forgotten,
 }
 
-/// What a request for room is told.
+/// Answer to a request for resources.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reservation {
-    /// Room is held.
+    /// The resources are reserved.
     Held,
-    /// There is none; for urgent work some is being made.
+    /// There are no resources at present; for an urgent attempt some are being freed.
     Unavailable,
 }
 
-/// How an order to start is given.
+/// Options of an order to start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StartOptions {
-    /// It overtakes other work.
+    /// Whether the attempt has priority over batch tasks.
     pub is_urgent: bool,
-    /// It may have been given before, to a former owner of the cell.
+    /// Whether the order may have been given before, to a previous owner of the cell.
     pub is_repeat: bool,
 }
 
-/// What an order to start is told.
+/// Answer to an order to start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The worker is being told.
+    /// The worker is being ordered to start it.
     Starting,
-    /// It runs.
+    /// The attempt runs.
     Running,
-    /// It has ended in this way.
+    /// The attempt has ended with this outcome.
     Ended(TaskEnd),
-    /// Not all workers of the cell are known yet; ask again.
+    /// Not all workers of the cell have reported yet; ask again.
     Wait,
 }
 
-/// What happened to a task, for its home.
+/// Update about a task for its home, the owner of its job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskUpdate {
     /// The attempt.
     pub attempt: AttemptId,
-    /// How it ended, or `None` if it started to run.
+    /// Its outcome, or `None` if it has started to run.
     pub end: Option<TaskEnd>,
 }
 
-/// Times and bounds of a cell of workers.
+/// Timeouts and intervals of a cell of workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerTiming {
-    /// How long a worker runs on without a call.
+    /// Time for which a worker runs its tasks without a call.
     pub lease_ms: u64,
     /// Time between two calls.
     pub poll_ms: u64,
-    /// How long room stays reserved.
+    /// Time for which resources stay reserved.
     pub reserve_ms: u64,
-    /// Difference in clock rates, in thousandths.
+    /// Largest difference in clock rates, in thousandths.
     pub skew_permille: u64,
 }
 
 plain! {
-    /// A host as the inventory and the platform's list describe it.
+    /// A host as described by the inventory and the platform's list.
     pub struct HostEntry {
         /// Its name.
         pub name: Box<str>,
         /// Address of its worker; empty while the platform does not list it.
         pub address: Box<str>,
-        /// What it holds.
+        /// Resources that it has.
         pub total: Resources,
-        /// What services' instances reserve on it.
+        /// Resources reserved for instances of services.
         pub reserved: Resources,
-        /// Jobs that rules keep off it.
+        /// Names of jobs that rules exclude from it.
         pub excluded_jobs: Vec<Box<str>>,
-        /// Gets no new work, and its tasks move.
+        /// Whether it is leaving: it gets no new tasks, and its tasks are evicted.
         pub is_leaving: bool,
     }
 }
