--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -3,7 +3,7 @@
 //! A change names the version that it is based on and takes effect only if that
 //! version is current at the change's position in the log. Of two operators who
 //! publish at the same time exactly one succeeds, and every process computes the same
-//! outcome. Versions only grow, and no change is reverted.
+//! outcome. Versions only grow; the configuration never goes back to an earlier one.
 
 use crate::macros::plain;
 use crate::record::ConfigChange;
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 key! {
-    /// Number of an entry host in the settings. A process that is replaced keeps the
-    /// seat of its predecessor.
+    /// Number of an entry host in the settings. The process that replaces another one
+    /// at the host has the same seat.
     pub struct Seat(pub u16);
 
     /// One incarnation of the process at a seat. A later one has a higher number, and
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,10 +1,10 @@
-//! The jobs of one cell of keys: each is accepted once, assigned to one place at a
-//! time, and resumed there once.
+//! The jobs of one cell of keys: each is accepted once, and started or resumed in one
+//! place at a time.
 //!
-//! The owner of the cell records each step that must survive it in the log before it
-//! acts on it: accepted, assigned, evicted, ended. A later owner reads these records
-//! and asks the cell of workers named in an open assignment for the job's outcome. It
-//! never assigns the job again by assumption.
+//! The owner of the cell writes each step that later owners must know to the log
+//! before it acts on the step: accepted, assigned, evicted, ended. A later owner
+//! reads these records and asks the cell of workers named in an open assignment for
+//! the job's outcome. It never assigns the job again by assumption.
 //!
 //! All jobs of a team are in one cell, which makes quotas exact.
 
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -138,8 +138,8 @@
         true
     }
 
-    /// Removes votes that have expired and consents to deposing members that have a
-    /// newer incarnation.
+    /// Removes expired votes, and consents that a newer incarnation has made
+    /// obsolete.
     fn remove_expired(&mut self, now_ms: u64) {
         const MIN_ENTRIES: usize = 1_024;
         if self.promised_until_ms.len() + self.consented.len() < MIN_ENTRIES {
--- a/crates/core/src/notes.rs
+++ b/crates/core/src/notes.rs
@@ -1,4 +1,4 @@
-//! Numbered events of the log.
+//! Numbered events that the system logs about itself.
 
 use crate::macros::plain;
 
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Whether a host's worker is known to run tasks.
+/// Contact with a host's worker in this term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Contact {
     /// No report has arrived in this term.
--- a/crates/core/src/placement/types.rs
+++ b/crates/core/src/placement/types.rs
@@ -48,7 +48,7 @@
 
     /// A task in a worker's report.
     pub struct TaskReport {
-        /// Order under which the worker has it.
+        /// Order that the worker got for it.
         pub order: TaskOrder,
         /// Its state.
         pub state: ReportedState,
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -67,7 +67,7 @@
         pub changes: Box<[Change]>,
     }
 
-    /// One record.
+    /// A record in a stream of the log.
     #[expect(missing_docs, reason = "The comment of each variant covers its fields.")]
     pub enum Record {
         /// A majority of voters has confirmed that the target's lease has expired;
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -7,7 +7,7 @@
     balance: u32,
 }
 
-/// Cost of one retry, in thousandths of a request's share.
+/// Cost of one retry, in thousandths of a retry.
 const RETRY_COST: u32 = 1_000;
 /// Maximum number of retries that can be saved up.
 const MAX_SAVED_RETRIES: u32 = 10;
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Adds the share of a new request.
+    /// Adds the fraction of a retry that a new request earns.
     pub fn earn(&mut self) {
         self.balance = (self.balance + self.permille).min(RETRY_COST * MAX_SAVED_RETRIES);
     }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -60,9 +60,9 @@
 pub struct SlotRequest {
     /// Entry host that will send the attempt.
     pub requester: Member,
-    /// Its number there.
+    /// Number of the request at that host.
     pub request: u64,
-    /// When its owner was first asked for it.
+    /// Time at which the owner of the cell was first asked.
     pub asked_ms: u64,
     /// Latest time at which an attempt may still begin.
     pub begin_by_ms: u64,
