--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -193,13 +193,13 @@
     }
     heal(&mut world);
     world.run(HEAL_MS);
-    world.broken()
+    world.violations()
 }
 
 fn heal(world: &mut World) {
     world.edges.log_mode = LogMode::Up;
     world.edges.log_cuts.clear();
-    world.cuts.clear();
+    world.cut_links.clear();
     for seat in 0..SEATS {
         world.pause(Seat(seat), false);
         if !world.runs(Seat(seat)) {
@@ -225,15 +225,15 @@
             world.kill(Seat(seat));
             world.start(Seat(seat));
         }
-        Fault::Stop(seat) => world.give(Seat(seat), goldcrestway_core::Event::Stop),
+        Fault::Stop(seat) => world.deliver(Seat(seat), goldcrestway_core::Event::Stop),
         Fault::Pause(seat) => world.pause(Seat(seat), true),
         Fault::Resume(seat) => world.pause(Seat(seat), false),
         Fault::Cut(one, other) => {
-            world.cuts.insert((Seat(one), Seat(other)));
+            world.cut_links.insert((Seat(one), Seat(other)));
         }
         Fault::CutLog(seat) => drop(world.edges.log_cuts.insert(Seat(seat))),
         Fault::JoinAll => {
-            world.cuts.clear();
+            world.cut_links.clear();
             world.edges.log_cuts.clear();
         }
         Fault::Log(mode) => world.edges.log_mode = mode,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,13 +1,13 @@
 //! The scenario language: commands of `docs/SCENARIOS.md` over a [`World`].
 
 use crate::tallies::cells;
+use crate::tallies::guarantees;
 use crate::tallies::jobs;
-use crate::tallies::promises;
 use crate::tallies::requests;
 use crate::tallies::running;
 use crate::tallies::versions;
 use crate::world::LogMode;
-use crate::world::Told;
+use crate::world::RequestRecord;
 use crate::world::UpstreamMode;
 use crate::world::World;
 use datadriven::TestCase;
@@ -79,7 +79,7 @@
         author: format!("operator-{id}").into(),
         changes: compare(old, &sections).into(),
     };
-    world.give(seat, Event::Publish { request, change });
+    world.deliver(seat, Event::Publish { request, change });
     request
 }
 
@@ -94,16 +94,16 @@
         is_idempotent: !is_once,
         deadline_ms: world.now_ms + patience_ms,
     };
-    let told = Told {
+    let told = RequestRecord {
         identity: identity.into(),
         is_once,
         answer: None,
-        has_whole: false,
+        has_complete_answer: false,
         attempts: 0,
-        told_ms: 0,
+        answer_ms: 0,
     };
-    world.edges.told.insert(number, told);
-    world.give(seat, Event::Request(request));
+    world.edges.caller_requests.insert(number, told);
+    world.deliver(seat, Event::Request(request));
 }
 
 /// Submits a job.
@@ -121,13 +121,14 @@
         job: job.into(),
         team: team.into(),
     };
-    world.give(seat, Event::Submit { request, spec });
+    world.deliver(seat, Event::Submit { request, spec });
 }
 
 impl World {
     /// Numbers a request.
     pub(crate) fn next_request(&self) -> u64 {
-        let counts = self.edges.told.len() + self.edges.jobs.len() + self.edges.published.len();
+        let counts =
+            self.edges.caller_requests.len() + self.edges.jobs.len() + self.edges.published.len();
         counts as u64 + 1
     }
 }
@@ -206,7 +207,7 @@
             }
             "stop" => {
                 let seat = self.seat("host");
-                world.give(seat, Event::Stop);
+                world.deliver(seat, Event::Stop);
             }
             "pause" => world.pause(self.seat("host"), true),
             "resume" => world.pause(self.seat("host"), false),
@@ -214,7 +215,7 @@
             "log" => self.log(world),
             "worker" => self.worker(world),
             "upstream" => self.upstream(world),
-            "poison" => world.edges.poison = self.text("id"),
+            "poison" => world.edges.crashing_prefix = self.text("id"),
             "crashes" => {
                 let (workers, upstreams) =
                     (world.edges.worker_crashes, world.edges.upstream_crashes);
@@ -228,7 +229,7 @@
             "jobs" => return jobs(world),
             "cells" => return cells(world),
             "versions" => return versions(world),
-            "promises" => return promises(world),
+            "promises" => return guarantees(world),
             other => panic!("unknown command `{other}`; see docs/SCENARIOS.md"),
         }
         String::new()
@@ -324,8 +325,8 @@
         for other in others {
             for link in [(seat, other), (other, seat)] {
                 match is_cut {
-                    true => drop(world.cuts.insert(link)),
-                    false => drop(world.cuts.remove(&link)),
+                    true => drop(world.cut_links.insert(link)),
+                    false => drop(world.cut_links.remove(&link)),
                 }
             }
         }
@@ -432,10 +433,10 @@
 fn callers_go(world: &mut World, via: Seat) {
     let waiting = world
         .edges
-        .told
+        .caller_requests
         .iter()
         .filter(|(_, told)| told.answer.is_none());
     for request in waiting.map(|(request, _)| *request).collect::<Vec<u64>>() {
-        world.give(via, Event::CallerGone { request });
+        world.deliver(via, Event::CallerGone { request });
     }
 }
--- a/tests/tallies.rs
+++ b/tests/tallies.rs
@@ -15,7 +15,7 @@
     let open = runs
         .filter(|run| run.to_ms.is_none())
         .map(|run| run.order.job.as_str());
-    failure_counts(open)
+    count_words(open)
 }
 
 /// Names what a caller was told, in a word.
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn failure_counts<'a>(words: impl Iterator<Item = &'a str>) -> String {
+pub(crate) fn count_words<'a>(words: impl Iterator<Item = &'a str>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for word in words {
         *counts.entry(word).or_default() += 1;
@@ -50,12 +50,18 @@
 }
 
 pub(crate) fn requests(world: &World) -> String {
-    failure_counts(world.edges.told.values().map(|told| word(&told.answer)))
+    count_words(
+        world
+            .edges
+            .caller_requests
+            .values()
+            .map(|record| word(&record.answer)),
+    )
 }
 
 pub(crate) fn jobs(world: &World) -> String {
-    let told = failure_counts(world.edges.jobs.values().map(|(_, told)| word(told)));
-    format!("{}finished: {}\n", told, world.finished().len())
+    let record = count_words(world.edges.jobs.values().map(|(_, record)| word(record)));
+    format!("{}finished: {}\n", record, world.finished().len())
 }
 
 /// Counts the cells that each entry host serves and may act for.
@@ -66,7 +72,7 @@
         if !world.runs(Seat(seat)) {
             continue;
         }
-        let Some(status) = world.look(Seat(seat), |node| node.status()) else {
+        let Some(status) = world.inspect(Seat(seat), |node| node.status()) else {
             continue;
         };
         let count = if status.acts { status.cells.len() } else { 0 };
@@ -83,7 +89,7 @@
         if !world.runs(Seat(seat)) {
             continue;
         }
-        if let Some(status) = world.look(Seat(seat), |node| node.status()) {
+        if let Some(status) = world.inspect(Seat(seat), |node| node.status()) {
             let acts = if status.acts { "acts" } else { "does not act" };
             lines.push_str(&format!("e{} {} {acts}\n", seat + 1, status.config_version));
         }
@@ -91,12 +97,12 @@
     lines
 }
 
-pub(crate) fn promises(world: &World) -> String {
-    let broken = world.broken();
-    if broken.is_empty() {
+pub(crate) fn guarantees(world: &World) -> String {
+    let violations = world.violations();
+    if violations.is_empty() {
         return "kept\n".into();
     }
     const SHOWN: usize = 6;
-    let shown: Vec<&str> = broken.iter().take(SHOWN).map(String::as_str).collect();
-    format!("BROKEN, {} times\n{}\n", broken.len(), shown.join("\n"))
+    let shown: Vec<&str> = violations.iter().take(SHOWN).map(String::as_str).collect();
+    format!("BROKEN, {} times\n{}\n", violations.len(), shown.join("\n"))
 }
--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -40,7 +40,7 @@
     Answers,
     /// Answers 503 at once.
     Fails,
-    /// Works, and its answer never arrives.
+    /// Processes the request, and its answer is lost.
     Cuts,
     /// Refuses connections.
     Refuses,
@@ -48,14 +48,14 @@
 
 /// A caller's request and what its caller was told.
 #[derive(Debug, Clone)]
-pub(crate) struct Told {
+pub(crate) struct RequestRecord {
     pub(crate) identity: String,
     pub(crate) is_once: bool,
     pub(crate) answer: Option<Answer>,
-    pub(crate) has_whole: bool,
+    pub(crate) has_complete_answer: bool,
     /// Attempts that reached an instance.
     pub(crate) attempts: u32,
-    pub(crate) told_ms: u64,
+    pub(crate) answer_ms: u64,
 }
 
 /// An instance with its behaviour.
@@ -77,7 +77,7 @@
     pub(crate) is_leaving: bool,
     /// A paused worker takes calls in only when it wakes.
     pub(crate) is_paused: bool,
-    held: Vec<(Seat, Action)>,
+    delayed_calls: Vec<(Seat, Action)>,
 }
 
 enum Due {
@@ -97,13 +97,13 @@
     pub(crate) log_cuts: BTreeSet<Seat>,
     pub(crate) workers: BTreeMap<Box<str>, Worker>,
     pub(crate) upstreams: BTreeMap<Box<str>, Upstream>,
-    pub(crate) told: BTreeMap<u64, Told>,
+    pub(crate) caller_requests: BTreeMap<u64, RequestRecord>,
     pub(crate) jobs: BTreeMap<u64, (String, Option<Answer>)>,
     pub(crate) published: BTreeMap<u64, Option<Answer>>,
     pub(crate) ready: BTreeMap<Seat, bool>,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
     /// Jobs and requests whose identity begins so take down whoever runs them, who is back at once.
-    pub(crate) poison: Option<String>,
+    pub(crate) crashing_prefix: Option<String>,
     pub(crate) worker_crashes: u32,
     pub(crate) upstream_crashes: u32,
     delayed_until_ms: BTreeMap<(Seat, Seat), u64>,
@@ -120,12 +120,12 @@
             log_cuts: BTreeSet::new(),
             workers: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            told: BTreeMap::new(),
+            caller_requests: BTreeMap::new(),
             jobs: BTreeMap::new(),
             published: BTreeMap::new(),
             ready: BTreeMap::new(),
-            broken: Vec::new(),
-            poison: None,
+            violations: Vec::new(),
+            crashing_prefix: None,
             worker_crashes: 0,
             upstream_crashes: 0,
             delayed_until_ms: BTreeMap::new(),
@@ -139,7 +139,7 @@
             is_cut: false,
             is_leaving: false,
             is_paused: false,
-            held: Vec::new(),
+            delayed_calls: Vec::new(),
         };
         self.workers.insert(name.into(), worker);
     }
@@ -175,7 +175,7 @@
         listed.collect()
     }
 
-    fn put(&mut self, at_ms: u64, due: Due) {
+    fn schedule(&mut self, at_ms: u64, due: Due) {
         self.next += 1;
         self.due.insert((at_ms, self.next), due);
     }
@@ -206,8 +206,9 @@
             if !worker.is_dead {
                 worker.state.advance(now_ms);
             }
-            let poison = self.poison.as_deref();
-            if poison.is_some_and(|poison| worker.state.runs_job(poison)) {
+            let crashing_prefix = self.crashing_prefix.as_deref();
+            if crashing_prefix.is_some_and(|crashing_prefix| worker.state.runs_job(crashing_prefix))
+            {
                 worker.state.die(now_ms);
                 self.worker_crashes += 1;
             }
@@ -227,7 +228,7 @@
         let link = self.delayed_until_ms.entry((from.seat, to)).or_default();
         *link = (now_ms + delay_ms).max(*link);
         let at_ms = *link;
-        self.put(at_ms, Due::Event(to, Event::Peer { from, message }));
+        self.schedule(at_ms, Due::Event(to, Event::Peer { from, message }));
     }
 
     pub(crate) fn perform(&mut self, now_ms: u64, seat: Seat, action: Action) {
@@ -243,7 +244,7 @@
     }
 
     fn append(&mut self, now_ms: u64, seat: Seat, action: Action) {
-        const HANGS_MS: u64 = 1_000;
+        const APPEND_TIMEOUT_MS: u64 = 1_000;
         let Action::Append { stream, ref batch } = action else {
             return;
         };
@@ -258,10 +259,10 @@
             _ => self.random.random_range(2..=12),
         };
         if self.log_mode == LogMode::Down || self.log_cuts.contains(&seat) {
-            self.put(now_ms + HANGS_MS, Due::Event(seat, lost));
+            self.schedule(now_ms + APPEND_TIMEOUT_MS, Due::Event(seat, lost));
             return;
         }
-        self.put(now_ms + delay_ms, Due::Append(seat, action));
+        self.schedule(now_ms + delay_ms, Due::Append(seat, action));
     }
 
     fn finish_append(&mut self, now_ms: u64, seat: Seat, action: Action) {
@@ -278,7 +279,7 @@
             sequence,
             offset,
         };
-        self.put(now_ms + ANSWER_MS, Due::Event(seat, event));
+        self.schedule(now_ms + ANSWER_MS, Due::Event(seat, event));
     }
 
     fn read(&mut self, now_ms: u64, seat: Seat, stream: goldcrestway_core::Stream, from: u64) {
@@ -290,7 +291,7 @@
         let is_down = self.log_mode == LogMode::Down || self.log_cuts.contains(&seat);
         let page =
             (!is_down).then(|| part_in(from, &self.log.read(&stream.to_string(), from, RECORDS)));
-        self.put(
+        self.schedule(
             now_ms + delay_ms,
             Due::Event(seat, Event::Read { stream, page }),
         );
@@ -306,16 +307,16 @@
         else {
             return;
         };
-        let Some(told) = self.told.get_mut(&request) else {
+        let Some(record) = self.caller_requests.get_mut(&request) else {
             return;
         };
-        let identity = told.identity.clone();
+        let identity = record.identity.clone();
         let Some(upstream) = self.upstreams.get_mut(&address) else {
             return;
         };
-        const LEAVING_BORNE_MS: u64 = 3_000;
-        if upstream.is_leaving && now_ms > upstream.left_ms + LEAVING_BORNE_MS {
-            self.broken
+        const MAX_LEAVING_MS: u64 = 3_000;
+        if upstream.is_leaving && now_ms > upstream.left_ms + MAX_LEAVING_MS {
+            self.violations
                 .push(format!("{address} is leaving and got request {identity}"));
         }
         let mode = upstream.mode;
@@ -324,13 +325,13 @@
         } else {
             upstream.work_ms
         };
-        let is_poisoned = self
-            .poison
+        let is_crashing = self
+            .crashing_prefix
             .as_deref()
-            .is_some_and(|poison| identity.starts_with(poison));
-        self.upstream_crashes += u32::from(is_poisoned);
+            .is_some_and(|crashing_prefix| identity.starts_with(crashing_prefix));
+        self.upstream_crashes += u32::from(is_crashing);
         let outcome = match mode {
-            _ if is_poisoned => AttemptOutcome::Interrupted,
+            _ if is_crashing => AttemptOutcome::Interrupted,
             UpstreamMode::Refuses => AttemptOutcome::NotStarted,
             UpstreamMode::Fails => AttemptOutcome::Complete {
                 status: 503,
@@ -344,22 +345,22 @@
         };
         let answered_ms = match outcome {
             AttemptOutcome::NotStarted | AttemptOutcome::Expired => now_ms + 1,
-            AttemptOutcome::Interrupted if is_poisoned => now_ms + 1,
+            AttemptOutcome::Interrupted if is_crashing => now_ms + 1,
             AttemptOutcome::Interrupted => now_ms + timeout_ms,
             AttemptOutcome::Complete { .. } => now_ms + work_ms,
         };
         if outcome != AttemptOutcome::NotStarted {
-            told.attempts += 1;
+            record.attempts += 1;
             let until_ms = now_ms + work_ms;
             let run = upstream.state.begin(&identity, now_ms, until_ms);
-            self.put(until_ms, Due::EndRun(address, run));
+            self.schedule(until_ms, Due::EndRun(address, run));
         }
         let event = Event::AttemptEnded { request, outcome };
-        self.put(answered_ms, Due::Event(seat, event));
-        if let (Some(told), AttemptOutcome::Complete { .. }) =
-            (self.told.get_mut(&request), outcome)
+        self.schedule(answered_ms, Due::Event(seat, event));
+        if let (Some(record), AttemptOutcome::Complete { .. }) =
+            (self.caller_requests.get_mut(&request), outcome)
         {
-            told.has_whole = true;
+            record.has_complete_answer = true;
         }
     }
 
@@ -382,7 +383,7 @@
         let mut report = None;
         let mut delay_ms = TIMEOUT_MS;
         if worker.is_paused {
-            worker.held.push((seat, action.clone()));
+            worker.delayed_calls.push((seat, action.clone()));
         } else if !worker.is_dead && !worker.is_cut {
             delay_ms = 3;
             report = worker
@@ -397,7 +398,7 @@
             token,
             report,
         };
-        self.put(now_ms + delay_ms, Due::Event(seat, event));
+        self.schedule(now_ms + delay_ms, Due::Event(seat, event));
     }
 
     /// Wakes a paused worker: calls that were waiting at it take effect late.
@@ -406,7 +407,7 @@
             return;
         };
         worker.is_paused = false;
-        for (_, action) in std::mem::take(&mut worker.held) {
+        for (_, action) in std::mem::take(&mut worker.delayed_calls) {
             if let Action::CallWorker { call, .. } = action {
                 worker.state.call(now_ms, &call_out(&call));
             }
@@ -414,17 +415,17 @@
     }
 
     fn answer(&mut self, now_ms: u64, request: u64, answer: Answer) {
-        if let Some(told) = self.told.get_mut(&request) {
-            if told.answer.is_some() {
-                self.broken
-                    .push(format!("request {} was answered twice", told.identity));
+        if let Some(record) = self.caller_requests.get_mut(&request) {
+            if record.answer.is_some() {
+                self.violations
+                    .push(format!("request {} was answered twice", record.identity));
             }
-            told.told_ms = now_ms;
-            told.answer = Some(answer);
-        } else if let Some((_, told)) = self.jobs.get_mut(&request) {
-            *told = Some(answer);
-        } else if let Some(told) = self.published.get_mut(&request) {
-            *told = Some(answer);
+            record.answer_ms = now_ms;
+            record.answer = Some(answer);
+        } else if let Some((_, record)) = self.jobs.get_mut(&request) {
+            *record = Some(answer);
+        } else if let Some(record) = self.published.get_mut(&request) {
+            *record = Some(answer);
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -25,7 +25,7 @@
 use std::time::Instant;
 
 pub(crate) use edges::LogMode;
-pub(crate) use edges::Told;
+pub(crate) use edges::RequestRecord;
 pub(crate) use edges::Upstream;
 pub(crate) use edges::UpstreamMode;
 
@@ -51,12 +51,12 @@
     seats: Vec<Seat>,
     limits: Limits,
     processes: BTreeMap<Seat, Process>,
-    lives: u64,
+    incarnations: u64,
     pub(crate) edges: Edges,
     /// Links that are cut, as ordered pairs of seats.
-    pub(crate) cuts: BTreeSet<(Seat, Seat)>,
+    pub(crate) cut_links: BTreeSet<(Seat, Seat)>,
     /// Promises that were seen broken while running.
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
     pub(crate) deposed: usize,
     pub(crate) messages: u64,
 }
@@ -70,10 +70,10 @@
             seats: (0..seats).map(Seat).collect(),
             limits,
             processes: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             edges: Edges::new(seed),
-            cuts: BTreeSet::new(),
-            broken: Vec::new(),
+            cut_links: BTreeSet::new(),
+            violations: Vec::new(),
             deposed: 0,
             messages: 0,
         }
@@ -81,9 +81,9 @@
 
     /// Starts a process at a seat, in place of one that was killed.
     pub(crate) fn start(&mut self, seat: Seat) {
-        const LIFE: u64 = 1_000_000;
-        self.lives += 1;
-        self.start_as(seat, self.lives * LIFE);
+        const INCARNATION_STEP: u64 = 1_000_000;
+        self.incarnations += 1;
+        self.start_as(seat, self.incarnations * INCARNATION_STEP);
     }
 
     /// Starts a process whose wall clock gives it a certain incarnation.
@@ -133,7 +133,7 @@
     }
 
     /// Hands an event to the process at a seat.
-    pub(crate) fn give(&mut self, seat: Seat, event: Event) {
+    pub(crate) fn deliver(&mut self, seat: Seat, event: Event) {
         if let Some(process) = self.processes.get_mut(&seat) {
             process.inbox.push(event);
         }
@@ -143,7 +143,7 @@
     pub(crate) fn list_hosts(&mut self) {
         for seat in self.seats.clone() {
             let hosts = self.edges.hosts();
-            self.give(seat, Event::Hosts(hosts));
+            self.deliver(seat, Event::Hosts(hosts));
         }
     }
 
@@ -158,7 +158,7 @@
     fn step(&mut self) {
         self.now_ms += TICK.as_millis() as u64;
         for (seat, event) in self.edges.due(self.now_ms) {
-            self.give(seat, event);
+            self.deliver(seat, event);
         }
         let now = self.base + Duration::from_millis(self.now_ms);
         for seat in self.seats.clone() {
@@ -178,7 +178,7 @@
         }
         self.edges.advance(self.now_ms);
         if self.now_ms.is_multiple_of(100) {
-            self.watch();
+            self.check_invariants();
         }
     }
 
@@ -191,7 +191,7 @@
             match action {
                 Action::Send { to, message } => {
                     self.messages += 1;
-                    if !self.cuts.contains(&(seat, to)) && self.runs(to) {
+                    if !self.cut_links.contains(&(seat, to)) && self.runs(to) {
                         self.edges.send(self.now_ms, me, to, message);
                     }
                 }
@@ -209,7 +209,7 @@
     }
 
     /// Looks at the node at a seat.
-    pub(crate) fn look<T: 'static>(
+    pub(crate) fn inspect<T: 'static>(
         &mut self,
         seat: Seat,
         look: impl FnOnce(&mut Node) -> T + 'static,
@@ -233,7 +233,7 @@
     }
 
     fn member(&mut self, seat: Seat) -> Member {
-        self.look(seat, |node| node.me()).unwrap_or(Member {
+        self.inspect(seat, |node| node.me()).unwrap_or(Member {
             seat,
             incarnation: 0,
         })
--- a/tests/world/promises.rs
+++ b/tests/world/promises.rs
@@ -8,7 +8,7 @@
 impl World {
     /// Looks at what must hold at every moment: one owner a cell, and versions
     /// that never go back.
-    pub(super) fn watch(&mut self) {
+    pub(super) fn check_invariants(&mut self) {
         let mut owners: BTreeMap<Box<str>, Vec<Box<str>>> = BTreeMap::new();
         for seat in self.seats.clone() {
             let is_paused = self
@@ -18,12 +18,12 @@
             if is_paused || !self.runs(seat) {
                 continue;
             }
-            let Some(status) = self.look(seat, |node| node.status()) else {
+            let Some(status) = self.inspect(seat, |node| node.status()) else {
                 continue;
             };
             if let Some(process) = self.processes.get_mut(&seat) {
                 if status.config_version < process.highest_config {
-                    self.broken
+                    self.violations
                         .push(format!("seat {} reverted its configuration", seat.0));
                 }
                 process.highest_config = status.config_version;
@@ -37,7 +37,7 @@
         }
         for (cell, members) in owners {
             if members.len() > 1 {
-                self.broken.push(format!(
+                self.violations.push(format!(
                     "{cell} has owners {members:?} at {} ms",
                     self.now_ms
                 ));
@@ -46,22 +46,22 @@
     }
 
     /// Lists the promises that were broken so far.
-    pub(crate) fn broken(&self) -> Vec<String> {
-        let mut broken = self.broken.clone();
-        broken.extend(self.edges.broken.clone());
-        self.judge_requests(&mut broken);
-        self.judge_jobs(&mut broken);
-        broken.sort();
-        broken.dedup();
-        broken
+    pub(crate) fn violations(&self) -> Vec<String> {
+        let mut violations = self.violations.clone();
+        violations.extend(self.edges.violations.clone());
+        self.check_requests(&mut violations);
+        self.check_jobs(&mut violations);
+        violations.sort();
+        violations.dedup();
+        violations
     }
 
-    fn judge_requests(&self, broken: &mut Vec<String>) {
+    fn check_requests(&self, violations: &mut Vec<String>) {
         let mut runs: BTreeMap<&str, Vec<(u64, u64)>> = BTreeMap::new();
         for (name, upstream) in &self.edges.upstreams {
             const SLOTS: u32 = 8;
             if upstream.state.most_in_use > SLOTS {
-                broken.push(format!(
+                violations.push(format!(
                     "{name} worked on {} at once",
                     upstream.state.most_in_use
                 ));
@@ -73,19 +73,19 @@
             }
         }
         let mut not_run: BTreeMap<&str, bool> = BTreeMap::new();
-        for told in self.edges.told.values() {
+        for record in self.edges.caller_requests.values() {
             let ran = runs
-                .get(&*told.identity)
+                .get(&*record.identity)
                 .map(|runs| runs.len())
                 .unwrap_or(0);
-            if told.is_once && ran > 1 {
-                broken.push(format!("{} ran {ran} times", told.identity));
+            if record.is_once && ran > 1 {
+                violations.push(format!("{} ran {ran} times", record.identity));
             }
-            if told.answer == Some(Answer::Whole) && !told.has_whole {
-                broken.push(format!("{} got no whole answer", told.identity));
+            if record.answer == Some(Answer::Whole) && !record.has_complete_answer {
+                violations.push(format!("{} got no whole answer", record.identity));
             }
             let is_not_run = matches!(
-                told.answer,
+                record.answer,
                 Some(
                     Answer::NotRun { .. }
                         | Answer::Repeated {
@@ -94,38 +94,38 @@
                         }
                 )
             );
-            if is_not_run && told.attempts > 0 {
-                broken.push(format!("{} was told not run but ran", told.identity));
+            if is_not_run && record.attempts > 0 {
+                violations.push(format!("{} was told not run but ran", record.identity));
             }
             let ran_before = runs
-                .get(&*told.identity)
-                .is_some_and(|runs| runs.iter().any(|(from_ms, _)| *from_ms <= told.told_ms));
-            if is_not_run && told.is_once && ran_before {
-                broken.push(format!(
+                .get(&*record.identity)
+                .is_some_and(|runs| runs.iter().any(|(from_ms, _)| *from_ms <= record.answer_ms));
+            if is_not_run && record.is_once && ran_before {
+                violations.push(format!(
                     "{} had run when its repeat was told not run",
-                    told.identity
+                    record.identity
                 ));
             }
-            let all = not_run.entry(&told.identity).or_insert(true);
+            let all = not_run.entry(&record.identity).or_insert(true);
             *all &= is_not_run;
         }
         for (identity, all_not_run) in not_run {
             if all_not_run && runs.contains_key(identity) {
-                broken.push(format!("{identity} was only ever told not run but ran"));
+                violations.push(format!("{identity} was only ever told not run but ran"));
             }
         }
         for (identity, spans) in &runs {
             if overlaps(spans) {
-                broken.push(format!("{identity} ran in two places at once"));
+                violations.push(format!("{identity} ran in two places at once"));
             }
         }
     }
 
-    fn judge_jobs(&self, broken: &mut Vec<String>) {
+    fn check_jobs(&self, violations: &mut Vec<String>) {
         let mut by_job: BTreeMap<&str, Vec<&goldcrestway_standin::TaskRun>> = BTreeMap::new();
         for (name, worker) in &self.edges.workers {
             if worker.state.refusals > 0 {
-                broken.push(format!("{name} was given more than it holds"));
+                violations.push(format!("{name} was given more than it holds"));
             }
             for run in &worker.state.runs {
                 by_job.entry(&run.id).or_default().push(run);
@@ -138,17 +138,17 @@
                 .map(|run| (run.from_ms, run.to_ms.unwrap_or(u64::MAX)))
                 .collect();
             if overlaps(&spans) {
-                broken.push(format!("job {id} ran in two places at once: {spans:?}"));
+                violations.push(format!("job {id} ran in two places at once: {spans:?}"));
             }
-            let heard_ms = runs.iter().filter_map(|run| run.heard_ms).min();
+            let known_ms = runs.iter().filter_map(|run| run.heard_ms).min();
             if runs
                 .iter()
-                .any(|run| heard_ms.is_some_and(|heard| run.from_ms > heard))
+                .any(|run| known_ms.is_some_and(|heard| run.from_ms > heard))
             {
-                broken.push(format!("job {id} ran again after its end was known"));
+                violations.push(format!("job {id} ran again after its end was known"));
             }
             if id.contains("/confirm") && repeats_work(&runs) {
-                broken.push(format!("never-twice job {id} did a part of its work twice"));
+                violations.push(format!("never-twice job {id} did a part of its work twice"));
             }
         }
     }
