--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,7 +1,7 @@
 //! Several entry hosts in virtual time, with fakes at their edges.
 
 mod edges;
-mod promises;
+mod guarantees;
 
 use edges::Edges;
 use goldcrestway_core::Action;
