--- a/tests/tallies.rs
+++ b/tests/tallies.rs
@@ -1,11 +1,11 @@
-//! What the counting commands of a scenario print.
+//! Output of the scenario commands that count.
 
 use crate::world::World;
 use goldcrestway_core::Answer;
 use goldcrestway_core::Seat;
 use std::collections::BTreeMap;
 
-/// Counts the running tasks by kind of job.
+/// Returns the number of running tasks of each kind of job.
 pub(crate) fn running(world: &World) -> String {
     let runs = world
         .edges
@@ -18,7 +18,7 @@
     count_words(open)
 }
 
-/// Names what a caller was told, in a word.
+/// Returns the outcome that a caller got, as a word.
 pub(crate) fn word(answer: &Option<Answer>) -> &'static str {
     match answer {
         None => "open",
@@ -64,7 +64,8 @@
     format!("{}finished: {}\n", record, world.finished().len())
 }
 
-/// Counts the cells that each entry host serves and may act for.
+/// Returns whether each entry host may act, and the number of cells that all together
+/// serve.
 pub(crate) fn cells(world: &mut World) -> String {
     let mut lines = String::new();
     let mut all = 0;
--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -1,4 +1,4 @@
-//! The fakes: messages, log, workers, instances, callers.
+//! Fakes of the network, the log, workers, instances and callers.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Answer;
@@ -25,18 +25,18 @@
 pub(crate) enum LogMode {
     /// Answers within a few milliseconds.
     Up,
-    /// Takes that long for each call.
+    /// Delays each call by the given milliseconds.
     Slow(u64),
-    /// Answers nothing and takes nothing.
+    /// Answers no call and stores nothing.
     Down,
-    /// Takes appends, but their answers are lost.
+    /// Stores appends, but their answers are lost.
     LosesAnswers,
 }
 
 /// How an instance behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpstreamMode {
-    /// Answers after its time.
+    /// Answers after its processing time.
     Answers,
     /// Answers 503 at once.
     Fails,
@@ -46,7 +46,7 @@
     Refuses,
 }
 
-/// A caller's request and what its caller was told.
+/// A caller's request and the answer that the caller got.
 #[derive(Debug, Clone)]
 pub(crate) struct RequestRecord {
     pub(crate) identity: String,
@@ -75,7 +75,7 @@
     pub(crate) is_dead: bool,
     pub(crate) is_cut: bool,
     pub(crate) is_leaving: bool,
-    /// A paused worker takes calls in only when it wakes.
+    /// A paused worker processes calls only when it is resumed.
     pub(crate) is_paused: bool,
     delayed_calls: Vec<(Seat, Action)>,
 }
@@ -102,7 +102,8 @@
     pub(crate) published: BTreeMap<u64, Option<Answer>>,
     pub(crate) ready: BTreeMap<Seat, bool>,
     pub(crate) violations: Vec<String>,
-    /// Jobs and requests whose identity begins so take down whoever runs them, who is back at once.
+    /// Prefix of identities of jobs and requests that crash the worker or instance
+    /// that runs them, which restarts at once.
     pub(crate) crashing_prefix: Option<String>,
     pub(crate) worker_crashes: u32,
     pub(crate) upstream_crashes: u32,
@@ -155,7 +156,8 @@
         self.upstreams.insert(name.into(), upstream);
     }
 
-    /// Lists hosts and instances as the platform does; names serve as addresses.
+    /// Returns hosts and instances as the platform lists them; names serve as
+    /// addresses.
     pub(crate) fn hosts(&self) -> Box<[PlatformHost]> {
         let workers = self
             .workers
@@ -180,7 +182,8 @@
         self.due.insert((at_ms, self.next), due);
     }
 
-    /// Takes what is due by `now_ms`.
+    /// Removes what is due by `now_ms`, applies what concerns the fakes, and returns
+    /// the events for processes.
     pub(crate) fn due(&mut self, now_ms: u64) -> Vec<(Seat, Event)> {
         let mut events = Vec::new();
         while let Some(entry) = self.due.first_entry() {
@@ -200,7 +203,7 @@
         events
     }
 
-    /// Lets the workers go on.
+    /// Advances the workers to `now_ms`, and crashes those that run a crashing job.
     pub(crate) fn advance(&mut self, now_ms: u64) {
         for worker in self.workers.values_mut() {
             if !worker.is_dead {
@@ -215,14 +218,14 @@
         }
     }
 
-    /// Drops what was on its way to a process that ended.
+    /// Drops events in flight to a process that has ended.
     pub(crate) fn forget_process(&mut self, seat: Seat) {
         self.due
             .retain(|_, due| !matches!(due, Due::Event(to, _) if *to == seat));
         self.ready.insert(seat, false);
     }
 
-    /// Sends a message; one link keeps its order, as TCP does.
+    /// Sends a message; each connection keeps the order of messages, as TCP does.
     pub(crate) fn send(&mut self, now_ms: u64, from: Member, to: Seat, message: Message) {
         let delay_ms = self.random.random_range(1..=5);
         let link = self.delayed_until_ms.entry((from.seat, to)).or_default();
@@ -401,7 +404,7 @@
         self.schedule(now_ms + delay_ms, Due::Event(seat, event));
     }
 
-    /// Wakes a paused worker: calls that were waiting at it take effect late.
+    /// Resumes a paused worker, which then processes the delayed calls.
     pub(crate) fn wake_worker(&mut self, now_ms: u64, name: &str) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
--- a/tests/world/guarantees.rs
+++ b/tests/world/guarantees.rs
@@ -1,4 +1,4 @@
-//! What must always hold, judged by what the fakes recorded.
+//! The guarantees of the system, checked against what the fakes recorded.
 
 use super::World;
 use goldcrestway_core::Answer;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 impl World {
-    /// Looks at what must hold at every moment: one owner a cell, and versions
-    /// that never go back.
+    /// Checks what must hold at every moment: one owner for each cell, and
+    /// configuration versions that never go back.
     pub(super) fn check_invariants(&mut self) {
         let mut owners: BTreeMap<Box<str>, Vec<Box<str>>> = BTreeMap::new();
         for seat in self.seats.clone() {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Lists the promises that were broken so far.
+    /// Returns the violated guarantees so far.
     pub(crate) fn violations(&self) -> Vec<String> {
         let mut violations = self.violations.clone();
         violations.extend(self.edges.violations.clone());
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Names the jobs that finished.
+    /// Returns the identities of the finished jobs.
     pub(crate) fn finished(&self) -> Vec<String> {
         let runs = self
             .edges
@@ -166,8 +166,8 @@
     }
 }
 
-/// Tells whether a run begins before the point that a former one had reached. One
-/// that was checkpointed and resumes there repeats nothing.
+/// Returns whether a run begins before the point that a previous one had reached. A
+/// run that resumes from a checkpoint at that point repeats nothing.
 fn repeats_work(runs: &[&goldcrestway_standin::TaskRun]) -> bool {
     let mut reached_ms = 0;
     for run in runs {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Several entry hosts in virtual time, with fakes at their edges.
+//! Several entry hosts in virtual time, with fakes for all that they communicate
+//! with.
 
 mod edges;
 mod guarantees;
@@ -29,10 +30,10 @@
 pub(crate) use edges::Upstream;
 pub(crate) use edges::UpstreamMode;
 
-/// What the node of one process wants done, collected by its edge.
+/// Actions of the node of one process, which the world performs.
 type Outbox = Rc<RefCell<Vec<Action>>>;
 
-/// One process at a seat.
+/// A process at a seat.
 struct Process {
     stakker: Stakker,
     actor: ActorOwn<NodeActor>,
@@ -40,11 +41,12 @@
     inbox: Vec<Event>,
     is_paused: bool,
     is_stopped: bool,
-    /// Configuration versions that it had in force, to see that none reverts.
+    /// Highest configuration version that it had in force, which shows whether one is
+    /// reverted.
     highest_config: u64,
 }
 
-/// The whole of a scenario.
+/// All hosts and fakes of a scenario.
 pub(crate) struct World {
     base: Instant,
     pub(crate) now_ms: u64,
@@ -53,16 +55,16 @@
     processes: BTreeMap<Seat, Process>,
     incarnations: u64,
     pub(crate) edges: Edges,
-    /// Links that are cut, as ordered pairs of seats.
+    /// Connections that are cut, as ordered pairs of seats.
     pub(crate) cut_links: BTreeSet<(Seat, Seat)>,
-    /// Promises that were seen broken while running.
+    /// Violated guarantees that were seen while running.
     pub(crate) violations: Vec<String>,
     pub(crate) deposed: usize,
     pub(crate) messages: u64,
 }
 
 impl World {
-    /// Makes `seats` entry hosts that are not started yet.
+    /// Creates `seats` entry hosts that are not started yet.
     pub(crate) fn new(seats: u16, limits: Limits, seed: u64) -> Self {
         Self {
             base: Instant::now(),
@@ -79,14 +81,14 @@
         }
     }
 
-    /// Starts a process at a seat, in place of one that was killed.
+    /// Starts a process at a seat, which replaces one that was killed.
     pub(crate) fn start(&mut self, seat: Seat) {
         const INCARNATION_STEP: u64 = 1_000_000;
         self.incarnations += 1;
         self.start_as(seat, self.incarnations * INCARNATION_STEP);
     }
 
-    /// Starts a process whose wall clock gives it a certain incarnation.
+    /// Starts a process with a given incarnation, as its wall clock would set it.
     pub(crate) fn start_as(&mut self, seat: Seat, incarnation: u64) {
         let me = Member { seat, incarnation };
         let node = Node::new(me, &self.seats, self.limits, self.now_ms);
@@ -112,34 +114,35 @@
         self.processes.insert(seat, process);
     }
 
-    /// Ends the process at a seat as a crash would.
+    /// Ends the process at a seat abruptly, as a crash does.
     pub(crate) fn kill(&mut self, seat: Seat) {
         self.processes.remove(&seat);
         self.edges.forget_process(seat);
     }
 
-    /// Tells whether a process runs at the seat.
+    /// Returns whether a process runs at the seat.
     pub(crate) fn runs(&self, seat: Seat) -> bool {
         self.processes
             .get(&seat)
             .is_some_and(|process| !process.is_stopped)
     }
 
-    /// Pauses or resumes the process at a seat; what arrives meanwhile waits.
+    /// Pauses or resumes the process at a seat; events that arrive while it is paused
+    /// are queued.
     pub(crate) fn pause(&mut self, seat: Seat, is_paused: bool) {
         if let Some(process) = self.processes.get_mut(&seat) {
             process.is_paused = is_paused;
         }
     }
 
-    /// Hands an event to the process at a seat.
+    /// Delivers an event to the process at a seat.
     pub(crate) fn deliver(&mut self, seat: Seat, event: Event) {
         if let Some(process) = self.processes.get_mut(&seat) {
             process.inbox.push(event);
         }
     }
 
-    /// Tells all processes what the platform lists.
+    /// Delivers the platform's list of hosts to all processes.
     pub(crate) fn list_hosts(&mut self) {
         for seat in self.seats.clone() {
             let hosts = self.edges.hosts();
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Runs the scenario for a time.
     pub(crate) fn run(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -208,7 +211,8 @@
         }
     }
 
-    /// Looks at the node at a seat.
+    /// Calls a function with the node at a seat; returns its result, or `None` if no
+    /// process is there.
     pub(crate) fn inspect<T: 'static>(
         &mut self,
         seat: Seat,
@@ -222,7 +226,7 @@
         });
         let actor = &process.actor;
         call!([actor], look(look));
-        // The same time as at the last step, so that a paused process stays paused.
+        // The time of the last step, which lets no time pass for a paused process.
         let now = process.stakker.now();
         process.stakker.run(now, false);
         let outbox = std::mem::take(&mut *process.outbox.borrow_mut());
