--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -321,13 +321,11 @@
         }
         let key = held.instance;
         match released.ended {
-            GrantOutcome::Answered { latency_ms } => self.record_answer(key, latency_ms),
-            GrantOutcome::Failed { .. } | GrantOutcome::NotStarted => {
-                self.record_failure(now_ms, key)
-            }
+            GrantOutcome::Answered { latency_ms } => self.add_latency(key, latency_ms),
+            GrantOutcome::Failed { .. } | GrantOutcome::NotStarted => self.add_failure(now_ms, key),
             GrantOutcome::Unused => {}
             GrantOutcome::Unknown => {
-                self.record_failure(now_ms, key);
+                self.add_failure(now_ms, key);
                 return;
             }
         }
@@ -446,7 +444,7 @@
         instance.in_use -= 1;
     }
 
-    fn record_answer(&mut self, key: InstanceKey, latency_ms: u64) {
+    fn add_latency(&mut self, key: InstanceKey, latency_ms: u64) {
         const WEIGHT: u64 = 8;
         let instance = &mut self.instances[key];
         let latest_us = latency_ms.max(1) * 1_000;
@@ -460,7 +458,7 @@
     /// Counts a failure. An instance that fails everything at once would appear to be
     /// the fastest one and attract all load. It is therefore avoided for a while
     /// after several failures; then one request probes it.
-    fn record_failure(&mut self, now_ms: u64, key: InstanceKey) {
+    fn add_failure(&mut self, now_ms: u64, key: InstanceKey) {
         let instance = &mut self.instances[key];
         instance.failures += 1;
         if instance.failures < MAX_FAILURES {
