--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,8 +1,8 @@
-//! Who owns which cell, as the log's order decides it.
+//! The owners of all cells, as decided by the order of the log.
 //!
-//! Readers of the stream `claims` all reach the same table, since a record takes
-//! effect or not by what stands before it. A plain append is enough: a claim of a
-//! cell that has an owner simply has no effect.
+//! All readers of the stream `claims` compute the same table, because whether a
+//! record takes effect depends only on the records before it. A plain append is
+//! enough: a claim of a cell that has an owner has no effect.
 
 use crate::ids::Cell;
 use crate::ids::Member;
@@ -12,12 +12,12 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// The owner of a cell and since which claim.
+/// The owner of a cell and the term of its ownership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Owner {
     /// The member.
     pub member: Member,
-    /// Fencing token of its ownership.
+    /// Fencing token of the ownership.
     pub term: Term,
 }
 
@@ -26,11 +26,11 @@
 pub struct ClaimTable {
     owners: BTreeMap<Cell, Owner>,
     deposed: HashMap<Seat, u64>,
-    former: HashMap<Cell, Term>,
+    previous_terms: HashMap<Cell, Term>,
 }
 
 impl ClaimTable {
-    /// Applies the record at `offset`; gives the cells whose owner changed.
+    /// Applies the record at `offset`; returns the cells whose owner changed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> Vec<Cell> {
         match record {
             Record::Depose { target, .. } => self.depose(*target),
@@ -38,40 +38,43 @@
             Record::Release {
                 member,
                 cells,
-                heir,
-            } => self.release(offset, *member, cells, *heir),
+                successor,
+            } => self.release(offset, *member, cells, *successor),
             _ => Vec::new(),
         }
     }
 
-    /// Gives the owner of `cell`.
+    /// Returns the owner of `cell`.
     pub fn owner(&self, cell: Cell) -> Option<Owner> {
         self.owners.get(&cell).copied()
     }
 
-    /// Tells whether `cell` ever had an owner, so that acts of it may linger.
+    /// Returns whether `cell` ever had an owner, whose actions may still be in
+    /// flight.
     pub fn had_owner(&self, cell: Cell) -> bool {
-        self.former.contains_key(&cell)
+        self.previous_terms.contains_key(&cell)
     }
 
-    /// Tells whether `member` is deposed.
+    /// Returns whether `member` is deposed, which means that its ownerships have
+    /// ended.
     pub fn is_deposed(&self, member: Member) -> bool {
         let deposed = self.deposed.get(&member.seat);
         deposed.is_some_and(|incarnation| member.incarnation <= *incarnation)
     }
 
-    /// Gives the highest incarnation at a seat that was deposed; 0 if none was.
-    pub fn deposed_at(&self, seat: Seat) -> u64 {
+    /// Returns the highest incarnation at a seat that was deposed; 0 if none was.
+    pub fn deposed_incarnation(&self, seat: Seat) -> u64 {
         self.deposed.get(&seat).copied().unwrap_or(0)
     }
 
-    /// Lists the cells with their owners.
+    /// Returns the cells with their owners.
     pub fn owners(&self) -> impl Iterator<Item = (Cell, Owner)> + '_ {
         self.owners.iter().map(|(cell, owner)| (*cell, *owner))
     }
 
-    /// Gives the whole table as a record that stands for all before `as_of`.
-    pub fn carry(&self, as_of: u64) -> Record {
+    /// Returns the table as a snapshot record that replaces all records before
+    /// `as_of`.
+    pub fn snapshot(&self, as_of: u64) -> Record {
         let mut deposed: Vec<Member> = Vec::new();
         for (seat, incarnation) in &self.deposed {
             deposed.push(Member {
@@ -80,7 +83,7 @@
             });
         }
         deposed.sort_unstable();
-        Record::ClaimsCarried {
+        Record::ClaimsSnapshot {
             as_of,
             owners: self
                 .owners()
@@ -108,7 +111,7 @@
 
     fn free(&mut self, cell: Cell) {
         if let Some(owner) = self.owners.remove(&cell) {
-            self.former.insert(cell, owner.term);
+            self.previous_terms.insert(cell, owner.term);
         }
     }
 
@@ -133,7 +136,7 @@
         offset: u64,
         member: Member,
         cells: &[Cell],
-        heir: Option<Member>,
+        successor: Option<Member>,
     ) -> Vec<Cell> {
         let mut changed = Vec::new();
         for cell in cells {
@@ -141,17 +144,23 @@
                 continue;
             }
             self.free(*cell);
-            if let Some(heir) = heir.filter(|heir| !self.is_deposed(*heir)) {
+            if let Some(successor) = successor.filter(|successor| !self.is_deposed(*successor)) {
                 let term = Term(offset + 1);
-                self.owners.insert(*cell, Owner { member: heir, term });
+                self.owners.insert(
+                    *cell,
+                    Owner {
+                        member: successor,
+                        term,
+                    },
+                );
             }
             changed.push(*cell);
         }
         changed
     }
 
-    /// Replaces the table by one that was carried forward.
-    pub fn replace(&mut self, owners: &[(Cell, Member, Term)], deposed: &[Member]) {
+    /// Replaces the table by a snapshot.
+    pub fn restore(&mut self, owners: &[(Cell, Member, Term)], deposed: &[Member]) {
         self.owners.clear();
         for (cell, member, term) in owners {
             let owner = Owner {
@@ -159,7 +168,7 @@
                 term: *term,
             };
             self.owners.insert(*cell, owner);
-            self.former.insert(*cell, *term);
+            self.previous_terms.insert(*cell, *term);
         }
         for member in deposed {
             self.deposed.insert(member.seat, member.incarnation);
--- a/crates/core/src/jobs/recovery.rs
+++ b/crates/core/src/jobs/recovery.rs
@@ -1,4 +1,4 @@
-//! Jobs as records: read from the log, taken up again, carried forward.
+//! Recovery of jobs from the log, and snapshots of them.
 
 use super::JobKey;
 use super::JobState;
@@ -7,7 +7,7 @@
 use goldcrestway_inventory::Inventory;
 
 impl JobTable {
-    /// Applies a record that was read from the log after a take-over.
+    /// Applies a record that was read from the log after a change of owner.
     pub fn apply(&mut self, now_ms: u64, record: &Record) {
         match record {
             Record::Accepted(spec) if !self.by_id.contains_key(&spec.id) => {
@@ -27,7 +27,7 @@
                 id,
                 attempt,
                 checkpoint,
-                tally,
+                failure_counts,
             } => {
                 let Some(key) = self.by_id.get(id).copied() else {
                     return;
@@ -37,7 +37,7 @@
                     return;
                 }
                 job.attempt = *attempt;
-                job.tally = *tally;
+                job.failure_counts = *failure_counts;
                 job.checkpoint = job.checkpoint.max(*checkpoint);
                 job.state = JobState::Queued;
             }
@@ -50,7 +50,8 @@
         }
     }
 
-    /// After all records were applied: queues what waits, charges what may run.
+    /// Queues waiting jobs and charges teams for jobs that may run, once all records
+    /// are applied.
     pub fn resume(&mut self, now_ms: u64, inventory: &Inventory) {
         let keys: Vec<JobKey> = self.jobs.keys().collect();
         for key in keys {
@@ -58,7 +59,7 @@
             let kind = inventory.jobs.get(&job.spec.job);
             let is_urgent = kind.is_some_and(|kind| kind.urgent);
             match job.state {
-                JobState::Queued => self.queue(now_ms, key, is_urgent, false),
+                JobState::Queued => self.enqueue(now_ms, key, is_urgent, false),
                 JobState::Starting { cell, .. } => {
                     self.charge(key, kind.map(|kind| kind.need).unwrap_or_default());
                     self.set_state(key, JobState::Starting { cell, asked_ms: 0 });
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Lists what the log must keep of the jobs, for carrying it forward.
-    pub fn carry(&self) -> Vec<Record> {
+    /// Returns the records that stand for all jobs, for a snapshot.
+    pub fn snapshot(&self) -> Vec<Record> {
         let mut records = Vec::new();
         for job in self.jobs.values() {
             if job.state == JobState::Accepting {
@@ -84,7 +85,7 @@
                     id: id.clone(),
                     attempt,
                     checkpoint,
-                    tally: job.tally,
+                    failure_counts: job.failure_counts,
                 });
             }
             match job.state {
--- a/crates/core/src/placement/calls.rs
+++ b/crates/core/src/placement/calls.rs
@@ -1,24 +1,25 @@
-//! Calls to workers, and what their answers mean.
+//! Calls to workers, and the handling of their reports.
 
 use super::CALLS_PER_TERM_BITS;
 use super::Contact;
 use super::HostKey;
-use super::Pending;
+use super::PendingCall;
 use super::TaskKey;
 use super::WorkerCell;
 use super::cores_of;
-use super::types::ListedState;
-use super::types::ListedTask;
-use super::types::Listing;
-use super::types::Report;
+use super::types::ReportedState;
 use super::types::TaskEnd;
+use super::types::TaskReport;
 use super::types::TaskState;
+use super::types::TaskUpdate;
 use super::types::WorkerCall;
-use crate::guard::Load;
+use super::types::WorkerReport;
 use crate::ids::hash;
+use crate::interference::Load;
 
 impl WorkerCell {
-    /// Does what is due; gives the calls to send, by host.
+    /// Expires reservations and leases; returns the calls that are due, with the host
+    /// and address of each.
     pub fn tick(&mut self, now_ms: u64) -> Vec<(HostKey, Box<str>, WorkerCall)> {
         self.expire(now_ms);
         let mut calls = Vec::new();
@@ -42,7 +43,7 @@
         self.calls += 1;
         let token = (self.term.0 << CALLS_PER_TERM_BITS) + self.calls;
         let host = &mut self.hosts[key];
-        let mut pending = Pending {
+        let mut pending = PendingCall {
             token,
             starts: Vec::new(),
             stops: Vec::new(),
@@ -60,38 +61,39 @@
         let attempt = |key: &TaskKey| self.tasks[*key].order.attempt.clone();
         let call = WorkerCall {
             token,
-            answers: host.listing,
-            lease_ms: self.pace.lease_ms,
+            answers: host.last_report,
+            lease_ms: self.timing.lease_ms,
             start: pending.starts.iter().map(order).collect(),
             stop: pending.stops.iter().map(attempt).collect(),
             forget: pending.forgets.iter().map(attempt).collect(),
-            batch_permille: host.guard.batch_permille(),
+            batch_permille: host.interference.batch_permille(),
         };
         host.is_dirty = false;
-        host.next_call_ms = now_ms + self.pace.poll_ms;
+        host.next_call_ms = now_ms + self.timing.poll_ms;
         host.call = Some(pending);
         call
     }
 
-    /// Notes that a call to a host failed or went unanswered.
-    pub fn unanswered(&mut self, now_ms: u64, key: HostKey, token: u64) {
+    /// Records that a call to a host failed or got no answer.
+    pub fn handle_call_failure(&mut self, now_ms: u64, key: HostKey, token: u64) {
         let Some(host) = self.hosts.get_mut(key) else {
             return;
         };
         if host.call.take_if(|call| call.token == token).is_some() {
-            host.next_call_ms = now_ms + self.pace.poll_ms;
+            host.next_call_ms = now_ms + self.timing.poll_ms;
         }
     }
 
-    /// Takes in what a worker answered.
+    /// Handles the report of a worker.
     ///
-    /// `is_urgent` tells from the name of a job whether it overtakes others.
-    pub fn listed(
+    /// `is_urgent` returns, by the name of a job, whether it has priority over
+    /// others.
+    pub fn handle_report(
         &mut self,
         now_ms: u64,
         key: HostKey,
         token: u64,
-        listing: &Listing,
+        report: &WorkerReport,
         is_urgent: impl Fn(&str) -> bool,
     ) {
         let Some(host) = self.hosts.get_mut(key) else {
@@ -100,11 +102,11 @@
         let Some(pending) = host.call.take_if(|call| call.token == token) else {
             return;
         };
-        host.contact = Contact::Listed;
-        host.listing = listing.number;
+        host.contact = Contact::Reported;
+        host.last_report = report.number;
         host.renewed_ms = now_ms;
         let mut seen = Vec::new();
-        for listed in &listing.tasks {
+        for listed in &report.tasks {
             let task = match self.by_attempt.get(&listed.order.attempt) {
                 Some(task) => *task,
                 None => self.adopt(now_ms, key, listed, is_urgent(&listed.order.job)),
@@ -112,22 +114,25 @@
             seen.push(task);
             self.reconcile(now_ms, task, listed.state);
         }
-        self.settle_absent(now_ms, key, &pending, &seen);
-        self.guard_services(now_ms, key, listing.service_slowdown_permille);
+        self.handle_absent(now_ms, key, &pending, &seen);
+        self.apply_slowdown(now_ms, key, report.service_slowdown_permille);
     }
 
-    /// Has the host's guard look at a measurement of its services.
-    pub(super) fn guard_services(&mut self, now_ms: u64, key: HostKey, slowdown_permille: u32) {
-        let loads = self.loads(key);
+    /// Passes a measurement of a host's services to its interference control.
+    pub(super) fn apply_slowdown(&mut self, now_ms: u64, key: HostKey, slowdown_permille: u32) {
+        let job_loads = self.job_loads(key);
         let host = &mut self.hosts[key];
-        if let Some(kind) = host.guard.note(now_ms, slowdown_permille, &loads) {
+        if let Some(kind) = host
+            .interference
+            .record(now_ms, slowdown_permille, &job_loads)
+        {
             self.evict_youngest(key, kind);
         }
     }
 
-    /// Sums the cores that batch tasks of each kind hold on a host.
-    pub(super) fn loads(&self, key: HostKey) -> Vec<Load> {
-        let mut loads: Vec<Load> = Vec::new();
+    /// Returns the cores that batch tasks of each kind use on a host.
+    pub(super) fn job_loads(&self, key: HostKey) -> Vec<Load> {
+        let mut job_loads: Vec<Load> = Vec::new();
         for task in &self.hosts[key].tasks {
             let task = &self.tasks[*task];
             if task.state != TaskState::Running || task.is_urgent {
@@ -135,53 +140,53 @@
             }
             let kind = hash(&task.order.job);
             let cores = cores_of(task.order.need);
-            match loads.iter_mut().find(|load| load.kind == kind) {
+            match job_loads.iter_mut().find(|load| load.kind == kind) {
                 Some(load) => load.cores += cores,
-                None => loads.push(Load { kind, cores }),
+                None => job_loads.push(Load { kind, cores }),
             }
         }
-        loads.sort_by_key(|load| load.kind);
-        loads
+        job_loads.sort_by_key(|load| load.kind);
+        job_loads
     }
 
-    /// Takes in a task that a former owner of the cell started.
+    /// Adds a task that a previous owner of the cell has started.
     pub(super) fn adopt(
         &mut self,
         now_ms: u64,
         host: HostKey,
-        listed: &ListedTask,
+        listed: &TaskReport,
         is_urgent: bool,
     ) -> TaskKey {
         let order = listed.order.clone();
-        self.book(now_ms, host, order, is_urgent, TaskState::Running)
+        self.insert_task(now_ms, host, order, is_urgent, TaskState::Running)
     }
 
-    pub(super) fn reconcile(&mut self, now_ms: u64, key: TaskKey, state: ListedState) {
+    pub(super) fn reconcile(&mut self, now_ms: u64, key: TaskKey, state: ReportedState) {
         match state {
-            ListedState::Running => {
+            ReportedState::Running => {
                 if self.tasks[key].state == TaskState::Starting {
                     self.tasks[key].state = TaskState::Running;
                     let attempt = self.tasks[key].order.attempt.clone();
-                    self.reports.push(Report { attempt, end: None });
+                    self.reports.push(TaskUpdate { attempt, end: None });
                 }
             }
-            ListedState::Finished => self.end(now_ms, key, TaskEnd::Finished),
-            ListedState::Failed => self.end(now_ms, key, TaskEnd::Failed),
-            ListedState::Refused => self.end(now_ms, key, TaskEnd::NotStarted),
-            ListedState::Stopped { checkpoint } => {
+            ReportedState::Finished => self.end(now_ms, key, TaskEnd::Finished),
+            ReportedState::Failed => self.end(now_ms, key, TaskEnd::Failed),
+            ReportedState::Refused => self.end(now_ms, key, TaskEnd::NotStarted),
+            ReportedState::Stopped { checkpoint } => {
                 self.end(now_ms, key, TaskEnd::Evicted { checkpoint });
             }
         }
     }
 
-    /// Settles tasks that the worker no longer lists. Only those count that were
-    /// known to it, or named, when the call was sent; later ones may be absent
-    /// because the call did not speak of them.
-    pub(super) fn settle_absent(
+    /// Ends tasks that the worker no longer lists. Only tasks count that the worker
+    /// was known to run, or that the call named, when the call was sent; later ones
+    /// may be absent because the call did not mention them.
+    pub(super) fn handle_absent(
         &mut self,
         now_ms: u64,
         host: HostKey,
-        call: &Pending,
+        call: &PendingCall,
         seen: &[TaskKey],
     ) {
         for key in self.hosts[host].tasks.clone() {
@@ -200,7 +205,7 @@
         }
     }
 
-    /// Evicts the batch task of a kind that started last on a host.
+    /// Evicts the batch task of a kind that was started last on a host.
     pub(super) fn evict_youngest(&mut self, host: HostKey, kind: u64) {
         let running = self.hosts[host].tasks.iter().copied().filter(|key| {
             let task = &self.tasks[*key];
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,24 +1,24 @@
-//! The workers of one rack and what runs on them, as the cell's owner sees them.
+//! The workers of one rack and the tasks on them, as tracked by the cell's owner.
 //!
-//! Room is booked from the moment it is reserved until the worker itself lists
-//! the task as gone: a task that is starting, stopping or of unknown fate still
-//! counts. Services' instances are counted as reserved by the inventory.
+//! Resources are in use from their reservation until the worker itself lists the task
+//! as ended: a task that is starting, stopping or in an unknown state still counts.
+//! Instances of services are accounted for by what the inventory reserves for them.
 //!
-//! A worker is told everything in one call that names tasks to start, to stop and
-//! to forget, and answers with all tasks it has. The call carries a fencing token
-//! that grows with the owner's term and with every call, so a call that was
-//! delayed, or that comes from an owner that was replaced, has no effect. That
-//! makes the worker itself the final reference for what runs on it.
+//! A worker gets one call that names the tasks to start, to stop and to forget, and
+//! answers with all tasks it has. The call carries a fencing token that grows with
+//! the owner's term and with every call; a call that was delayed, or that is from a
+//! replaced owner, therefore has no effect. This makes the worker itself the
+//! authority on what runs on it.
 
 mod calls;
 mod orders;
-mod room;
+mod reservations;
 mod types;
 
-use crate::guard::Guard;
-use crate::guard::TEMPER;
-use crate::guard::Temper;
 use crate::ids::Term;
+use crate::interference::INTERFERENCE_SETTINGS;
+use crate::interference::InterferenceControl;
+use crate::interference::InterferenceSettings;
 use crate::macros::plain;
 use goldcrestway_inventory::Resources;
 use slotmap::SlotMap;
@@ -27,19 +27,19 @@
 use std::collections::VecDeque;
 
 pub use types::AttemptId;
-pub use types::ListedHost;
-pub use types::ListedState;
-pub use types::ListedTask;
-pub use types::Listing;
-pub use types::Manner;
-pub use types::Pace;
-pub use types::Report;
+pub use types::HostEntry;
+pub use types::ReportedState;
 pub use types::Reservation;
 pub use types::StartAnswer;
+pub use types::StartOptions;
 pub use types::TaskEnd;
 pub use types::TaskOrder;
+pub use types::TaskReport;
 pub use types::TaskState;
+pub use types::TaskUpdate;
 pub use types::WorkerCall;
+pub use types::WorkerReport;
+pub use types::WorkerTiming;
 
 slotmap::new_key_type! {
     /// Key of a host within its cell.
@@ -49,30 +49,30 @@
 }
 
 plain! {
-    /// One task.
+    /// A task on a worker.
     pub struct Task {
-        /// What the worker is told.
+        /// Order that the worker gets.
         pub order: TaskOrder,
-        /// Its worker.
+        /// Host of the task.
         pub host: HostKey,
-        /// Overtakes other work.
+        /// Whether it has priority over batch tasks.
         pub is_urgent: bool,
-        /// Where it stands.
+        /// Its state.
         pub state: TaskState,
-        /// When it was reserved.
+        /// Time at which its resources were reserved.
         pub since_ms: u64,
     }
 }
 
-/// What is known of a host.
+/// Contact with a host's worker in this term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Contact {
-    /// Not yet listed by this owner.
-    Unlisted,
-    /// Listed at least once in this term.
-    Listed,
-    /// Its lease has lapsed without an answer; nothing runs on it any more.
-    Lost,
+    /// No report has arrived in this term.
+    Unreported,
+    /// At least one report has arrived in this term.
+    Reported,
+    /// Its lease has expired without an answer; nothing runs on it any more.
+    Expired,
 }
 
 #[derive(Debug, Clone)]
@@ -83,34 +83,34 @@
     reserved: Resources,
     booked: Resources,
     tasks: Vec<TaskKey>,
-    barred: Vec<Box<str>>,
+    excluded_jobs: Vec<Box<str>>,
     contact: Contact,
     is_leaving: bool,
     is_listed: bool,
-    /// Number of the latest listing and when it arrived. The worker counts its
-    /// lease from when it gave the listing, which was earlier; so however late a
-    /// call arrives there, the lease ends by this clock first at the worker.
-    listing: u64,
+    /// Number of the latest report and the time at which it arrived. The worker
+    /// counts its lease from when it sent the report, which was earlier. However late
+    /// a call arrives there, the lease therefore expires at the worker first.
+    last_report: u64,
     renewed_ms: u64,
-    call: Option<Pending>,
+    call: Option<PendingCall>,
     next_call_ms: u64,
     is_dirty: bool,
     failures: u32,
-    set_aside_until_ms: u64,
-    guard: Guard,
-    promise: Option<Promise>,
+    avoided_until_ms: u64,
+    interference: InterferenceControl,
+    urgent_hold: Option<UrgentHold>,
 }
 
-/// Room that is being made for an urgent attempt and that no other may take.
+/// Resources that are being freed for an urgent attempt and that no other may use.
 #[derive(Debug, Clone)]
-struct Promise {
+struct UrgentHold {
     attempt: AttemptId,
     need: Resources,
     until_ms: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Pending {
+struct PendingCall {
     token: u64,
     starts: Vec<TaskKey>,
     stops: Vec<TaskKey>,
@@ -121,71 +121,71 @@
 #[derive(Debug, Clone)]
 pub struct WorkerCell {
     term: Term,
-    pace: Pace,
-    temper: Temper,
+    timing: WorkerTiming,
+    settings: InterferenceSettings,
     calls: u64,
     hosts: SlotMap<HostKey, Host>,
     by_name: HashMap<Box<str>, HostKey>,
     tasks: SlotMap<TaskKey, Task>,
     by_attempt: HashMap<AttemptId, TaskKey>,
     tombstones: VecDeque<(u64, AttemptId)>,
-    buried: HashMap<AttemptId, TaskEnd>,
-    /// Attempts whose reservation ran out, and whose homes were not told.
+    ended_attempts: HashMap<AttemptId, TaskEnd>,
+    /// Attempts whose reservation has expired; their homes were not informed.
     expired: HashSet<AttemptId>,
-    reports: Vec<Report>,
+    reports: Vec<TaskUpdate>,
 }
 
-/// Failures in a row after which a worker that fails everything is set aside.
-const FAILURES_BORNE: u32 = 3;
-/// How long it is set aside at first; doubles up to sixteen times as long.
-const SET_ASIDE_MS: u64 = 5_000;
-/// How long the end of a forgotten attempt is remembered.
+/// Failures in a row after which a worker is avoided for a while.
+const MAX_FAILURES: u32 = 3;
+/// Time for which it is avoided at first; doubles up to sixteen times as long.
+const AVOID_MS: u64 = 5_000;
+/// Time for which the end of a removed attempt is remembered.
 const TOMBSTONE_MS: u64 = 60_000;
-/// Calls that fit into one term's range of tokens.
+/// Number of low bits of a token that count the calls within one term.
 const CALLS_PER_TERM_BITS: u32 = 24;
 
 impl WorkerCell {
-    /// Starts with no hosts.
-    pub fn new(term: Term, pace: Pace) -> Self {
+    /// Creates a cell without hosts.
+    pub fn new(term: Term, timing: WorkerTiming) -> Self {
         Self {
             term,
-            pace,
-            temper: TEMPER,
+            timing,
+            settings: INTERFERENCE_SETTINGS,
             calls: 0,
             hosts: SlotMap::with_key(),
             by_name: HashMap::new(),
             tasks: SlotMap::with_key(),
             by_attempt: HashMap::new(),
             tombstones: VecDeque::new(),
-            buried: HashMap::new(),
+            ended_attempts: HashMap::new(),
             expired: HashSet::new(),
             reports: Vec::new(),
         }
     }
 
-    /// Gives the hosts listed from now on guards of another temper.
-    pub fn set_temper(&mut self, temper: Temper) {
-        self.temper = temper;
+    /// Sets the interference settings of hosts that are added from now on.
+    pub fn set_interference_settings(&mut self, settings: InterferenceSettings) {
+        self.settings = settings;
     }
 
-    /// Counts the calls that were made in this term.
+    /// Returns the number of calls in this term.
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Goes on counting calls where a former process of the same term left off, so
-    /// that tokens keep growing.
+    /// Sets the number of calls to that of a previous process of the same term, which
+    /// keeps tokens growing.
     pub fn set_calls(&mut self, calls: u64) {
         self.calls = calls;
     }
 
-    /// Gives the term under which the owner acts.
+    /// Returns the term under which the owner acts.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Lists or updates a host. `barred` names jobs that rules keep off it.
-    pub fn list(&mut self, now_ms: u64, listed: ListedHost) {
+    /// Adds or updates a host.
+    pub fn update_host(&mut self, now_ms: u64, listed: HostEntry) {
         let key = match self.by_name.get(&listed.name) {
             Some(key) => *key,
             None => {
@@ -196,20 +196,20 @@
                     reserved: listed.reserved,
                     booked: Resources::default(),
                     tasks: Vec::new(),
-                    barred: Vec::new(),
-                    contact: Contact::Unlisted,
+                    excluded_jobs: Vec::new(),
+                    contact: Contact::Unreported,
                     is_leaving: false,
                     is_listed: true,
-                    // A former owner may have renewed the lease until just now.
-                    listing: 0,
+                    // A previous owner may have renewed the lease until now.
+                    last_report: 0,
                     renewed_ms: now_ms,
                     call: None,
                     next_call_ms: 0,
                     is_dirty: false,
                     failures: 0,
-                    set_aside_until_ms: 0,
-                    guard: Guard::new(self.temper),
-                    promise: None,
+                    avoided_until_ms: 0,
+                    interference: InterferenceControl::new(self.settings),
+                    urgent_hold: None,
                 });
                 self.by_name.insert(listed.name.clone(), key);
                 key
@@ -220,7 +220,7 @@
         host.is_listed = true;
         host.total = listed.total;
         host.reserved = listed.reserved;
-        host.barred = listed.barred;
+        host.excluded_jobs = listed.excluded_jobs;
         if !listed.address.is_empty() {
             host.address = listed.address;
         }
@@ -229,33 +229,33 @@
         }
     }
 
-    /// Notes that a host is no longer in the inventory; its tasks are evicted.
-    pub fn unlist(&mut self, name: &str) {
+    /// Handles that a host is no longer in the inventory: its tasks are evicted.
+    pub fn remove_host(&mut self, name: &str) {
         if let Some(key) = self.by_name.get(name).copied() {
             self.hosts[key].is_listed = false;
             self.evict_all(key);
         }
     }
 
-    /// Names the hosts that the inventory lists.
-    pub fn names(&self) -> Vec<Box<str>> {
+    /// Returns the names of the hosts in the inventory.
+    pub fn host_names(&self) -> Vec<Box<str>> {
         let listed = self.hosts.values().filter(|host| host.is_listed);
         listed.map(|host| host.name.clone()).collect()
     }
 
-    /// Takes the reports for homes that have come up since, and those whose end
-    /// was not acknowledged for `patience_ms`.
-    pub fn take_reports(&mut self, now_ms: u64, patience_ms: u64) -> Vec<Report> {
+    /// Removes and returns the new updates for the homes of tasks, and repeats those
+    /// about ends that were not acknowledged for `answer_timeout_ms`.
+    pub fn drain_updates(&mut self, now_ms: u64, answer_timeout_ms: u64) -> Vec<TaskUpdate> {
         let mut reports = std::mem::take(&mut self.reports);
         for task in self.tasks.values_mut() {
             let TaskState::Ended { end, told_ms } = &mut task.state else {
                 continue;
             };
-            if now_ms < *told_ms + patience_ms {
+            if now_ms < *told_ms + answer_timeout_ms {
                 continue;
             }
             *told_ms = now_ms;
-            reports.push(Report {
+            reports.push(TaskUpdate {
                 attempt: task.order.attempt.clone(),
                 end: Some(*end),
             });
@@ -263,29 +263,29 @@
         reports
     }
 
-    /// Gives the room left on hosts that take work.
-    pub fn free(&self) -> Resources {
+    /// Returns the free resources of hosts that accept tasks.
+    pub fn free_resources(&self) -> Resources {
         let mut sum = Resources::default();
         for host in self.hosts.values() {
-            if host.contact != Contact::Listed || host.is_leaving || !host.is_listed {
+            if host.contact != Contact::Reported || host.is_leaving || !host.is_listed {
                 continue;
             }
-            sum = sum.plus(self.room(host));
+            sum = sum.plus(self.free_on(host));
         }
         sum
     }
 
-    /// Counts the tasks that hold room.
+    /// Returns the number of tasks.
     pub fn len(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Tells whether no task holds room.
+    /// Returns whether there are no tasks.
     pub fn is_empty(&self) -> bool {
         self.tasks.is_empty()
     }
 
-    /// Names the host of an attempt and where the task stands.
+    /// Returns the host and the state of a job's task.
     pub fn find(&self, id: &str) -> Option<(Box<str>, TaskState)> {
         let task = self
             .tasks
@@ -294,31 +294,31 @@
         Some((self.hosts[task.host].name.clone(), task.state))
     }
 
-    /// Describes one host in a line, for operators.
+    /// Returns a description of one host in a line, for operators.
     pub fn describe(&self, now_ms: u64, name: &str) -> Option<String> {
         let host = &self.hosts[*self.by_name.get(name)?];
         let standing = match host.contact {
-            Contact::Unlisted => "has not answered yet",
-            Contact::Lost => "is silent and its lease has lapsed",
-            Contact::Listed if host.is_leaving => "is leaving",
-            Contact::Listed if now_ms < host.set_aside_until_ms => {
+            Contact::Unreported => "has not answered yet",
+            Contact::Expired => "is silent and its lease has lapsed",
+            Contact::Reported if host.is_leaving => "is leaving",
+            Contact::Reported if now_ms < host.avoided_until_ms => {
                 "is set aside because what it starts fails"
             }
-            Contact::Listed => "answers",
+            Contact::Reported => "answers",
         };
-        let room = self.room(host);
+        let free = self.free_on(host);
         Some(format!(
             "host {name} {standing}; {} tasks; free: {} millicores, {} MB, {} accelerators; batch share {} permille",
             host.tasks.len(),
-            room.millicores,
-            room.memory_mb,
-            room.accelerators,
-            host.guard.batch_permille()
+            free.millicores,
+            free.memory_mb,
+            free.accelerators,
+            host.interference.batch_permille()
         ))
     }
 }
 
-/// Gives an amount of processors in cores.
+/// Returns the CPU of `need` in cores.
 fn cores_of(need: Resources) -> f64 {
     const PER_CORE: f64 = 1_000.0;
     f64::from(need.millicores) / PER_CORE
