--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/peer_connections.rs
@@ -1,7 +1,7 @@
 //! Links between entry hosts: one TCP connection each way, framed by
 //! `goldcrestway-wire`.
 
-use crate::chronicle::Chronicle;
+use crate::event_log::Chronicle;
 use crate::fault::DaemonFault;
 use crate::settings::Settings;
 use bytes::BytesMut;
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -2,20 +2,20 @@
 
 use crate::actor::NodeActor;
 use crate::actor::TICK;
-use crate::chronicle::Chronicle;
-use crate::chronicle::wall_ms;
+use crate::callers::Desk;
+use crate::callers::Front;
+use crate::callers::Step;
+use crate::event_log::Chronicle;
+use crate::event_log::wall_ms;
 use crate::fault::DaemonFault;
-use crate::front::Desk;
-use crate::front::Front;
-use crate::front::Step;
-use crate::gate;
-use crate::gate::Bounds;
-use crate::links::Links;
 use crate::metrics::Metrics;
-use crate::operator::Look;
-use crate::operator::Operators;
+use crate::operators::Look;
+use crate::operators::Operators;
+use crate::peer_connections::Links;
 use crate::platform::Platform;
 use crate::platform::follow_hosts;
+use crate::proxy;
+use crate::proxy::Bounds;
 use crate::settings::Settings;
 use goldcrestway_core::Action;
 use goldcrestway_core::Code;
@@ -94,14 +94,14 @@
         const REQUESTS_PER_MS_BITS: u32 = 16;
         let desk = Arc::new(Desk::new(incarnation << REQUESTS_PER_MS_BITS));
         const OPERATORS: usize = 64;
-        let callers = gate::open(
+        let callers = proxy::open(
             "listening for callers",
             settings.own().caller_address,
             gate_bounds(settings.caller_connections),
             chronicle.clone(),
             is_over.clone(),
         )?;
-        let operators = gate::open(
+        let operators = proxy::open(
             "listening for operators",
             settings.own().operator_address,
             gate_bounds(OPERATORS),
--- a/crates/daemon/src/gate.rs
+++ b/crates/daemon/src/proxy.rs
@@ -8,7 +8,7 @@
 //! One notices by `Error accepting new client` in the log. The gate therefore
 //! accepts by itself and passes bytes on to the server behind it.
 
-use crate::chronicle::Chronicle;
+use crate::event_log::Chronicle;
 use crate::fault::DaemonFault;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -2,7 +2,7 @@
 
 use super::shared::describe;
 use super::shared::in_force;
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -3,7 +3,7 @@
 use super::shared::Emptying;
 use super::shared::in_force;
 use super::shared::switch_emptying;
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use argh::FromArgs;
 
--- a/src/cmd/evacuations.rs
+++ b/src/cmd/evacuations.rs
@@ -1,7 +1,7 @@
 //! `evacuations`: which failure domains are evacuated.
 
 use super::shared::in_force;
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use argh::FromArgs;
 use serde::Deserialize;
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,6 +1,6 @@
 //! `explain`: why is something where it is?
 
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use argh::FromArgs;
 
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,7 +1,7 @@
 //! `get`: fetch the configuration in force for editing.
 
 use super::shared::in_force;
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -4,7 +4,7 @@
 use super::shared::describe;
 use super::shared::in_force;
 use super::shared::publish;
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
--- a/src/cmd/rebase.rs
+++ b/src/cmd/rebase.rs
@@ -1,7 +1,7 @@
 //! `rebase`: bring an edited file onto the configuration in force.
 
 use super::shared::in_force;
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
--- a/src/cmd/shared.rs
+++ b/src/cmd/shared.rs
@@ -1,7 +1,7 @@
 //! What several commands need: the configuration in force, changes in words,
 //! publishing.
 
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use goldcrestway_core::hash;
 use goldcrestway_daemon::PublishReply;
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,6 +1,6 @@
 //! `status`: where the entry hosts stand.
 
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::StatusReply;
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -1,6 +1,6 @@
 //! `stop`: end one entry host without cutting anything off.
 
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use argh::FromArgs;
 
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,6 +1,6 @@
 //! `submit`: have a job run once.
 
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::JobRequest;
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,6 +1,6 @@
 //! `timeline`: what happened, over all entry hosts.
 
-use crate::entry::Entries;
+use crate::entry_hosts::Entries;
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The operator's tool.
 
 mod cmd;
-mod entry;
+mod entry_hosts;
 mod fault;
 mod files;
 
