--- a/crates/daemon/src/actor.rs
+++ b/crates/daemon/src/actor.rs
@@ -12,29 +12,37 @@
 pub const TICK: Duration = Duration::from_millis(10);
 
 /// What carries out actions; differs between the daemon and tests.
-pub type Perform = Box<dyn FnMut(u64, &mut Node, Vec<Action>)>;
+pub type PerformActions = Box<dyn FnMut(u64, &mut Node, Vec<Action>)>;
 
 /// A node with its clock and its edge.
 pub struct NodeActor {
     node: Node,
-    began: Instant,
-    perform: Perform,
+    started_at: Instant,
+    perform: PerformActions,
 }
 
 impl NodeActor {
     /// Starts the actor; its milliseconds count from `began`.
-    pub fn init(cx: CX![], node: Node, began: Instant, perform: Perform) -> Option<Self> {
+    pub fn init(
+        cx: CX![],
+        node: Node,
+        started_at: Instant,
+        perform: PerformActions,
+    ) -> Option<Self> {
         after!(TICK, [cx], tick());
         Some(Self {
             node,
-            began,
+            started_at,
             perform,
         })
     }
 
     /// Takes in an event.
     pub fn event(&mut self, cx: CX![], event: Event) {
-        let now_ms = cx.now().saturating_duration_since(self.began).as_millis() as u64;
+        let now_ms = cx
+            .now()
+            .saturating_duration_since(self.started_at)
+            .as_millis() as u64;
         let actions = self.node.handle(now_ms, event);
         if !actions.is_empty() {
             (self.perform)(now_ms, &mut self.node, actions);
@@ -42,8 +50,8 @@
     }
 
     /// Looks at the node, for operators.
-    pub fn look(&mut self, _cx: CX![], look: Box<dyn FnOnce(&mut Node)>) {
-        look(&mut self.node);
+    pub fn query(&mut self, _cx: CX![], query: Box<dyn FnOnce(&mut Node)>) {
+        query(&mut self.node);
     }
 
     fn tick(&mut self, cx: CX![]) {
--- a/crates/daemon/src/bin/goldcrestwayd.rs
+++ b/crates/daemon/src/bin/goldcrestwayd.rs
@@ -53,7 +53,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let stop = daemon.stopper();
+    let stop = daemon.stop_handle();
     match Signals::new([SIGTERM, SIGINT]) {
         Ok(mut signals) => drop(thread::spawn(move || {
             for _ in signals.forever() {
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -102,7 +102,7 @@
 }
 
 /// Turns changes into what is sent.
-pub fn changes_out(changes: &[Change]) -> Vec<SectionChange> {
+pub fn changes_to_wire(changes: &[Change]) -> Vec<SectionChange> {
     let text = |text: &str| text.to_owned();
     changes
         .iter()
@@ -120,7 +120,7 @@
 }
 
 /// Turns what was sent into changes.
-pub fn changes_in(changes: &[SectionChange]) -> Vec<Change> {
+pub fn changes_from_wire(changes: &[SectionChange]) -> Vec<Change> {
     changes
         .iter()
         .map(|change| Change {
@@ -229,7 +229,7 @@
             base: publish.base,
             id: publish.id.into(),
             author: publish.author.into(),
-            changes: changes_in(&publish.changes).into(),
+            changes: changes_from_wire(&publish.changes).into(),
         };
         self.ask(|request| Event::Publish { request, change })
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -125,9 +125,9 @@
                     let is_late = began.elapsed().as_millis() as u64 >= begin_by_ms;
                     let reply = match is_late {
                         true => None,
-                        false => worker.call(&address, &call_out(&call)).ok(),
+                        false => worker.call(&address, &worker_request_of(&call)).ok(),
                     };
-                    let listing = reply.and_then(listing_in);
+                    let listing = reply.and_then(listing_of);
                     let _ = events.send(Event::Worker {
                         cell,
                         host,
@@ -160,7 +160,7 @@
             let part = log
                 .read(&stream.to_string(), from)
                 .ok()
-                .map(|part| part_in(from, &part));
+                .map(|part| log_part_of(from, &part));
             let _ = events.send(Event::Read { stream, part });
         });
     }
@@ -188,7 +188,7 @@
 }
 
 /// Turns what was read from offset `from` on into what the decisions take.
-pub fn part_in(from: u64, part: &LogPart) -> Part {
+pub fn log_part_of(from: u64, part: &LogPart) -> Part {
     let next = part
         .records
         .last()
@@ -205,7 +205,7 @@
 }
 
 /// Turns a call into what the worker's client sends.
-pub fn call_out(call: &WorkerCall) -> WorkerRequest {
+pub fn worker_request_of(call: &WorkerCall) -> WorkerRequest {
     let names = |attempts: &[AttemptId]| {
         attempts
             .iter()
@@ -236,7 +236,7 @@
 }
 
 /// Reads a worker's answer; one with an unknown state counts as no answer.
-pub fn listing_in(reply: WorkerReply) -> Option<Listing> {
+pub fn listing_of(reply: WorkerReply) -> Option<Listing> {
     let tasks: Option<Vec<ListedTask>> = reply.tasks.into_iter().map(task_in).collect();
     Some(Listing {
         number: reply.number,
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -173,7 +173,7 @@
     }
 
     /// Gives a handle with which another thread begins a planned stop.
-    pub fn stopper(&self) -> impl Fn() + Send + 'static {
+    pub fn stop_handle(&self) -> impl Fn() + Send + 'static {
         let events = self.events.clone();
         move || {
             let _ = events.send(Event::Stop);
@@ -233,7 +233,7 @@
             }
         }
         for look in looking.try_iter() {
-            call!([actor], look(look));
+            call!([actor], query(look));
         }
     }
 }
--- a/examples/first_week/fleet.rs
+++ b/examples/first_week/fleet.rs
@@ -4,7 +4,7 @@
 use goldcrestway_daemon::PublishRequest;
 use goldcrestway_daemon::Settings;
 use goldcrestway_daemon::StatusReply;
-use goldcrestway_daemon::changes_out;
+use goldcrestway_daemon::changes_to_wire;
 use goldcrestway_daemon::load_settings;
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::compare;
@@ -126,7 +126,7 @@
             base: 0,
             id: "first-week".into(),
             author: "example".into(),
-            changes: changes_out(&compare(&Sections::new(), &sections)),
+            changes: changes_to_wire(&compare(&Sections::new(), &sections)),
         };
         let url = format!(
             "http://{}/v1/config",
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -6,7 +6,7 @@
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
-use goldcrestway_daemon::changes_out;
+use goldcrestway_daemon::changes_to_wire;
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::dangers;
 
@@ -39,7 +39,7 @@
     if arguments.json {
         let body = serde_json::json!({
             "version": current.version,
-            "changes": changes_out(&changes),
+            "changes": changes_to_wire(&changes),
             "dangers": dangers,
         });
         println!("{body}");
--- a/src/cmd/shared.rs
+++ b/src/cmd/shared.rs
@@ -6,7 +6,7 @@
 use goldcrestway_core::hash;
 use goldcrestway_daemon::PublishReply;
 use goldcrestway_daemon::PublishRequest;
-use goldcrestway_daemon::changes_out;
+use goldcrestway_daemon::changes_to_wire;
 use goldcrestway_inventory::Change;
 use goldcrestway_inventory::Inventory;
 use goldcrestway_inventory::Sections;
@@ -85,7 +85,7 @@
 ) -> Result<u64, Fault> {
     const STEP: &str = "publishing";
     const OVERTAKEN: u16 = 409;
-    let sent = changes_out(changes);
+    let sent = changes_to_wire(changes);
     // The identity follows from what is published, so that giving the same command
     // again asks for the outcome and never publishes twice.
     let content = serde_json::to_string(&sent).unwrap_or_default();
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -2,7 +2,7 @@
 
 use goldcrestway_daemon::Daemon;
 use goldcrestway_daemon::PublishRequest;
-use goldcrestway_daemon::changes_out;
+use goldcrestway_daemon::changes_to_wire;
 use goldcrestway_daemon::load_settings;
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::compare;
@@ -92,7 +92,7 @@
         base: 0,
         id: "test".into(),
         author: "test".into(),
-        changes: changes_out(&compare(&Sections::new(), &sections)),
+        changes: changes_to_wire(&compare(&Sections::new(), &sections)),
     };
     let url = format!("http://{}/v1/config", edge.operator);
     ureq::post(&url).send_json(&change).expect("it is accepted");
--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -8,9 +8,9 @@
 use goldcrestway_core::Message;
 use goldcrestway_core::PlatformHost;
 use goldcrestway_core::Seat;
-use goldcrestway_daemon::call_out;
-use goldcrestway_daemon::listing_in;
-use goldcrestway_daemon::part_in;
+use goldcrestway_daemon::listing_of;
+use goldcrestway_daemon::log_part_of;
+use goldcrestway_daemon::worker_request_of;
 use goldcrestway_standin::LogState;
 use goldcrestway_standin::UpstreamState;
 use goldcrestway_standin::WorkerState;
@@ -288,8 +288,8 @@
             _ => 3,
         };
         let is_down = self.log_mode == LogMode::Down || self.log_cuts.contains(&seat);
-        let part =
-            (!is_down).then(|| part_in(from, &self.log.read(&stream.to_string(), from, RECORDS)));
+        let part = (!is_down)
+            .then(|| log_part_of(from, &self.log.read(&stream.to_string(), from, RECORDS)));
         self.put(
             now_ms + delay_ms,
             Due::Event(seat, Event::Read { stream, part }),
@@ -385,8 +385,8 @@
             delay_ms = 3;
             listing = worker
                 .state
-                .call(now_ms, &call_out(call))
-                .and_then(listing_in);
+                .call(now_ms, &worker_request_of(call))
+                .and_then(listing_of);
             worker.state.note_heard();
         }
         let event = Event::Worker {
@@ -406,7 +406,7 @@
         worker.is_paused = false;
         for (_, action) in std::mem::take(&mut worker.held) {
             if let Action::CallWorker { call, .. } = action {
-                worker.state.call(now_ms, &call_out(&call));
+                worker.state.call(now_ms, &worker_request_of(&call));
             }
         }
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -221,7 +221,7 @@
             *slot.borrow_mut() = Some(look(node));
         });
         let actor = &process.actor;
-        call!([actor], look(look));
+        call!([actor], query(look));
         // The same time as at the last step, so that a paused process stays paused.
         let now = process.stakker.now();
         process.stakker.run(now, false);
