--- a/crates/core/src/node/publishing.rs
+++ b/crates/core/src/node/publishing.rs
@@ -35,7 +35,7 @@
     fn build(inventory: &Inventory) -> Self {
         let mut runnable = Self::default();
         for (name, job) in &inventory.jobs {
-            if let Some(reason) = inventory.never_runs(name, job) {
+            if let Some(reason) = inventory.unplaceable_reason(name, job) {
                 runnable.reasons.insert(name.clone(), reason.into());
                 continue;
             }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -72,7 +72,7 @@
                     address: listed.map(|host| host.address.clone()).unwrap_or_default(),
                     total: host.need,
                     reserved: inventory.reserved(&name),
-                    barred: inventory.barred_on(&name),
+                    barred: inventory.excluded_jobs(&name),
                     is_leaving,
                     name,
                 },
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 
 const MILLISECONDS: Value = Value::Whole {
-    least: 1,
-    most: 86_400_000,
+    min: 1,
+    max: 86_400_000,
 };
 const COUNT: Value = Value::Whole {
-    least: 1,
-    most: 1_000_000,
+    min: 1,
+    max: 1_000_000,
 };
 
 /// What a settings file may hold, with defaults.
@@ -52,8 +52,8 @@
             Field::required(
                 "number",
                 Value::Whole {
-                    least: 0,
-                    most: 65_535,
+                    min: 0,
+                    max: 65_535,
                 },
             ),
             Field::required("failure_domain", Value::Text),
@@ -66,15 +66,15 @@
         kind: "limits",
         is_single: true,
         fields: &[
-            Field::optional("voters", Value::Whole { least: 1, most: 9 }, "5"),
+            Field::optional("voters", Value::Whole { min: 1, max: 9 }, "5"),
             Field::optional("lease_ms", MILLISECONDS, "1500"),
             Field::optional("heartbeat_ms", MILLISECONDS, "250"),
             Field::optional("suspect_ms", MILLISECONDS, "1000"),
             Field::optional(
                 "key_cells",
                 Value::Whole {
-                    least: 1,
-                    most: 65_535,
+                    min: 1,
+                    max: 65_535,
                 },
                 "16",
             ),
@@ -85,14 +85,7 @@
             Field::optional("identity_window_ms", MILLISECONDS, "600000"),
             Field::optional("worker_lease_ms", MILLISECONDS, "10000"),
             Field::optional("worker_poll_ms", MILLISECONDS, "1000"),
-            Field::optional(
-                "retry_permille",
-                Value::Whole {
-                    least: 0,
-                    most: 1_000,
-                },
-                "100",
-            ),
+            Field::optional("retry_permille", Value::Whole { min: 0, max: 1_000 }, "100"),
             Field::optional("waiting_per_slot", COUNT, "2"),
             Field::optional("carry_ms", MILLISECONDS, "600000"),
         ],
--- a/crates/inventory/src/build.rs
+++ b/crates/inventory/src/build.rs
@@ -10,7 +10,7 @@
 use crate::model::Service;
 use crate::model::Team;
 use crate::model::Upstream;
-use crate::schema::Kind;
+use crate::schema::InventorySchema;
 use crate::sections::Section;
 use crate::sections::Sections;
 use crate::sections::millicores;
@@ -32,7 +32,7 @@
 /// All faults at once, in the order of their lines.
 pub fn load_sections(file: &str, text: &str) -> Result<(Sections, Inventory), Faults> {
     let mut faults = Faults::new(file);
-    let sections = read(text, Kind::ALL, &mut faults);
+    let sections = read(text, InventorySchema::SECTIONS, &mut faults);
     if !faults.is_empty() {
         return Err(faults);
     }
--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -187,7 +187,7 @@
 
 fn check_jobs(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
     for (name, job) in &inventory.jobs {
-        let Some(reason) = inventory.never_runs(name, job) else {
+        let Some(reason) = inventory.unplaceable_reason(name, job) else {
             continue;
         };
         faults.add(
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -37,7 +37,7 @@
 pub use model::Team;
 pub use model::Upstream;
 pub use schema::Field;
-pub use schema::Kind;
+pub use schema::InventorySchema;
 pub use schema::SectionSchema;
 pub use schema::Value;
 pub use schema::closest;
--- a/crates/inventory/src/model.rs
+++ b/crates/inventory/src/model.rs
@@ -170,7 +170,7 @@
     }
 
     /// Names the jobs that rules keep off `host`.
-    pub fn barred_on(&self, host: &str) -> Vec<Box<str>> {
+    pub fn excluded_jobs(&self, host: &str) -> Vec<Box<str>> {
         let mut barred = Vec::new();
         for rule in &self.rules {
             let Rule::NeverShare { service, job } = rule else {
@@ -224,7 +224,7 @@
     }
 
     /// Tells whether a rule keeps `job` off a host that runs `service`.
-    pub fn forbids(&self, service: &str, job: &str) -> bool {
+    pub fn forbids_sharing(&self, service: &str, job: &str) -> bool {
         self.rules.iter().any(|rule| {
             matches!(rule, Rule::NeverShare { service: left, job: right }
                 if **left == *service && **right == *job)
@@ -232,7 +232,7 @@
     }
 
     /// Gives the first reason why `job` can run on no listed host at all.
-    pub fn never_runs(&self, name: &str, job: &Job) -> Option<String> {
+    pub fn unplaceable_reason(&self, name: &str, job: &Job) -> Option<String> {
         if let Some(quota) = self.teams.get(&job.team).and_then(|team| team.quota)
             && !job.need.fits(quota)
         {
@@ -248,7 +248,10 @@
             }
             large_enough = true;
             let barring = self.services_on(host_name);
-            if !barring.iter().any(|service| self.forbids(service, name)) {
+            if !barring
+                .iter()
+                .any(|service| self.forbids_sharing(service, name))
+            {
                 return None;
             }
         }
--- a/crates/inventory/src/schema.rs
+++ b/crates/inventory/src/schema.rs
@@ -8,9 +8,9 @@
     /// A whole number in the given range.
     Whole {
         /// Smallest accepted number.
-        least: u64,
+        min: u64,
         /// Largest accepted number.
-        most: u64,
+        max: u64,
     },
     /// A number of processor cores with up to three decimals, such as `0.5`.
     Cores,
@@ -64,20 +64,17 @@
 
 /// The kinds of section in an inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Kind;
+pub struct InventorySchema;
 
 const COUNT: Value = Value::Whole {
-    least: 1,
-    most: 1_000_000,
+    min: 1,
+    max: 1_000_000,
 };
 const MEGABYTES: Value = Value::Whole {
-    least: 1,
-    most: 64_000_000,
-};
-const FEW: Value = Value::Whole {
-    least: 0,
-    most: 1_024,
+    min: 1,
+    max: 64_000_000,
 };
+const FEW: Value = Value::Whole { min: 0, max: 1_024 };
 
 /// The words that the key `kind` of a rule accepts.
 pub(crate) const RULE_KINDS: &[&str] = &[
@@ -91,9 +88,9 @@
     "evacuate",
 ];
 
-impl Kind {
+impl InventorySchema {
     /// The schema of an inventory.
-    pub const ALL: &'static [SectionSchema] = &[
+    pub const SECTIONS: &'static [SectionSchema] = &[
         SectionSchema {
             kind: "failure-domain",
             is_single: false,
@@ -123,16 +120,16 @@
                 Field::optional(
                     "timeout_ms",
                     Value::Whole {
-                        least: 10,
-                        most: 600_000,
+                        min: 10,
+                        max: 600_000,
                     },
                     "2000",
                 ),
                 Field::optional(
                     "response_max_bytes",
                     Value::Whole {
-                        least: 1,
-                        most: 67_108_864,
+                        min: 1,
+                        max: 67_108_864,
                     },
                     "1048576",
                 ),
@@ -162,8 +159,8 @@
                 Field::optional(
                     "run_time_s",
                     Value::Whole {
-                        least: 1,
-                        most: 2_592_000,
+                        min: 1,
+                        max: 2_592_000,
                     },
                     "60",
                 ),
@@ -182,7 +179,7 @@
                 Field::optional("cores", Value::Cores, "0"),
                 Field::optional("memory_mb", MEGABYTES, "0"),
                 Field::optional("accelerators", FEW, "0"),
-                Field::optional("failure_domains", Value::Whole { least: 2, most: 20 }, "2"),
+                Field::optional("failure_domains", Value::Whole { min: 2, max: 20 }, "2"),
             ],
         },
     ];
--- a/crates/inventory/src/sections.rs
+++ b/crates/inventory/src/sections.rs
@@ -193,9 +193,9 @@
     match value {
         Value::Text if text.is_empty() => Some("Give a value or remove the line.".into()),
         Value::Text => None,
-        Value::Whole { least, most } => match text.parse::<u64>() {
-            Ok(number) if (least..=most).contains(&number) => None,
-            Ok(_) => Some(format!("Use a whole number from {least} to {most}.")),
+        Value::Whole { min, max } => match text.parse::<u64>() {
+            Ok(number) if (min..=max).contains(&number) => None,
+            Ok(_) => Some(format!("Use a whole number from {min} to {max}.")),
             Err(_) => Some("Write a whole number; the key's suffix names the unit.".into()),
         },
         Value::Cores => match millicores(text) {
