--- a/crates/core/src/node/publishing.rs
+++ b/crates/core/src/node/publishing.rs
@@ -43,7 +43,7 @@
             for (host_name, host) in &inventory.hosts {
                 if job
                     .need
-                    .fits(host.need.minus(inventory.reserved(host_name)))
+                    .fits(host.capacity.minus(inventory.reserved(host_name)))
                 {
                     cells.insert(Cell::workers(&host.rack));
                 }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -70,7 +70,7 @@
                 now_ms,
                 ListedHost {
                     address: listed.map(|host| host.address.clone()).unwrap_or_default(),
-                    total: host.need,
+                    total: host.capacity,
                     reserved: inventory.reserved(&name),
                     barred: inventory.excluded_jobs(&name),
                     is_leaving,
--- a/crates/inventory/src/build.rs
+++ b/crates/inventory/src/build.rs
@@ -78,7 +78,7 @@
     value.unwrap_or(default)
 }
 
-fn need(section: &Section) -> Resources {
+fn resources(section: &Section) -> Resources {
     Resources {
         millicores: millicores(&text(section, "cores")).unwrap_or(0),
         memory_mb: number(section, "memory_mb", 0) as u32,
@@ -90,14 +90,14 @@
     Host {
         failure_domain: text(section, "failure_domain"),
         rack: text(section, "rack"),
-        need: need(section),
+        capacity: resources(section),
     }
 }
 
 fn service(section: &Section) -> Service {
     Service {
         team: text(section, "team"),
-        need: need(section),
+        need: resources(section),
         slots: number(section, "slots", 8) as u32,
         connections: number(section, "connections", 64) as u32,
         timeout_ms: number(section, "timeout_ms", 2_000),
@@ -116,7 +116,7 @@
     const MS_PER_S: u64 = 1_000;
     Job {
         team: text(section, "team"),
-        need: need(section),
+        need: resources(section),
         run_time_ms: number(section, "run_time_s", 60) * MS_PER_S,
         urgent: false,
         never_twice: false,
@@ -145,7 +145,7 @@
         }
         "quota" => {
             if let Some(team) = inventory.teams.get_mut(&text(section, "team")) {
-                team.quota = Some(need(section));
+                team.quota = Some(resources(section));
             }
         }
         _ => {}
--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -167,7 +167,7 @@
             let section = sections.get(&("host".into(), name.clone()));
             section.map_or(0, |section| section.line_of(key))
         };
-        if !inventory.reserved(name).fits(host.need) {
+        if !inventory.reserved(name).fits(host.capacity) {
             faults.add(
                 line_of(""),
                 format!("the services on host `{name}` need more than the host has"),
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -8,7 +8,7 @@
 //! let text = "[failure-domain espoo]\n\n[host w1]\nfailure_domain = espoo\n\
 //!             rack = r1\ncores = 16\nmemory_mb = 60000\n";
 //! let inventory = goldcrestway_inventory::load("inventory.ini", text).unwrap();
-//! assert_eq!(inventory.hosts["w1"].need.millicores, 16_000);
+//! assert_eq!(inventory.hosts["w1"].capacity.millicores, 16_000);
 //! ```
 
 mod build;
--- a/crates/inventory/src/model.rs
+++ b/crates/inventory/src/model.rs
@@ -48,8 +48,8 @@
     pub failure_domain: Box<str>,
     /// Name of its rack.
     pub rack: Box<str>,
-    /// What it holds.
-    pub need: Resources,
+    /// Resources that it has.
+    pub capacity: Resources,
 }
 
 /// A latency-critical service.
@@ -243,7 +243,7 @@
         }
         let mut large_enough = false;
         for (host_name, host) in &self.hosts {
-            if !job.need.fits(host.need.minus(self.reserved(host_name))) {
+            if !job.need.fits(host.capacity.minus(self.reserved(host_name))) {
                 continue;
             }
             large_enough = true;
