--- a/crates/daemon/src/answers.rs
+++ b/crates/daemon/src/answers.rs
@@ -11,7 +11,7 @@
 use tiny_http::Response;
 
 /// Header in which a caller is told what became of its request.
-pub(crate) const OUTCOME: &str = "Goldcrestway-Outcome";
+pub(crate) const OUTCOME_HEADER: &str = "Goldcrestway-Outcome";
 
 /// Problem details as of RFC 9457.
 #[derive(Debug, Serialize)]
@@ -31,9 +31,9 @@
 }
 
 /// Makes a reply with a body of a type.
-pub(crate) fn reply(status: u16, kind: &str, body: impl Into<Vec<u8>>) -> Reply {
+pub(crate) fn reply(status: u16, content_type: &str, body: impl Into<Vec<u8>>) -> Reply {
     let mut response = Response::from_data(body.into()).with_status_code(status);
-    response.add_header_if(header("Content-Type", kind));
+    response.add_header_if(header("Content-Type", content_type));
     response
 }
 
@@ -53,9 +53,9 @@
 
 /// Makes a refusal with problem details.
 pub(crate) fn problem(status: u16, name: &str, title: &str, detail: impl Into<String>) -> Reply {
-    let kind = format!("urn:goldcrestway:problem:{name}");
+    let problem_type = format!("urn:goldcrestway:problem:{name}");
     let body = Problem {
-        r#type: &kind,
+        r#type: &problem_type,
         title,
         status,
         detail: detail.into(),
@@ -75,13 +75,13 @@
 pub(crate) fn not_run(reason: &str, retry_after_ms: u64) -> Reply {
     let mut reply = problem(503, "not-run", "The request did not run", reason);
     reply.add_header_if(retry_header(retry_after_ms.max(1)));
-    reply.add_header_if(header(OUTCOME, "not-run"));
+    reply.add_header_if(header(OUTCOME_HEADER, "not-run"));
     reply
 }
 
 /// Makes the reply for an answer that carries no body of an instance, with the
 /// outcome it stands for.
-pub(crate) fn reply_of(answer: &Answer) -> (&'static str, Reply) {
+pub(crate) fn reply_for(answer: &Answer) -> (&'static str, Reply) {
     let (outcome, mut reply) = match answer {
         Answer::Whole => ("answered", reply(200, "text/plain", "")),
         Answer::NotRun {
@@ -97,7 +97,7 @@
             reply.add_header_if(retry_header(*retry_after_ms));
             ("unknown", reply)
         }
-        Answer::Repeated { outcome, status } => repeated(*outcome, *status),
+        Answer::Repeated { outcome, status } => repeated_reply(*outcome, *status),
         Answer::Conflict => (
             "not-run",
             problem(
@@ -121,13 +121,13 @@
             "not-run",
             problem(422, "never-runs", "The job could never run", &**reason),
         ),
-        Answer::Published(fate) => ("answered", published(fate)),
+        Answer::Published(fate) => ("answered", publication_reply(fate)),
     };
-    reply.add_header_if(header(OUTCOME, outcome));
+    reply.add_header_if(header(OUTCOME_HEADER, outcome));
     (outcome, reply)
 }
 
-fn repeated(outcome: Outcome, status: u16) -> (&'static str, Reply) {
+fn repeated_reply(outcome: Outcome, status: u16) -> (&'static str, Reply) {
     let (name, detail) = match outcome {
         Outcome::Answered => (
             "answered",
@@ -148,7 +148,7 @@
 }
 
 /// Gives the word for a job's state.
-pub(crate) fn job_word(state: JobState) -> &'static str {
+pub(crate) fn job_state_name(state: JobState) -> &'static str {
     match state {
         JobState::Ended { end, .. } => match end {
             JobEnd::Finished => "finished",
@@ -162,10 +162,10 @@
 }
 
 fn job_json(state: JobState) -> String {
-    serde_json::json!({ "state": job_word(state) }).to_string()
+    serde_json::json!({ "state": job_state_name(state) }).to_string()
 }
 
-fn published(fate: &Fate) -> Reply {
+fn publication_reply(fate: &Fate) -> Reply {
     match fate {
         Fate::Accepted { version } => {
             let body = serde_json::json!({ "version": version }).to_string();
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -9,7 +9,7 @@
 
 /// What a caller asked, as it is passed on.
 #[derive(Debug, Clone)]
-pub(crate) struct Ask {
+pub(crate) struct ForwardedRequest {
     pub(crate) method: String,
     pub(crate) path: String,
     pub(crate) headers: Vec<(String, String)>,
@@ -18,14 +18,14 @@
 
 /// An instance's whole answer.
 #[derive(Debug, Clone)]
-pub(crate) struct Whole {
+pub(crate) struct CompleteResponse {
     pub(crate) status: u16,
     pub(crate) headers: Vec<(String, String)>,
     pub(crate) body: Vec<u8>,
 }
 
 /// Headers that concern one connection only and are not passed on.
-const OWN_HEADERS: &[&str] = &[
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "host",
@@ -37,19 +37,19 @@
 ];
 
 /// Tells whether a header is passed on.
-pub(crate) fn is_passed_on(name: &str) -> bool {
+pub(crate) fn is_forwarded(name: &str) -> bool {
     let name = name.to_ascii_lowercase();
-    !OWN_HEADERS.contains(&&*name) && !name.starts_with("goldcrestway-")
+    !HOP_BY_HOP_HEADERS.contains(&&*name) && !name.starts_with("goldcrestway-")
 }
 
 /// Sends `ask` to the instance at `address`. Each attempt has a connection of its
 /// own, so that no instance gets more connections than it has slots.
 pub(crate) fn attempt(
-    ask: &Ask,
+    forwarded: &ForwardedRequest,
     address: &str,
     timeout_ms: u64,
-    most_bytes: u64,
-) -> (AttemptEnd, Option<Whole>) {
+    max_body_bytes: u64,
+) -> (AttemptEnd, Option<CompleteResponse>) {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .timeout_global(Some(Duration::from_millis(timeout_ms.max(1))))
         .http_status_as_error(false)
@@ -58,33 +58,33 @@
         .build()
         .new_agent();
     let mut builder = ureq::http::Request::builder()
-        .method(ask.method.as_str())
-        .uri(format!("http://{address}{}", ask.path));
-    for (name, value) in &ask.headers {
+        .method(forwarded.method.as_str())
+        .uri(format!("http://{address}{}", forwarded.path));
+    for (name, value) in &forwarded.headers {
         builder = builder.header(name, value);
     }
-    let Ok(request) = builder.body(ask.body.clone()) else {
+    let Ok(request) = builder.body(forwarded.body.clone()) else {
         return (AttemptEnd::NotStarted, None);
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let response = match agent.run(request) {
         Ok(response) => response,
-        Err(error) => return (end_of(&error), None),
+        Err(error) => return (classify_error(&error), None),
     };
-    match take_whole(response, most_bytes) {
+    match read_complete(response, max_body_bytes) {
         None => (AttemptEnd::Cut, None),
-        Some(whole) => {
-            let latency_ms = began.elapsed().as_millis() as u64;
-            let status = whole.status;
-            (AttemptEnd::Whole { status, latency_ms }, Some(whole))
+        Some(complete) => {
+            let latency_ms = started_at.elapsed().as_millis() as u64;
+            let status = complete.status;
+            (AttemptEnd::Whole { status, latency_ms }, Some(complete))
         }
     }
 }
 
 /// Tells whether anything can have reached the instance. Only a connection that
 /// was never made is proof that nothing did.
-fn end_of(error: &ureq::Error) -> AttemptEnd {
-    let is_refused = match error {
+fn classify_error(error: &ureq::Error) -> AttemptEnd {
+    let never_connected = match error {
         ureq::Error::Io(error) => {
             matches!(
                 error.kind(),
@@ -95,7 +95,7 @@
         ureq::Error::Timeout(ureq::Timeout::Connect) => true,
         _ => false,
     };
-    if is_refused {
+    if never_connected {
         AttemptEnd::NotStarted
     } else {
         AttemptEnd::Cut
@@ -104,16 +104,19 @@
 
 /// Reads an answer to its end. One whose end can't be told, because it has neither
 /// a length nor chunks, may have been cut and does not count as whole.
-fn take_whole(mut response: HttpResponse<ureq::Body>, most_bytes: u64) -> Option<Whole> {
+fn read_complete(
+    mut response: HttpResponse<ureq::Body>,
+    max_body_bytes: u64,
+) -> Option<CompleteResponse> {
     let headers: Vec<(String, String)> = response
         .headers()
         .iter()
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
         .collect();
-    let find = |wanted: &str| {
+    let find = |header_name: &str| {
         let found = headers
             .iter()
-            .find(|(name, _)| name.eq_ignore_ascii_case(wanted));
+            .find(|(name, _)| name.eq_ignore_ascii_case(header_name));
         found.map(|(_, value)| value.clone())
     };
     let length: Option<u64> = find("content-length").and_then(|value| value.parse().ok());
@@ -122,19 +125,19 @@
     let body = response
         .body_mut()
         .with_config()
-        .limit(most_bytes)
+        .limit(max_body_bytes)
         .read_to_vec()
         .ok()?;
     let has_no_body = matches!(status, 204 | 304) && body.is_empty();
-    let is_whole = match length {
+    let is_complete = match length {
         Some(length) => length == body.len() as u64,
         None => is_chunked || has_no_body,
     };
-    is_whole.then(|| Whole {
+    is_complete.then(|| CompleteResponse {
         status,
         headers: headers
             .into_iter()
-            .filter(|(name, _)| is_passed_on(name))
+            .filter(|(name, _)| is_forwarded(name))
             .collect(),
         body,
     })
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,17 +1,17 @@
 //! The side of callers: requests over plain HTTP.
 
 use crate::answers::AddHeader;
-use crate::answers::OUTCOME;
+use crate::answers::OUTCOME_HEADER;
 use crate::answers::Reply;
 use crate::answers::header;
 use crate::answers::not_run;
 use crate::answers::problem;
 use crate::answers::reply;
-use crate::answers::reply_of;
-use crate::attempt::Ask;
-use crate::attempt::Whole;
+use crate::answers::reply_for;
+use crate::attempt::CompleteResponse;
+use crate::attempt::ForwardedRequest;
 use crate::attempt::attempt;
-use crate::attempt::is_passed_on;
+use crate::attempt::is_forwarded;
 use crate::metrics::Metrics;
 use goldcrestway_core::Answer;
 use goldcrestway_core::AttemptEnd;
@@ -52,24 +52,24 @@
 }
 
 /// The callers and operators whose threads wait for the decisions.
-pub(crate) struct Desk {
-    next: AtomicU64,
+pub(crate) struct Waiters {
+    next_number: AtomicU64,
     waiting: Mutex<HashMap<u64, Sender<Step>>>,
 }
 
 /// A place at the desk; given up when dropped.
-pub(crate) struct Place<'a> {
-    desk: &'a Desk,
+pub(crate) struct Waiter<'a> {
+    waiters: &'a Waiters,
     pub(crate) number: u64,
     pub(crate) steps: Receiver<Step>,
 }
 
-impl Desk {
+impl Waiters {
     /// Numbers requests from `first` on. Numbers must differ from those of a
     /// former process at the seat, whose answers may still be on their way.
     pub(crate) fn new(first: u64) -> Self {
         Self {
-            next: AtomicU64::new(first),
+            next_number: AtomicU64::new(first),
             waiting: Mutex::new(HashMap::new()),
         }
     }
@@ -79,19 +79,19 @@
     }
 
     /// Takes a place for one request.
-    pub(crate) fn take(&self) -> Place<'_> {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn register(&self) -> Waiter<'_> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (sender, steps) = channel();
         self.lock().insert(number, sender);
-        Place {
-            desk: self,
+        Waiter {
+            waiters: self,
             number,
             steps,
         }
     }
 
     /// Passes a step to the thread that waits for it.
-    pub(crate) fn pass(&self, number: u64, step: Step) {
+    pub(crate) fn push(&self, number: u64, step: Step) {
         if let Some(sender) = self.lock().get(&number) {
             // A thread that has given up no longer listens.
             let _ = sender.send(step);
@@ -99,51 +99,51 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for Waiter<'_> {
     fn drop(&mut self) {
-        self.desk.lock().remove(&self.number);
+        self.waiters.lock().remove(&self.number);
     }
 }
 
 /// What the threads that serve callers share.
-pub(crate) struct Front {
-    pub(crate) desk: Arc<Desk>,
+pub(crate) struct CallerServer {
+    pub(crate) waiters: Arc<Waiters>,
     pub(crate) events: Sender<Event>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) is_ready: Arc<AtomicBool>,
-    pub(crate) is_over: Arc<AtomicBool>,
-    pub(crate) began: Instant,
+    pub(crate) is_stopped: Arc<AtomicBool>,
+    pub(crate) started_at: Instant,
     pub(crate) request_max_bytes: u64,
     pub(crate) caller_timeout_ms: u64,
 }
 
 /// How often an idle thread looks whether the daemon is over.
-const IDLE: Duration = Duration::from_millis(100);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long callers wait at the most if they don't say.
 const DEFAULT_TIMEOUT_MS: u64 = 5_000;
 /// Longest time that callers may ask for; below the silence that the gate bears.
-const LONGEST_TIMEOUT_MS: u64 = 30_000;
+const MAX_TIMEOUT_MS: u64 = 30_000;
 /// Time beyond a deadline after which a thread stops waiting for the decisions.
-const GRACE_MS: u64 = 3_000;
+const DECISION_GRACE_MS: u64 = 3_000;
 
-impl Front {
+impl CallerServer {
     /// Serves callers on `threads` threads until the daemon is over.
     pub(crate) fn serve(self: Arc<Self>, server: Server, threads: usize) {
         let server = Arc::new(server);
         for _ in 0..threads {
-            let (front, server) = (self.clone(), server.clone());
+            let (caller_server, server) = (self.clone(), server.clone());
             thread::spawn(move || {
-                while !front.is_over.load(Ordering::Relaxed) {
-                    if let Ok(Some(request)) = server.recv_timeout(IDLE) {
-                        front.serve_one(request);
+                while !caller_server.is_stopped.load(Ordering::Relaxed) {
+                    if let Ok(Some(request)) = server.recv_timeout(IDLE_POLL_INTERVAL) {
+                        caller_server.handle_request(request);
                     }
                 }
             });
         }
     }
 
-    fn serve_one(&self, mut request: Request) {
-        let began = Instant::now();
+    fn handle_request(&self, mut request: Request) {
+        let started_at = Instant::now();
         let path = request.url().to_owned();
         let (outcome, reply) = match path.as_str() {
             "/healthz" => ("", reply(200, "text/plain", "ok\n")),
@@ -152,7 +152,7 @@
             }
             "/readyz" => ("", reply(503, "text/plain", "not ready\n")),
             _ => match path.strip_prefix("/services/") {
-                Some(rest) => self.pass_on(&mut request, rest),
+                Some(rest) => self.forward(&mut request, rest),
                 None => {
                     let detail = "Requests go to /services/NAME/PATH.";
                     (
@@ -162,21 +162,21 @@
                 }
             },
         };
-        if self.is_over.load(Ordering::Relaxed) {
+        if self.is_stopped.load(Ordering::Relaxed) {
             // A daemon that was ended answers nobody; the connection just closes.
             drop(request.into_writer());
             return;
         }
         if !outcome.is_empty() {
             self.metrics
-                .request(outcome, began.elapsed().as_millis() as u64);
+                .record_request(outcome, started_at.elapsed().as_millis() as u64);
         }
         // A caller that has gone needs no answer.
         let _ = request.respond(reply);
     }
 
     /// Takes a request for a service through to its answer.
-    fn pass_on(&self, request: &mut Request, rest: &str) -> (&'static str, Reply) {
+    fn forward(&self, request: &mut Request, rest: &str) -> (&'static str, Reply) {
         let (service, path) = match rest.split_once('/') {
             Some((service, path)) => (service, format!("/{path}")),
             None => (rest, "/".to_owned()),
@@ -186,20 +186,20 @@
             Ok(body) => body,
             Err(refusal) => return ("not-run", refusal),
         };
-        let ask = Ask {
+        let forwarded = ForwardedRequest {
             method: request.method().to_string(),
             path,
             headers: request
                 .headers()
                 .iter()
                 .map(|header| (header.field.to_string(), header.value.to_string()))
-                .filter(|(name, _)| is_passed_on(name))
+                .filter(|(name, _)| is_forwarded(name))
                 .collect(),
             body,
         };
-        let place = self.desk.take();
+        let waiter = self.waiters.register();
         let now_ms = self.now_ms();
-        let core = match core_request(request, &service, &ask, place.number, now_ms) {
+        let core = match core_request(request, &service, &forwarded, waiter.number, now_ms) {
             Ok(core) => core,
             Err(refusal) => return ("not-run", refusal),
         };
@@ -207,27 +207,32 @@
         if self.events.send(Event::Request(core)).is_err() {
             return ("not-run", not_run("the daemon is ending", 1_000));
         }
-        self.follow(&place, &ask, deadline_ms)
+        self.run_steps(&waiter, &forwarded, deadline_ms)
     }
 
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     /// Does what the decisions say until they give the answer.
-    fn follow(&self, place: &Place<'_>, ask: &Ask, deadline_ms: u64) -> (&'static str, Reply) {
-        let mut held: Option<Whole> = None;
+    fn run_steps(
+        &self,
+        waiter: &Waiter<'_>,
+        forwarded: &ForwardedRequest,
+        deadline_ms: u64,
+    ) -> (&'static str, Reply) {
+        let mut last_response: Option<CompleteResponse> = None;
         loop {
-            let patience_ms = (deadline_ms + GRACE_MS).saturating_sub(self.now_ms());
-            let Ok(step) = place.steps.recv_timeout(Duration::from_millis(patience_ms)) else {
-                return reply_of(&Answer::Unknown {
+            let wait_ms = (deadline_ms + DECISION_GRACE_MS).saturating_sub(self.now_ms());
+            let Ok(step) = waiter.steps.recv_timeout(Duration::from_millis(wait_ms)) else {
+                return reply_for(&Answer::Unknown {
                     reason: "the daemon gave no verdict",
                     retry_after_ms: 0,
                 });
             };
             match step {
-                Step::Answer(Answer::Whole) => return ("answered", whole_reply(held)),
-                Step::Answer(answer) => return reply_of(&answer),
+                Step::Answer(Answer::Whole) => return ("answered", complete_reply(last_response)),
+                Step::Answer(answer) => return reply_for(&answer),
                 Step::Attempt {
                     address,
                     timeout_ms,
@@ -236,12 +241,12 @@
                 } => {
                     // A thread that was paused must not send on a grant or lease
                     // that has run out meanwhile.
-                    let (end, whole) = match self.now_ms() > begin_by_ms {
+                    let (end, response) = match self.now_ms() > begin_by_ms {
                         true => (AttemptEnd::Late, None),
-                        false => attempt(ask, &address, timeout_ms, response_max_bytes),
+                        false => attempt(forwarded, &address, timeout_ms, response_max_bytes),
                     };
-                    held = whole.or(held);
-                    let request = place.number;
+                    last_response = response.or(last_response);
+                    let request = waiter.number;
                     let _ = self.events.send(Event::AttemptEnded { request, end });
                 }
             }
@@ -251,11 +256,11 @@
     /// Reads a request's body within the bounds of size and time.
     fn read_body(&self, request: &mut Request) -> Result<Vec<u8>, Reply> {
         const CHUNK: usize = 16 * 1024;
-        let began = Instant::now();
-        let patience = Duration::from_millis(self.caller_timeout_ms);
+        let started_at = Instant::now();
+        let timeout = Duration::from_millis(self.caller_timeout_ms);
         let too_large = || {
             let detail = format!("At most {} bytes are accepted.", self.request_max_bytes);
-            refuse(problem(
+            mark_not_run(problem(
                 413,
                 "too-large",
                 "The request is too large",
@@ -274,7 +279,7 @@
                 Ok(count) => body.extend_from_slice(&chunk[..count]),
                 Err(_) => {
                     let detail = "The body did not arrive in time.";
-                    return Err(refuse(problem(
+                    return Err(mark_not_run(problem(
                         408,
                         "too-slow",
                         "The request is too slow",
@@ -285,9 +290,9 @@
             if body.len() as u64 > self.request_max_bytes {
                 return Err(too_large());
             }
-            if began.elapsed() > patience {
+            if started_at.elapsed() > timeout {
                 let detail = "The body did not arrive in time.";
-                return Err(refuse(problem(
+                return Err(mark_not_run(problem(
                     408,
                     "too-slow",
                     "The request is too slow",
@@ -297,7 +302,7 @@
         }
         if length.is_some_and(|length| length != body.len()) {
             let detail = "The body is shorter than its Content-Length.";
-            return Err(refuse(problem(
+            return Err(mark_not_run(problem(
                 400,
                 "cut",
                 "The request is not whole",
@@ -309,32 +314,32 @@
 }
 
 /// Marks a refusal of a malformed request: it did not run.
-fn refuse(mut reply: Reply) -> Reply {
-    reply.add_header_if(header(OUTCOME, "not-run"));
+fn mark_not_run(mut reply: Reply) -> Reply {
+    reply.add_header_if(header(OUTCOME_HEADER, "not-run"));
     reply
 }
 
-fn whole_reply(held: Option<Whole>) -> Reply {
-    let Some(whole) = held else {
-        return reply_of(&Answer::Unknown {
+fn complete_reply(last_response: Option<CompleteResponse>) -> Reply {
+    let Some(response) = last_response else {
+        return reply_for(&Answer::Unknown {
             reason: "the answer is no longer held",
             retry_after_ms: 0,
         })
         .1;
     };
-    let mut reply = Reply::from_data(whole.body).with_status_code(whole.status);
-    for (name, value) in &whole.headers {
+    let mut reply = Reply::from_data(response.body).with_status_code(response.status);
+    for (name, value) in &response.headers {
         reply.add_header_if(header(name, value));
     }
-    reply.add_header_if(header(OUTCOME, "answered"));
+    reply.add_header_if(header(OUTCOME_HEADER, "answered"));
     reply
 }
 
-fn header_of(request: &Request, wanted: &str) -> Option<String> {
+fn header_of(request: &Request, name: &str) -> Option<String> {
     let found = request
         .headers()
         .iter()
-        .find(|header| header.field.as_str().as_str().eq_ignore_ascii_case(wanted));
+        .find(|header| header.field.as_str().as_str().eq_ignore_ascii_case(name));
     found.map(|header| header.value.to_string())
 }
 
@@ -342,11 +347,12 @@
 fn core_request(
     request: &Request,
     service: &str,
-    ask: &Ask,
+    forwarded: &ForwardedRequest,
     number: u64,
     now_ms: u64,
 ) -> Result<CoreRequest, Reply> {
-    let bad = |detail: &str| refuse(problem(400, "bad-header", "A header can't be read", detail));
+    let bad =
+        |detail: &str| mark_not_run(problem(400, "bad-header", "A header can't be read", detail));
     let timeout_ms = match header_of(request, "Goldcrestway-Timeout-Ms") {
         None => DEFAULT_TIMEOUT_MS,
         Some(text) => text
@@ -359,29 +365,29 @@
         Some(_) => return Err(bad("Write Goldcrestway-Idempotent as true or false.")),
         None => !matches!(request.method(), Method::Post | Method::Patch),
     };
-    if timeout_ms > LONGEST_TIMEOUT_MS {
+    if timeout_ms > MAX_TIMEOUT_MS {
         return Err(bad("Goldcrestway-Timeout-Ms is at most 30000."));
     }
-    const LONGEST_KEY: usize = 256;
+    const MAX_KEY_BYTES: usize = 256;
     let key = header_of(request, "Idempotency-Key");
     if key
         .as_ref()
-        .is_some_and(|key| key.is_empty() || key.len() > LONGEST_KEY)
+        .is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES)
     {
         return Err(bad("Write an Idempotency-Key of 1 to 256 bytes."));
     }
     let identity = key.map(|key| wide_hash(format!("{service}\n{key}").as_bytes()));
-    let asked = format!(
+    let fingerprint_input = format!(
         "{}\n{}\n{}",
-        ask.method,
-        ask.path,
-        String::from_utf8_lossy(&ask.body)
+        forwarded.method,
+        forwarded.path,
+        String::from_utf8_lossy(&forwarded.body)
     );
     Ok(CoreRequest {
         request: number,
         service: service.into(),
         identity,
-        fingerprint: hash(&asked),
+        fingerprint: hash(&fingerprint_input),
         is_idempotent,
         deadline_ms: now_ms + timeout_ms,
     })
--- a/crates/daemon/src/event_log.rs
+++ b/crates/daemon/src/event_log.rs
@@ -20,19 +20,19 @@
 }
 
 /// Clock and events of one process.
-pub(crate) struct Chronicle {
+pub(crate) struct EventLog {
     process: Box<str>,
-    logs: bool,
+    is_logging: bool,
     inner: Mutex<(Clock, Recorder)>,
 }
 
-impl Chronicle {
-    /// Starts without events, keeping the latest `most`.
-    pub(crate) fn new(process: &str, most: usize, logs: bool) -> Self {
+impl EventLog {
+    /// Starts without events, keeping the latest `capacity`.
+    pub(crate) fn new(process: &str, capacity: usize, is_logging: bool) -> Self {
         Self {
             process: process.into(),
-            logs,
-            inner: Mutex::new((Clock::default(), Recorder::new(most))),
+            is_logging,
+            inner: Mutex::new((Clock::default(), Recorder::new(capacity))),
         }
     }
 
@@ -46,12 +46,12 @@
     }
 
     /// Takes in the stamp of a message that has arrived.
-    pub(crate) fn arrived(&self, sent: Stamp) {
+    pub(crate) fn receive(&self, sent: Stamp) {
         self.lock().0.receive(wall_ms(), sent);
     }
 
     /// Writes down what happened.
-    pub(crate) fn note(&self, note: &Note) {
+    pub(crate) fn record(&self, note: &Note) {
         let mut inner = self.lock();
         let entry = Entry {
             stamp: inner.0.tick(wall_ms()),
@@ -61,7 +61,7 @@
             subject: note.subject.clone(),
             detail: note.detail.clone(),
         };
-        if self.logs {
+        if self.is_logging {
             write_event(&entry);
         }
         inner.1.add(entry);
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -51,7 +51,7 @@
     }
 
     /// Counts an event.
-    pub(crate) fn event(&self, code: Code) {
+    pub(crate) fn record_event(&self, code: Code) {
         let number = i64::from(code.number());
         self.events.add(
             1,
@@ -63,7 +63,7 @@
     }
 
     /// Counts a request and its time.
-    pub(crate) fn request(&self, outcome: &'static str, latency_ms: u64) {
+    pub(crate) fn record_request(&self, outcome: &'static str, latency_ms: u64) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.latency_ms.record(latency_ms, &[]);
     }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -3,10 +3,10 @@
 use crate::answers::Reply;
 use crate::answers::problem;
 use crate::answers::reply;
-use crate::answers::reply_of;
-use crate::callers::Desk;
+use crate::answers::reply_for;
 use crate::callers::Step;
-use crate::event_log::Chronicle;
+use crate::callers::Waiters;
+use crate::event_log::EventLog;
 use crate::metrics::Metrics;
 use goldcrestway_core::Answer;
 use goldcrestway_core::ConfigChange;
@@ -31,16 +31,16 @@
 use tiny_http::Server;
 
 /// A look at the node, carried to the thread that has it.
-pub(crate) type Look = Box<dyn FnOnce(&mut Node) + Send>;
+pub(crate) type NodeQuery = Box<dyn FnOnce(&mut Node) + Send>;
 
 /// How long an operator waits for a verdict.
-const PATIENCE: Duration = Duration::from_secs(15);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a look at the node may take.
-const LOOK: Duration = Duration::from_secs(2);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Threads that serve operators.
 const THREADS: usize = 8;
 /// Largest body that an operator may send.
-const MOST_BYTES: u64 = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A section that is published.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -137,27 +137,27 @@
 }
 
 /// What the threads that serve operators share.
-pub(crate) struct Operators {
-    pub(crate) desk: Arc<Desk>,
+pub(crate) struct OperatorServer {
+    pub(crate) waiters: Arc<Waiters>,
     pub(crate) events: Sender<Event>,
-    pub(crate) looks: Sender<Look>,
-    pub(crate) chronicle: Arc<Chronicle>,
+    pub(crate) queries: Sender<NodeQuery>,
+    pub(crate) event_log: Arc<EventLog>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) is_ready: Arc<AtomicBool>,
-    pub(crate) is_over: Arc<AtomicBool>,
+    pub(crate) is_stopped: Arc<AtomicBool>,
 }
 
-impl Operators {
+impl OperatorServer {
     /// Serves operators until the daemon is over.
     pub(crate) fn serve(self: Arc<Self>, server: Server) {
-        const IDLE: Duration = Duration::from_millis(100);
+        const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
         let server = Arc::new(server);
         for _ in 0..THREADS {
-            let (operators, server) = (self.clone(), server.clone());
+            let (operator_server, server) = (self.clone(), server.clone());
             thread::spawn(move || {
-                while !operators.is_over.load(Ordering::Relaxed) {
-                    if let Ok(Some(mut request)) = server.recv_timeout(IDLE) {
-                        let reply = operators.reply(&mut request);
+                while !operator_server.is_stopped.load(Ordering::Relaxed) {
+                    if let Ok(Some(mut request)) = server.recv_timeout(IDLE_POLL_INTERVAL) {
+                        let reply = operator_server.reply(&mut request);
                         // An operator who has gone needs no answer.
                         let _ = request.respond(reply);
                     }
@@ -177,10 +177,10 @@
             }
             "/readyz" => reply(503, "text/plain", "not ready\n"),
             "/metrics" => reply(200, "text/plain; version=0.0.4", self.metrics.render()),
-            "/v1/timeline" => json(&self.chronicle.list()),
-            "/v1/status" => self.look(status_of),
+            "/v1/timeline" => json(&self.event_log.list()),
+            "/v1/status" => self.query(status_of),
             "/v1/config" if is_post => self.publish(request),
-            "/v1/config" => self.look(config_of),
+            "/v1/config" => self.query(config_of),
             "/v1/jobs" if is_post => self.submit(request),
             "/v1/stop" if is_post => {
                 let _ = self.events.send(Event::Stop);
@@ -189,7 +189,7 @@
             _ => match path.strip_prefix("/v1/explain/") {
                 Some(name) => {
                     let name = name.to_owned();
-                    self.look(move |node| serde_json::json!(node.explain(&name)).to_string())
+                    self.query(move |node| serde_json::json!(node.explain(&name)).to_string())
                 }
                 None => problem(404, "no-such-path", "No such path", path.clone()),
             },
@@ -197,12 +197,12 @@
     }
 
     /// Has the thread of the decisions look at the node.
-    fn look(&self, look: impl FnOnce(&mut Node) -> String + Send + 'static) -> Reply {
-        let (sender, seen) = channel();
-        let look: Look = Box::new(move |node| {
-            let _ = sender.send(look(node));
+    fn query(&self, query: impl FnOnce(&mut Node) -> String + Send + 'static) -> Reply {
+        let (sender, receiver) = channel();
+        let query: NodeQuery = Box::new(move |node| {
+            let _ = sender.send(query(node));
         });
-        if self.looks.send(look).is_err() {
+        if self.queries.send(query).is_err() {
             return problem(
                 503,
                 "ending",
@@ -210,7 +210,7 @@
                 "Ask another entry host.",
             );
         }
-        match seen.recv_timeout(LOOK) {
+        match receiver.recv_timeout(QUERY_TIMEOUT) {
             Ok(text) => reply(200, "application/json", text),
             Err(_) => problem(503, "busy", "The daemon is busy", "Ask again."),
         }
@@ -231,7 +231,7 @@
             author: publish.author.into(),
             changes: changes_from_wire(&publish.changes).into(),
         };
-        self.ask(|request| Event::Publish { request, change })
+        self.request_decision(|request| Event::Publish { request, change })
     }
 
     fn submit(&self, request: &mut Request) -> Reply {
@@ -239,33 +239,33 @@
             let detail = "Send {\"job\": NAME, \"id\": IDENTITY}.";
             return problem(400, "unreadable", "The job can't be read", detail);
         };
-        let (sender, seen) = channel();
+        let (sender, receiver) = channel();
         let name = job.job.clone();
-        let look: Look = Box::new(move |node| {
+        let query: NodeQuery = Box::new(move |node| {
             let job = node.config().inventory().jobs.get(name.as_str());
             let _ = sender.send(job.map(|job| job.team.clone()));
         });
-        let _ = self.looks.send(look);
-        let Ok(Some(team)) = seen.recv_timeout(LOOK) else {
-            return reply_of(&Answer::NotListed).1;
+        let _ = self.queries.send(query);
+        let Ok(Some(team)) = receiver.recv_timeout(QUERY_TIMEOUT) else {
+            return reply_for(&Answer::NotListed).1;
         };
         let spec = JobSpec {
             id: format!("{team}/{}", job.id).into(),
             job: job.job.into(),
             team,
         };
-        self.ask(|request| Event::Submit { request, spec })
+        self.request_decision(|request| Event::Submit { request, spec })
     }
 
     /// Asks the decisions and waits for their answer.
-    fn ask(&self, event: impl FnOnce(u64) -> Event) -> Reply {
-        let place = self.desk.take();
-        let _ = self.events.send(event(place.number));
-        match place.steps.recv_timeout(PATIENCE) {
-            Ok(Step::Answer(answer)) => reply_of(&answer).1,
+    fn request_decision(&self, event: impl FnOnce(u64) -> Event) -> Reply {
+        let waiter = self.waiters.register();
+        let _ = self.events.send(event(waiter.number));
+        match waiter.steps.recv_timeout(DECISION_TIMEOUT) {
+            Ok(Step::Answer(answer)) => reply_for(&answer).1,
             _ => {
                 let reason = "no verdict in time; ask again with the same identity";
-                reply_of(&Answer::Unknown {
+                reply_for(&Answer::Unknown {
                     reason,
                     retry_after_ms: 0,
                 })
@@ -279,7 +279,7 @@
     let mut body = Vec::new();
     request
         .as_reader()
-        .take(MOST_BYTES)
+        .take(MAX_BODY_BYTES)
         .read_to_end(&mut body)
         .ok()?;
     serde_json::from_slice(&body).ok()
--- a/crates/daemon/src/peer_connections.rs
+++ b/crates/daemon/src/peer_connections.rs
@@ -1,7 +1,7 @@
 //! Links between entry hosts: one TCP connection each way, framed by
 //! `goldcrestway-wire`.
 
-use crate::event_log::Chronicle;
+use crate::event_log::EventLog;
 use crate::fault::DaemonFault;
 use crate::settings::Settings;
 use bytes::BytesMut;
@@ -36,19 +36,19 @@
 
 /// Messages that wait for a link before further ones are dropped. Every message
 /// is repeated by its sender until it is answered, so dropping is safe.
-const WAITING: usize = 4_096;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 /// How long a link may be silent; heartbeats come far more often.
-const SILENCE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long connecting may take.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failed connection.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Links from other hosts per seat, old ones that have not closed yet included.
-const LINKS_PER_SEAT: usize = 4;
+const MAX_INCOMING_PER_SEAT: usize = 4;
 
 /// The links of one process.
-pub(crate) struct Links {
-    out: HashMap<Seat, SyncSender<(Member, Message)>>,
+pub(crate) struct PeerConnections {
+    queues: HashMap<Seat, SyncSender<(Member, Message)>>,
 }
 
 /// What the threads of all links share.
@@ -56,12 +56,12 @@
     cluster: Box<str>,
     seats: Vec<Seat>,
     events: Sender<Event>,
-    chronicle: Arc<Chronicle>,
-    is_over: Arc<AtomicBool>,
-    open: AtomicUsize,
+    event_log: Arc<EventLog>,
+    is_stopped: Arc<AtomicBool>,
+    open_count: AtomicUsize,
 }
 
-impl Links {
+impl PeerConnections {
     /// Listens for the links of others and starts those to them.
     ///
     /// # Errors
@@ -70,8 +70,8 @@
     pub(crate) fn start(
         settings: &Settings,
         events: Sender<Event>,
-        chronicle: Arc<Chronicle>,
-        is_over: Arc<AtomicBool>,
+        event_log: Arc<EventLog>,
+        is_stopped: Arc<AtomicBool>,
     ) -> Result<Self, DaemonFault> {
         let address = settings.own().peer_address;
         let listener = TcpListener::bind(address).map_err(|error| {
@@ -81,58 +81,58 @@
             cluster: settings.cluster.clone(),
             seats: settings.seats.iter().map(|seat| seat.seat).collect(),
             events,
-            chronicle,
-            is_over,
-            open: AtomicUsize::new(0),
+            event_log,
+            is_stopped,
+            open_count: AtomicUsize::new(0),
         });
         let accepting = shared.clone();
         thread::spawn(move || accept(&listener, &accepting));
-        let mut out = HashMap::new();
+        let mut queues = HashMap::new();
         for seat in &settings.seats {
             if seat.seat == settings.own().seat {
                 continue;
             }
-            let (sender, receiver) = sync_channel(WAITING);
-            out.insert(seat.seat, sender);
+            let (sender, receiver) = sync_channel(MAX_QUEUED_MESSAGES);
+            queues.insert(seat.seat, sender);
             let (shared, address) = (shared.clone(), seat.peer_address);
-            thread::spawn(move || write_link(address, &receiver, &shared));
+            thread::spawn(move || write_messages(address, &receiver, &shared));
         }
-        Ok(Self { out })
+        Ok(Self { queues })
     }
 
     /// Sends a message; drops it if the link is stuck.
     pub(crate) fn send(&self, from: Member, to: Seat, message: Message) {
-        let Some(link) = self.out.get(&to) else {
+        let Some(queue) = self.queues.get(&to) else {
             return;
         };
-        match link.try_send((from, message)) {
+        match queue.try_send((from, message)) {
             Ok(()) | Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => {}
         }
     }
 }
 
 /// Counts an open link while it lives.
-struct Open(Arc<Shared>);
+struct OpenGuard(Arc<Shared>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
     for stream in listener.incoming() {
-        if shared.is_over.load(Ordering::Relaxed) {
+        if shared.is_stopped.load(Ordering::Relaxed) {
             return;
         }
         let Ok(stream) = stream else {
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_DELAY);
             continue;
         };
-        let open = shared.open.fetch_add(1, Ordering::Relaxed);
-        let guard = Open(shared.clone());
-        if open >= shared.seats.len() * LINKS_PER_SEAT {
-            note(
+        let open_count = shared.open_count.fetch_add(1, Ordering::Relaxed);
+        let guard = OpenGuard(shared.clone());
+        if open_count >= shared.seats.len() * MAX_INCOMING_PER_SEAT {
+            record_event(
                 shared,
                 Code::LinkRefused,
                 &stream,
@@ -141,22 +141,22 @@
             continue;
         }
         thread::spawn(move || {
-            read_link(stream, &guard.0);
+            read_messages(stream, &guard.0);
             drop(guard);
         });
     }
 }
 
-fn note(shared: &Shared, code: Code, stream: &TcpStream, detail: &str) {
+fn record_event(shared: &Shared, code: Code, stream: &TcpStream, detail: &str) {
     let peer = stream
         .peer_addr()
         .map_or_else(|_| "gone".to_owned(), |peer| peer.to_string());
-    shared.chronicle.note(&Note::new(code, peer, detail));
+    shared.event_log.record(&Note::new(code, peer, detail));
 }
 
-fn read_link(mut stream: TcpStream, shared: &Shared) {
+fn read_messages(mut stream: TcpStream, shared: &Shared) {
     const CHUNK: usize = 16 * 1024;
-    if stream.set_read_timeout(Some(SILENCE)).is_err() {
+    if stream.set_read_timeout(Some(IDLE_TIMEOUT)).is_err() {
         return;
     }
     let mut codec = LinkCodec::new(&shared.cluster);
@@ -172,29 +172,30 @@
             match codec.decode(&mut bytes) {
                 Ok(None) => break,
                 Ok(Some(envelope)) if shared.seats.contains(&envelope.from.seat) => {
-                    shared.chronicle.arrived(Stamp(envelope.clock));
+                    shared.event_log.receive(Stamp(envelope.clock));
                     let event = Event::Peer {
                         from: envelope.from,
                         message: envelope.message,
                     };
-                    if shared.events.send(event).is_err() || shared.is_over.load(Ordering::Relaxed)
+                    if shared.events.send(event).is_err()
+                        || shared.is_stopped.load(Ordering::Relaxed)
                     {
                         return;
                     }
                 }
                 Ok(Some(envelope)) => {
                     let detail = format!("{} is no member", envelope.from);
-                    note(shared, Code::LinkRefused, &stream, &detail);
+                    record_event(shared, Code::LinkRefused, &stream, &detail);
                     return;
                 }
                 Err(fault) => {
-                    note(shared, Code::LinkRefused, &stream, &fault.to_string());
+                    record_event(shared, Code::LinkRefused, &stream, &fault.to_string());
                     return;
                 }
             }
         }
     }
-    note(
+    record_event(
         shared,
         Code::LinkClosed,
         &stream,
@@ -202,28 +203,28 @@
     );
 }
 
-fn write_link(address: SocketAddr, waiting: &Receiver<(Member, Message)>, shared: &Shared) {
+fn write_messages(address: SocketAddr, queue: &Receiver<(Member, Message)>, shared: &Shared) {
     let mut stream: Option<TcpStream> = None;
     let mut bytes = BytesMut::new();
-    while let Ok((from, message)) = waiting.recv() {
-        if shared.is_over.load(Ordering::Relaxed) {
+    while let Ok((from, message)) = queue.recv() {
+        if shared.is_stopped.load(Ordering::Relaxed) {
             return;
         }
         if stream.is_none() {
             stream = connect(address);
         }
-        let Some(open) = &mut stream else {
+        let Some(connected) = &mut stream else {
             // What waited while there was no link is stale; senders repeat it.
-            while waiting.try_recv().is_ok() {}
-            thread::sleep(PAUSE);
+            while queue.try_recv().is_ok() {}
+            thread::sleep(RETRY_DELAY);
             continue;
         };
         bytes.clear();
         encode(shared, from, message, &mut bytes);
-        while let Ok((from, message)) = waiting.try_recv() {
+        while let Ok((from, message)) = queue.try_recv() {
             encode(shared, from, message, &mut bytes);
         }
-        if open.write_all(&bytes).is_err() {
+        if connected.write_all(&bytes).is_err() {
             stream = None;
         }
     }
@@ -232,18 +233,18 @@
 fn encode(shared: &Shared, from: Member, message: Message, bytes: &mut BytesMut) {
     let envelope = Envelope {
         from,
-        clock: shared.chronicle.stamp().0,
+        clock: shared.event_log.stamp().0,
         message,
     };
     if let Err(fault) = LinkCodec::new(&shared.cluster).encode(&envelope, bytes) {
         let note = Note::new(Code::LinkRefused, "own frame", fault.to_string());
-        shared.chronicle.note(&note);
+        shared.event_log.record(&note);
     }
 }
 
 fn connect(address: SocketAddr) -> Option<TcpStream> {
-    let stream = TcpStream::connect_timeout(&address, CONNECT).ok()?;
+    let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
     stream.set_nodelay(true).ok()?;
-    stream.set_write_timeout(Some(CONNECT)).ok()?;
+    stream.set_write_timeout(Some(CONNECT_TIMEOUT)).ok()?;
     Some(stream)
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -36,19 +36,19 @@
 type Call = Box<dyn FnOnce() + Send>;
 
 /// A few threads that carry out calls in turn.
-pub(crate) struct Pool {
+pub(crate) struct ThreadPool {
     calls: Sender<Call>,
 }
 
-impl Pool {
+impl ThreadPool {
     /// Starts `threads` threads; they end when the pool is dropped.
     pub(crate) fn start(threads: usize) -> Self {
-        let (calls, waiting) = channel::<Call>();
-        let waiting = Arc::new(Mutex::new(waiting));
+        let (calls, queue) = channel::<Call>();
+        let queue = Arc::new(Mutex::new(queue));
         for _ in 0..threads {
-            let waiting = waiting.clone();
+            let queue = queue.clone();
             thread::spawn(move || {
-                while let Some(call) = next_call(&waiting) {
+                while let Some(call) = next_call(&queue) {
                     call();
                 }
             });
@@ -63,8 +63,8 @@
     }
 }
 
-fn next_call(waiting: &Mutex<Receiver<Call>>) -> Option<Call> {
-    waiting
+fn next_call(queue: &Mutex<Receiver<Call>>) -> Option<Call> {
+    queue
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .recv()
@@ -75,11 +75,11 @@
 pub(crate) struct Platform {
     log: LogClient,
     worker: WorkerClient,
-    appends: Pool,
-    reads: Pool,
-    calls: Pool,
+    appends: ThreadPool,
+    reads: ThreadPool,
+    calls: ThreadPool,
     events: Sender<Event>,
-    began: Instant,
+    started_at: Instant,
 }
 
 /// Threads that read from the log, and that append to it.
@@ -90,17 +90,17 @@
     pub(crate) fn start(
         settings: &crate::settings::Settings,
         events: Sender<Event>,
-        began: Instant,
+        started_at: Instant,
     ) -> Self {
         let timeout_ms = settings.platform_timeout_ms;
         Self {
             log: LogClient::new(&settings.log_url, timeout_ms),
             worker: WorkerClient::new(timeout_ms),
-            appends: Pool::start(LOG_THREADS),
-            reads: Pool::start(LOG_THREADS),
-            calls: Pool::start(settings.worker_threads),
+            appends: ThreadPool::start(LOG_THREADS),
+            reads: ThreadPool::start(LOG_THREADS),
+            calls: ThreadPool::start(settings.worker_threads),
             events,
-            began,
+            started_at,
         }
     }
 
@@ -116,13 +116,13 @@
                 call,
                 begin_by_ms,
             } => {
-                let (worker, events, began) =
-                    (self.worker.clone(), self.events.clone(), self.began);
+                let (worker, events, started_at) =
+                    (self.worker.clone(), self.events.clone(), self.started_at);
                 self.calls.run(move || {
                     let token = call.token;
                     // A call that waited past the lease must not be made: somebody
                     // else may act for the cell by now.
-                    let is_late = began.elapsed().as_millis() as u64 >= begin_by_ms;
+                    let is_late = started_at.elapsed().as_millis() as u64 >= begin_by_ms;
                     let reply = match is_late {
                         true => None,
                         false => worker.call(&address, &worker_request_of(&call)).ok(),
@@ -168,7 +168,7 @@
 
 /// Follows the platform's list of hosts until the daemon ends.
 pub(crate) fn follow_hosts(settings: &crate::settings::Settings, events: Sender<Event>) {
-    let pause = Duration::from_millis(settings.hosts_poll_ms);
+    let poll_interval = Duration::from_millis(settings.hosts_poll_ms);
     let client = HostListClient::new(&settings.host_list_url, settings.platform_timeout_ms);
     thread::spawn(move || {
         loop {
@@ -182,7 +182,7 @@
                     return;
                 }
             }
-            thread::sleep(pause);
+            thread::sleep(poll_interval);
         }
     });
 }
@@ -216,14 +216,14 @@
         token: call.token,
         answers: call.answers,
         lease_ms: call.lease_ms,
-        start: call.start.iter().map(order_out).collect(),
+        start: call.start.iter().map(worker_order_of).collect(),
         stop: names(&call.stop),
         forget: names(&call.forget),
         batch_permille: call.batch_permille,
     }
 }
 
-fn order_out(order: &TaskOrder) -> WorkerOrder {
+fn worker_order_of(order: &TaskOrder) -> WorkerOrder {
     WorkerOrder {
         id: order.attempt.id.to_string(),
         attempt: order.attempt.attempt,
@@ -237,7 +237,7 @@
 
 /// Reads a worker's answer; one with an unknown state counts as no answer.
 pub fn listing_of(reply: WorkerReply) -> Option<Listing> {
-    let tasks: Option<Vec<ListedTask>> = reply.tasks.into_iter().map(task_in).collect();
+    let tasks: Option<Vec<ListedTask>> = reply.tasks.into_iter().map(listed_task_of).collect();
     Some(Listing {
         number: reply.number,
         tasks: tasks?.into(),
@@ -245,7 +245,7 @@
     })
 }
 
-fn task_in(task: WorkerTask) -> Option<ListedTask> {
+fn listed_task_of(task: WorkerTask) -> Option<ListedTask> {
     let state = match &*task.state {
         "running" => ListedState::Running,
         "finished" => ListedState::Finished,
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -2,20 +2,20 @@
 
 use crate::actor::NodeActor;
 use crate::actor::TICK;
-use crate::callers::Desk;
-use crate::callers::Front;
+use crate::callers::CallerServer;
 use crate::callers::Step;
-use crate::event_log::Chronicle;
+use crate::callers::Waiters;
+use crate::event_log::EventLog;
 use crate::event_log::wall_ms;
 use crate::fault::DaemonFault;
 use crate::metrics::Metrics;
-use crate::operators::Look;
-use crate::operators::Operators;
-use crate::peer_connections::Links;
+use crate::operators::NodeQuery;
+use crate::operators::OperatorServer;
+use crate::peer_connections::PeerConnections;
 use crate::platform::Platform;
 use crate::platform::follow_hosts;
 use crate::proxy;
-use crate::proxy::Bounds;
+use crate::proxy::ConnectionLimits;
 use crate::settings::Settings;
 use goldcrestway_core::Action;
 use goldcrestway_core::Code;
@@ -46,19 +46,19 @@
 /// A running daemon. Dropping it ends it at once, as a crash would.
 pub struct Daemon {
     events: Sender<Event>,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 /// What carries out actions.
-struct Edge {
+struct ActionExecutor {
     platform: Platform,
-    links: Links,
-    desk: Arc<Desk>,
-    chronicle: Arc<Chronicle>,
+    peers: PeerConnections,
+    waiters: Arc<Waiters>,
+    event_log: Arc<EventLog>,
     metrics: Arc<Metrics>,
     is_ready: Arc<AtomicBool>,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Daemon {
@@ -68,7 +68,7 @@
     ///
     /// When one of its addresses can't be listened on.
     pub fn start(settings: Settings) -> Result<Self, DaemonFault> {
-        let logs = match &*settings.log_style {
+        let is_logging = match &*settings.log_style {
             "off" => false,
             "json" => {
                 start_logging(Style::Json);
@@ -79,71 +79,71 @@
                 true
             }
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         let incarnation = wall_ms();
         let (events, inbox) = channel();
-        let (looks, looking) = channel();
-        let is_over = Arc::new(AtomicBool::new(false));
+        let (queries, query_inbox) = channel();
+        let is_stopped = Arc::new(AtomicBool::new(false));
         let is_ready = Arc::new(AtomicBool::new(false));
-        let chronicle = Arc::new(Chronicle::new(
+        let event_log = Arc::new(EventLog::new(
             &settings.own().name,
             settings.events_kept,
-            logs,
+            is_logging,
         ));
         let metrics = Arc::new(Metrics::new());
         const REQUESTS_PER_MS_BITS: u32 = 16;
-        let desk = Arc::new(Desk::new(incarnation << REQUESTS_PER_MS_BITS));
-        const OPERATORS: usize = 64;
-        let callers = proxy::open(
+        let waiters = Arc::new(Waiters::new(incarnation << REQUESTS_PER_MS_BITS));
+        const MAX_OPERATOR_CONNECTIONS: usize = 64;
+        let callers = proxy::listen(
             "listening for callers",
             settings.own().caller_address,
-            gate_bounds(settings.caller_connections),
-            chronicle.clone(),
-            is_over.clone(),
+            connection_limits(settings.caller_connections),
+            event_log.clone(),
+            is_stopped.clone(),
         )?;
-        let operators = proxy::open(
+        let operators = proxy::listen(
             "listening for operators",
             settings.own().operator_address,
-            gate_bounds(OPERATORS),
-            chronicle.clone(),
-            is_over.clone(),
+            connection_limits(MAX_OPERATOR_CONNECTIONS),
+            event_log.clone(),
+            is_stopped.clone(),
         )?;
-        let links = Links::start(
+        let peers = PeerConnections::start(
             &settings,
             events.clone(),
-            chronicle.clone(),
-            is_over.clone(),
+            event_log.clone(),
+            is_stopped.clone(),
         )?;
-        let front = Arc::new(Front {
-            desk: desk.clone(),
+        let caller_server = Arc::new(CallerServer {
+            waiters: waiters.clone(),
             events: events.clone(),
             metrics: metrics.clone(),
             is_ready: is_ready.clone(),
-            is_over: is_over.clone(),
-            began,
+            is_stopped: is_stopped.clone(),
+            started_at,
             request_max_bytes: settings.request_max_bytes,
             caller_timeout_ms: settings.caller_timeout_ms,
         });
-        front.serve(callers, settings.caller_threads);
-        let serving = Arc::new(Operators {
-            desk: desk.clone(),
+        caller_server.serve(callers, settings.caller_threads);
+        let operator_server = Arc::new(OperatorServer {
+            waiters: waiters.clone(),
             events: events.clone(),
-            looks,
-            chronicle: chronicle.clone(),
+            queries,
+            event_log: event_log.clone(),
             metrics: metrics.clone(),
             is_ready: is_ready.clone(),
-            is_over: is_over.clone(),
+            is_stopped: is_stopped.clone(),
         });
-        serving.serve(operators);
+        operator_server.serve(operators);
         follow_hosts(&settings, events.clone());
-        let edge = Edge {
-            platform: Platform::start(&settings, events.clone(), began),
-            links,
-            desk,
-            chronicle,
+        let executor = ActionExecutor {
+            platform: Platform::start(&settings, events.clone(), started_at),
+            peers,
+            waiters,
+            event_log,
             metrics,
             is_ready,
-            is_over: is_over.clone(),
+            is_stopped: is_stopped.clone(),
         };
         let me = Member {
             seat: settings.own().seat,
@@ -151,18 +151,18 @@
         };
         let seats = settings.seats_by_vote();
         let limits = settings.limits;
-        edge.note(&Note::new(
+        executor.record(&Note::new(
             Code::Started,
             me.to_string(),
             &*settings.own().failure_domain,
         ));
         let thread = thread::spawn(move || {
             let node = Node::new(me, &seats, limits, 0);
-            decide(node, began, edge, &inbox, &looking);
+            run_node(node, started_at, executor, &inbox, &query_inbox);
         });
         Ok(Self {
             events,
-            is_over,
+            is_stopped,
             thread: Some(thread),
         })
     }
@@ -191,39 +191,43 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 }
 
 /// Bounds connections so that no caller holds one for ever, yet none is cut while
 /// its answer is under way.
-fn gate_bounds(connections: usize) -> Bounds {
-    const SILENCE: Duration = Duration::from_secs(40);
-    const AGE: Duration = Duration::from_secs(900);
-    Bounds {
-        connections,
-        silence: SILENCE,
-        age: AGE,
+fn connection_limits(max_connections: usize) -> ConnectionLimits {
+    const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
+    const MAX_AGE: Duration = Duration::from_secs(900);
+    ConnectionLimits {
+        max_connections,
+        idle_timeout: IDLE_TIMEOUT,
+        max_age: MAX_AGE,
     }
 }
 
 /// Runs the decisions until the daemon is over.
-fn decide(
+fn run_node(
     node: Node,
-    began: Instant,
-    mut edge: Edge,
+    started_at: Instant,
+    mut executor: ActionExecutor,
     inbox: &Receiver<Event>,
-    looking: &Receiver<Look>,
+    query_inbox: &Receiver<NodeQuery>,
 ) {
-    let is_over = edge.is_over.clone();
+    let is_stopped = executor.is_stopped.clone();
     let mut stakker = Stakker::new(Instant::now());
     let perform = Box::new(move |_now_ms: u64, node: &mut Node, actions: Vec<Action>| {
         for action in actions {
-            edge.perform(node.me(), action);
+            executor.perform(node.me(), action);
         }
     });
-    let actor = actor!(stakker, NodeActor::init(node, began, perform), ret_nop!());
-    while !is_over.load(Ordering::Relaxed) {
+    let actor = actor!(
+        stakker,
+        NodeActor::init(node, started_at, perform),
+        ret_nop!()
+    );
+    while !is_stopped.load(Ordering::Relaxed) {
         stakker.run(Instant::now(), false);
         let wait = stakker.next_wait_max(Instant::now(), TICK, false);
         if let Ok(event) = inbox.recv_timeout(wait) {
@@ -232,21 +236,21 @@
                 call!([actor], event(event));
             }
         }
-        for look in looking.try_iter() {
-            call!([actor], query(look));
+        for query in query_inbox.try_iter() {
+            call!([actor], query(query));
         }
     }
 }
 
-impl Edge {
-    fn note(&self, note: &Note) {
-        self.metrics.event(note.code);
-        self.chronicle.note(note);
+impl ActionExecutor {
+    fn record(&self, note: &Note) {
+        self.metrics.record_event(note.code);
+        self.event_log.record(note);
     }
 
     fn perform(&mut self, me: Member, action: Action) {
         match action {
-            Action::Send { to, message } => self.links.send(me, to, message),
+            Action::Send { to, message } => self.peers.send(me, to, message),
             Action::Append { .. } | Action::Read { .. } | Action::CallWorker { .. } => {
                 self.platform.perform(action);
             }
@@ -263,16 +267,16 @@
                     begin_by_ms,
                     response_max_bytes,
                 };
-                self.desk.pass(request, step);
+                self.waiters.push(request, step);
             }
-            Action::Answer { request, answer } => self.desk.pass(request, Step::Answer(answer)),
-            Action::Note(note) => self.note(&note),
+            Action::Answer { request, answer } => self.waiters.push(request, Step::Answer(answer)),
+            Action::Note(note) => self.record(&note),
             Action::Ready(is_ready) => self.is_ready.store(is_ready, Ordering::Relaxed),
             Action::Stopped => {
                 // Answers handed to callers' threads a moment ago are written out.
-                const LAST_ANSWERS: Duration = Duration::from_millis(300);
-                thread::sleep(LAST_ANSWERS);
-                self.is_over.store(true, Ordering::Relaxed);
+                const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(300);
+                thread::sleep(ANSWER_FLUSH_TIME);
+                self.is_stopped.store(true, Ordering::Relaxed);
             }
         }
     }
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -8,7 +8,7 @@
 //! One notices by `Error accepting new client` in the log. The gate therefore
 //! accepts by itself and passes bytes on to the server behind it.
 
-use crate::event_log::Chronicle;
+use crate::event_log::EventLog;
 use crate::fault::DaemonFault;
 use goldcrestway_core::Code;
 use goldcrestway_core::Note;
@@ -31,57 +31,59 @@
 
 /// Bounds of a gate.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Bounds {
+pub(crate) struct ConnectionLimits {
     /// Most connections at a time.
-    pub(crate) connections: usize,
+    pub(crate) max_connections: usize,
     /// Longest time without a byte in either direction.
-    pub(crate) silence: Duration,
+    pub(crate) idle_timeout: Duration,
     /// Longest life of a connection.
-    pub(crate) age: Duration,
+    pub(crate) max_age: Duration,
 }
 
 /// What a caller is told when all connections are taken.
-const FULL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
+const OVERLOADED_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
     Goldcrestway-Outcome: not-run\r\nRetry-After: 1\r\n\
     Content-Type: application/problem+json\r\nContent-Length: 96\r\nConnection: close\r\n\r\n\
     {\"type\":\"urn:goldcrestway:problem:not-run\",\"title\":\"Too many connections are open\",\"status\":503}";
 
 /// How often a silent connection is looked at.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Least time between two events about refused callers.
-const NOTE_PAUSE: Duration = Duration::from_secs(5);
+const REFUSAL_EVENT_INTERVAL: Duration = Duration::from_secs(5);
 /// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// One open connection, counted while it lives.
-struct Passage {
-    open: Arc<AtomicUsize>,
-    began: Instant,
+struct ProxiedConnection {
+    open_connections: Arc<AtomicUsize>,
+    started_at: Instant,
     /// Milliseconds after `began` at which a byte last passed.
-    active_ms: AtomicU64,
-    bounds: Bounds,
-    is_over: Arc<AtomicBool>,
+    last_active_ms: AtomicU64,
+    limits: ConnectionLimits,
+    is_stopped: Arc<AtomicBool>,
 }
 
-impl Drop for Passage {
+impl Drop for ProxiedConnection {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Passage {
-    fn note_byte(&self) {
-        self.active_ms
-            .store(self.began.elapsed().as_millis() as u64, Ordering::Relaxed);
+impl ProxiedConnection {
+    fn record_activity(&self) {
+        self.last_active_ms.store(
+            self.started_at.elapsed().as_millis() as u64,
+            Ordering::Relaxed,
+        );
     }
 
     /// Tells whether the connection has been silent or open for too long.
-    fn has_ended(&self) -> bool {
-        let age = self.began.elapsed();
-        let active = Duration::from_millis(self.active_ms.load(Ordering::Relaxed));
-        age > self.bounds.age
-            || age.saturating_sub(active) > self.bounds.silence
-            || self.is_over.load(Ordering::Relaxed)
+    fn must_close(&self) -> bool {
+        let age = self.started_at.elapsed();
+        let active = Duration::from_millis(self.last_active_ms.load(Ordering::Relaxed));
+        age > self.limits.max_age
+            || age.saturating_sub(active) > self.limits.idle_timeout
+            || self.is_stopped.load(Ordering::Relaxed)
     }
 }
 
@@ -90,12 +92,12 @@
 /// # Errors
 ///
 /// When the address can't be listened on.
-pub(crate) fn open(
+pub(crate) fn listen(
     step: &'static str,
     address: SocketAddr,
-    bounds: Bounds,
-    chronicle: Arc<Chronicle>,
-    is_over: Arc<AtomicBool>,
+    limits: ConnectionLimits,
+    event_log: Arc<EventLog>,
+    is_stopped: Arc<AtomicBool>,
 ) -> Result<Server, DaemonFault> {
     let fault = |error| DaemonFault::Listen(step, address.to_string().into(), error);
     let listener = TcpListener::bind(address).map_err(fault)?;
@@ -107,48 +109,50 @@
     socket2::SockRef::from(&inner)
         .set_tcp_nodelay(true)
         .map_err(fault)?;
-    let behind = inner.local_addr().map_err(fault)?;
+    let server_address = inner.local_addr().map_err(fault)?;
     let server = Server::from_listener(inner, None);
     let server = server.map_err(|error| fault(std::io::Error::other(error)))?;
-    thread::spawn(move || accept(&listener, behind, bounds, &chronicle, &is_over));
+    thread::spawn(move || accept(&listener, server_address, limits, &event_log, &is_stopped));
     Ok(server)
 }
 
 fn accept(
     listener: &TcpListener,
-    behind: SocketAddr,
-    bounds: Bounds,
-    chronicle: &Chronicle,
-    is_over: &Arc<AtomicBool>,
+    server_address: SocketAddr,
+    limits: ConnectionLimits,
+    event_log: &EventLog,
+    is_stopped: &Arc<AtomicBool>,
 ) {
-    let mut noted: Option<Instant> = None;
-    let open = Arc::new(AtomicUsize::new(0));
+    let mut last_refusal: Option<Instant> = None;
+    let open_connections = Arc::new(AtomicUsize::new(0));
     for stream in listener.incoming() {
-        if is_over.load(Ordering::Relaxed) {
+        if is_stopped.load(Ordering::Relaxed) {
             return;
         }
         let Ok(mut caller) = stream else {
-            thread::sleep(PAUSE);
+            thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
-        let taken = open.fetch_add(1, Ordering::Relaxed);
-        let passage = Arc::new(Passage {
-            open: open.clone(),
-            began: Instant::now(),
-            active_ms: AtomicU64::new(0),
-            bounds,
-            is_over: is_over.clone(),
+        let open_before = open_connections.fetch_add(1, Ordering::Relaxed);
+        let connection = Arc::new(ProxiedConnection {
+            open_connections: open_connections.clone(),
+            started_at: Instant::now(),
+            last_active_ms: AtomicU64::new(0),
+            limits,
+            is_stopped: is_stopped.clone(),
         });
-        if taken >= bounds.connections {
+        if open_before >= limits.max_connections {
             // A caller that does not even take this is let go.
-            let _ = caller.write_all(FULL);
+            let _ = caller.write_all(OVERLOADED_RESPONSE);
             // One event a pause says it; a flood of callers must not flood the log.
-            if noted.is_none_or(|noted| noted.elapsed() > NOTE_PAUSE) {
-                noted = Some(Instant::now());
+            if last_refusal
+                .is_none_or(|last_refusal| last_refusal.elapsed() > REFUSAL_EVENT_INTERVAL)
+            {
+                last_refusal = Some(Instant::now());
                 let peer = caller
                     .peer_addr()
                     .map_or_else(|_| "gone".to_owned(), |peer| peer.to_string());
-                chronicle.note(&Note::new(
+                event_log.record(&Note::new(
                     Code::CallerRefused,
                     peer,
                     "all connections are taken",
@@ -156,13 +160,17 @@
             }
             continue;
         }
-        thread::spawn(move || join(caller, behind, &passage));
+        thread::spawn(move || relay_connection(caller, server_address, &connection));
     }
 }
 
 /// Passes bytes both ways until either side ends or a bound is reached.
-fn join(caller: TcpStream, behind: SocketAddr, passage: &Arc<Passage>) {
-    let Ok(server) = TcpStream::connect_timeout(&behind, LOOK) else {
+fn relay_connection(
+    caller: TcpStream,
+    server_address: SocketAddr,
+    connection: &Arc<ProxiedConnection>,
+) {
+    let Ok(server) = TcpStream::connect_timeout(&server_address, POLL_INTERVAL) else {
         return;
     };
     let clones = (caller.try_clone(), server.try_clone());
@@ -170,23 +178,23 @@
         return;
     };
     for stream in [&caller, &server] {
-        let is_set = stream.set_read_timeout(Some(LOOK)).is_ok()
+        let is_set = stream.set_read_timeout(Some(POLL_INTERVAL)).is_ok()
             && stream
-                .set_write_timeout(Some(passage.bounds.silence))
+                .set_write_timeout(Some(connection.limits.idle_timeout))
                 .is_ok()
             && stream.set_nodelay(true).is_ok();
         if !is_set {
             return;
         }
     }
-    let back = passage.clone();
-    let answers = thread::spawn(move || pass(server, caller_out, &back));
-    pass(caller, server_out, passage);
+    let server_side = connection.clone();
+    let answers = thread::spawn(move || copy_bytes(server, caller_out, &server_side));
+    copy_bytes(caller, server_out, connection);
     // A panic of that thread was printed already.
     let _ = answers.join();
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, passage: &Passage) {
+fn copy_bytes(mut from: TcpStream, mut to: TcpStream, connection: &ProxiedConnection) {
     const CHUNK: usize = 16 * 1024;
     let mut chunk = vec![0_u8; CHUNK];
     loop {
@@ -196,14 +204,14 @@
                 return;
             }
             Ok(count) => {
-                passage.note_byte();
+                connection.record_activity();
                 if to.write_all(&chunk[..count]).is_err() {
                     break;
                 }
             }
             Err(error) => {
                 let is_silent = matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
-                if !is_silent || passage.has_ended() {
+                if !is_silent || connection.must_close() {
                     break;
                 }
             }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -148,12 +148,12 @@
     /// Lists the seats in the order in which they vote: one of each failure domain
     /// in turn, so that losing a failure domain does not lose the majority.
     pub fn seats_by_vote(&self) -> Vec<Seat> {
-        let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut seats_by_domain: BTreeMap<&str, usize> = BTreeMap::new();
         let mut order = Vec::new();
         for seat in &self.seats {
-            let turn = taken.entry(&seat.failure_domain).or_default();
-            order.push((*turn, seat.seat));
-            *turn += 1;
+            let round = seats_by_domain.entry(&seat.failure_domain).or_default();
+            order.push((*round, seat.seat));
+            *round += 1;
         }
         order.sort_unstable();
         order.into_iter().map(|(_, seat)| seat).collect()
@@ -182,13 +182,13 @@
     seats.sort_by_key(|(_, seat)| seat.seat);
     for pair in seats.windows(2) {
         if pair[0].1.seat == pair[1].1.seat {
-            let wrong = format!(
+            let problem = format!(
                 "seats `{}` and `{}` share a number",
                 pair[0].1.name, pair[1].1.name
             );
             faults.add(
                 pair[1].0,
-                wrong,
+                problem,
                 "Give each seat a number of its own, for good.",
             );
         }
@@ -205,19 +205,19 @@
     let own_name = text_of(daemon, "seat");
     let own = seats.iter().position(|seat| seat.name == own_name);
     if own.is_none() {
-        let wrong = format!("`seat = {own_name}` names no seat");
+        let problem = format!("`seat = {own_name}` names no seat");
         faults.add(
             daemon.line_of("seat"),
-            wrong,
+            problem,
             format!("Add a section `[seat {own_name}]`."),
         );
     }
     for key in ["log_url", "host_list_url"] {
         if !text_of(daemon, key).starts_with("http://") && daemon.values.contains_key(key) {
-            let wrong = format!("`{key}` is no URL of the platform");
+            let problem = format!("`{key}` is no URL of the platform");
             faults.add(
                 daemon.line_of(key),
-                wrong,
+                problem,
                 "Write it as `http://ADDRESS:PORT`.",
             );
         }
@@ -232,8 +232,8 @@
         let line = sections
             .get(&("limits".into(), "".into()))
             .map_or(1, |section| section.line);
-        let wrong = "`lease_ms` and `suspect_ms` must be at least twice `heartbeat_ms`";
-        faults.add(line, wrong, "Raise them or lower `heartbeat_ms`.");
+        let problem = "`lease_ms` and `suspect_ms` must be at least twice `heartbeat_ms`";
+        faults.add(line, problem, "Raise them or lower `heartbeat_ms`.");
     }
     let Some(own) = own.filter(|_| faults.is_empty()) else {
         return Err(faults);
@@ -279,10 +279,10 @@
         let text = text_of(section, key);
         let parsed: Result<SocketAddr, _> = text.parse();
         if parsed.is_err() && !text.is_empty() {
-            let wrong = format!("`{key} = {text}` is no address");
+            let problem = format!("`{key} = {text}` is no address");
             faults.add(
                 section.line_of(key),
-                wrong,
+                problem,
                 "Write an IP number and a port, such as 10.0.0.1:8080.",
             );
         }
