--- a/crates/daemon/src/actor.rs
+++ b/crates/daemon/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that carries a node, in the daemon and in tests alike.
+//! The actor that runs a node, used by the daemon and by tests.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Event;
@@ -8,13 +8,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time between two ticks.
+/// Time between two [`Event::Tick`] events of a node.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// What carries out actions; differs between the daemon and tests.
+/// Function that carries out the actions of a node. Its first argument is the time in
+/// milliseconds since the start. The daemon and the tests pass different functions.
 pub type PerformActions = Box<dyn FnMut(u64, &mut Node, Vec<Action>)>;
 
-/// A node with its clock and its edge.
+/// A node, the start of its clock, and the function that carries out its actions.
 pub struct NodeActor {
     node: Node,
     started_at: Instant,
@@ -22,7 +23,7 @@
 }
 
 impl NodeActor {
-    /// Starts the actor; its milliseconds count from `began`.
+    /// Starts the actor. The milliseconds of the node count from `started_at`.
     pub fn init(
         cx: CX![],
         node: Node,
@@ -37,7 +38,7 @@
         })
     }
 
-    /// Takes in an event.
+    /// Passes an event to the node and carries out the resulting actions.
     pub fn event(&mut self, cx: CX![], event: Event) {
         let now_ms = cx
             .now()
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Looks at the node, for operators.
+    /// Runs `query` on the node, on behalf of an operator.
     pub fn query(&mut self, _cx: CX![], query: Box<dyn FnOnce(&mut Node)>) {
         query(&mut self.node);
     }
--- a/crates/daemon/src/answers.rs
+++ b/crates/daemon/src/answers.rs
@@ -1,4 +1,5 @@
-//! Answers to callers: outcome header, problem details, when to come back.
+//! HTTP responses to callers and operators: outcome header, problem details and
+//! `Retry-After`.
 
 use goldcrestway_core::Answer;
 use goldcrestway_core::Fate;
@@ -10,10 +11,10 @@
 use tiny_http::Header;
 use tiny_http::Response;
 
-/// Header in which a caller is told what became of its request.
+/// Response header that names the outcome of a request, such as `answered` or `not-run`.
 pub(crate) const OUTCOME_HEADER: &str = "Goldcrestway-Outcome";
 
-/// Problem details as of RFC 9457.
+/// Problem details according to RFC 9457.
 #[derive(Debug, Serialize)]
 struct Problem<'a> {
     r#type: &'a str,
@@ -22,24 +23,25 @@
     detail: String,
 }
 
-/// An answer on its way to a caller.
+/// Response to a caller or an operator.
 pub(crate) type Reply = Response<Cursor<Vec<u8>>>;
 
-/// Makes a header; `None` if it holds what a header may not.
+/// Creates a header; returns `None` if `name` or `value` contains characters that a header must
+/// not have.
 pub(crate) fn header(name: &str, value: &str) -> Option<Header> {
     Header::from_bytes(name, value).ok()
 }
 
-/// Makes a reply with a body of a type.
+/// Creates a reply with a body of the given content type.
 pub(crate) fn reply(status: u16, content_type: &str, body: impl Into<Vec<u8>>) -> Reply {
     let mut response = Response::from_data(body.into()).with_status_code(status);
     response.add_header_if(header("Content-Type", content_type));
     response
 }
 
-/// Adds a header if there is one.
+/// Extension of [`Reply`] for optional headers.
 pub(crate) trait AddHeader {
-    /// Adds `header` if there is one.
+    /// Adds `header` unless it is `None`.
     fn add_header_if(&mut self, header: Option<Header>);
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Makes a refusal with problem details.
+/// Creates a refusal with problem details; `name` is the last part of the problem's URN.
 pub(crate) fn problem(status: u16, name: &str, title: &str, detail: impl Into<String>) -> Reply {
     let problem_type = format!("urn:goldcrestway:problem:{name}");
     let body = Problem {
@@ -64,14 +66,14 @@
     reply(status, "application/problem+json", body)
 }
 
-/// Says when to come back, in whole seconds; nothing if there is no such time.
+/// Returns a `Retry-After` header in seconds, rounded up, or `None` for 0 ms.
 fn retry_header(retry_after_ms: u64) -> Option<Header> {
     const MS_PER_S: u64 = 1_000;
     let seconds = retry_after_ms.div_ceil(MS_PER_S);
     (seconds > 0).then(|| header("Retry-After", &seconds.to_string()))?
 }
 
-/// Makes a refusal that says when to come back.
+/// Creates a refusal of a request that did not run, with a `Retry-After` of at least 1 s.
 pub(crate) fn not_run(reason: &str, retry_after_ms: u64) -> Reply {
     let mut reply = problem(503, "not-run", "The request did not run", reason);
     reply.add_header_if(retry_header(retry_after_ms.max(1)));
@@ -79,8 +81,8 @@
     reply
 }
 
-/// Makes the reply for an answer that carries no body of an instance, with the
-/// outcome it stands for.
+/// Creates the reply for an answer that carries no response of an instance, and
+/// returns it with the name of its outcome.
 pub(crate) fn reply_for(answer: &Answer) -> (&'static str, Reply) {
     let (outcome, mut reply) = match answer {
         Answer::Whole => ("answered", reply(200, "text/plain", "")),
@@ -147,7 +149,7 @@
     )
 }
 
-/// Gives the word for a job's state.
+/// Returns the name of a job's state as callers see it.
 pub(crate) fn job_state_name(state: JobState) -> &'static str {
     match state {
         JobState::Ended { end, .. } => match end {
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at an instance: send a request, take its answer whole or not at
-//! all.
+//! One attempt of a request: sends it to an instance and accepts only a complete
+//! response.
 
 use goldcrestway_core::AttemptEnd;
 use std::io::ErrorKind;
@@ -7,7 +7,7 @@
 use std::time::Instant;
 use ureq::http::Response as HttpResponse;
 
-/// What a caller asked, as it is passed on.
+/// Request of a caller, as it is forwarded to an instance.
 #[derive(Debug, Clone)]
 pub(crate) struct ForwardedRequest {
     pub(crate) method: String,
@@ -16,7 +16,7 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// An instance's whole answer.
+/// Complete response of an instance.
 #[derive(Debug, Clone)]
 pub(crate) struct CompleteResponse {
     pub(crate) status: u16,
@@ -24,7 +24,7 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// Headers that concern one connection only and are not passed on.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "content-length",
@@ -36,14 +36,15 @@
     "upgrade",
 ];
 
-/// Tells whether a header is passed on.
+/// Returns whether a header is forwarded.
 pub(crate) fn is_forwarded(name: &str) -> bool {
     let name = name.to_ascii_lowercase();
     !HOP_BY_HOP_HEADERS.contains(&&*name) && !name.starts_with("goldcrestway-")
 }
 
-/// Sends `ask` to the instance at `address`. Each attempt has a connection of its
-/// own, so that no instance gets more connections than it has slots.
+/// Sends `forwarded` to the instance at `address`, with a timeout in milliseconds. Each
+/// attempt opens a connection of its own and closes it, so that no instance has more
+/// connections than slots.
 pub(crate) fn attempt(
     forwarded: &ForwardedRequest,
     address: &str,
@@ -81,8 +82,8 @@
     }
 }
 
-/// Tells whether anything can have reached the instance. Only a connection that
-/// was never made is proof that nothing did.
+/// Returns `NotStarted` if nothing can have reached the instance, else `Cut`. Only a
+/// connection that was never established proves that nothing reached it.
 fn classify_error(error: &ureq::Error) -> AttemptEnd {
     let never_connected = match error {
         ureq::Error::Io(error) => {
@@ -102,8 +103,8 @@
     }
 }
 
-/// Reads an answer to its end. One whose end can't be told, because it has neither
-/// a length nor chunks, may have been cut and does not count as whole.
+/// Reads a response to its end. A response with neither a `Content-Length` nor chunked
+/// encoding has no recognizable end: it may be truncated and does not count as complete.
 fn read_complete(
     mut response: HttpResponse<ureq::Body>,
     max_body_bytes: u64,
--- a/crates/daemon/src/bin/goldcrestwayd.rs
+++ b/crates/daemon/src/bin/goldcrestwayd.rs
@@ -1,4 +1,4 @@
-//! The daemon program.
+//! The executable of the daemon.
 
 use argh::FromArgs;
 use goldcrestway_daemon::Daemon;
@@ -9,16 +9,16 @@
 use std::process::ExitCode;
 use std::thread;
 
-/// Runs one entry host of goldcrestway. SIGTERM begins a planned stop: the host
-/// turns unready, answers what is in flight, passes on what it owns, and ends.
-/// Exit codes: 0 planned stop, 1 could not run, 2 faulty settings.
+/// Run one entry host of goldcrestway. SIGTERM or SIGINT begins a planned stop: the host
+/// becomes unready, answers the requests in flight, hands over what it owns, and exits.
+/// Exit codes: 0 planned stop, 1 the daemon could not start, 2 faulty settings or arguments.
 #[derive(FromArgs)]
 struct Arguments {
-    /// file with the settings of this daemon, see docs/user/settings.md
+    /// settings file of this daemon; see docs/user/settings.md
     #[argh(option)]
     settings: Option<String>,
-    /// run on the users' platform, which names the settings file in its own variable; see
-    /// docs/user/platform.md
+    /// run on the users' platform, which gives the settings file in an environment variable;
+    /// see docs/user/platform.md
     #[argh(switch)]
     platform: bool,
 }
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! The side of callers: requests over plain HTTP.
+//! Serves callers: forwards their requests over plain HTTP to instances of services.
 
 use crate::answers::AddHeader;
 use crate::answers::OUTCOME_HEADER;
@@ -37,7 +37,7 @@
 use tiny_http::Request;
 use tiny_http::Server;
 
-/// What the decisions tell the thread that serves a caller.
+/// What the node tells the thread that serves a request to do next.
 #[derive(Debug)]
 pub(crate) enum Step {
     /// Send the request to an instance.
@@ -51,13 +51,15 @@
     Answer(Answer),
 }
 
-/// The callers and operators whose threads wait for the decisions.
+/// The threads that serve callers and operators and wait for the node's decisions, by
+/// request number.
 pub(crate) struct Waiters {
     next_number: AtomicU64,
     waiting: Mutex<HashMap<u64, Sender<Step>>>,
 }
 
-/// A place at the desk; given up when dropped.
+/// Registration of a thread that waits for the steps of one request. Dropping it
+/// unregisters the thread.
 pub(crate) struct Waiter<'a> {
     waiters: &'a Waiters,
     pub(crate) number: u64,
@@ -65,8 +67,9 @@
 }
 
 impl Waiters {
-    /// Numbers requests from `first` on. Numbers must differ from those of a
-    /// former process at the seat, whose answers may still be on their way.
+    /// Creates an empty set that numbers requests from `first` on. The numbers must differ
+    /// from those of the previous process at the seat, whose answers may still be in
+    /// transit.
     pub(crate) fn new(first: u64) -> Self {
         Self {
             next_number: AtomicU64::new(first),
@@ -78,7 +81,7 @@
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a place for one request.
+    /// Registers the current thread for one request, under a new number.
     pub(crate) fn register(&self) -> Waiter<'_> {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (sender, steps) = channel();
@@ -90,10 +93,10 @@
         }
     }
 
-    /// Passes a step to the thread that waits for it.
+    /// Sends a step to the thread that serves request `number`, if there still is one.
     pub(crate) fn push(&self, number: u64, step: Step) {
         if let Some(sender) = self.lock().get(&number) {
-            // A thread that has given up no longer listens.
+            // Sending fails if the thread has stopped waiting.
             let _ = sender.send(step);
         }
     }
@@ -105,7 +108,7 @@
     }
 }
 
-/// What the threads that serve callers share.
+/// State that the threads which serve callers share.
 pub(crate) struct CallerServer {
     pub(crate) waiters: Arc<Waiters>,
     pub(crate) events: Sender<Event>,
@@ -117,17 +120,18 @@
     pub(crate) caller_timeout_ms: u64,
 }
 
-/// How often an idle thread looks whether the daemon is over.
+/// Interval at which an idle thread checks whether the daemon has stopped.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How long callers wait at the most if they don't say.
+/// Timeout of a request whose caller gives none.
 const DEFAULT_TIMEOUT_MS: u64 = 5_000;
-/// Longest time that callers may ask for; below the silence that the gate bears.
+/// Longest timeout that a caller may give; shorter than the proxy's idle timeout, so that
+/// the proxy does not close a connection whose answer is pending.
 const MAX_TIMEOUT_MS: u64 = 30_000;
-/// Time beyond a deadline after which a thread stops waiting for the decisions.
+/// Time beyond a request's deadline for which its thread still waits for the node.
 const DECISION_GRACE_MS: u64 = 3_000;
 
 impl CallerServer {
-    /// Serves callers on `threads` threads until the daemon is over.
+    /// Serves callers on `threads` threads until the daemon has stopped.
     pub(crate) fn serve(self: Arc<Self>, server: Server, threads: usize) {
         let server = Arc::new(server);
         for _ in 0..threads {
@@ -163,7 +167,7 @@
             },
         };
         if self.is_stopped.load(Ordering::Relaxed) {
-            // A daemon that was ended answers nobody; the connection just closes.
+            // A stopped daemon sends no more answers, as after a crash: the connection closes.
             drop(request.into_writer());
             return;
         }
@@ -171,11 +175,11 @@
             self.metrics
                 .record_request(outcome, started_at.elapsed().as_millis() as u64);
         }
-        // A caller that has gone needs no answer.
+        // Responding fails if the caller has disconnected.
         let _ = request.respond(reply);
     }
 
-    /// Takes a request for a service through to its answer.
+    /// Forwards a request to a service; returns the name of its outcome and the reply.
     fn forward(&self, request: &mut Request, rest: &str) -> (&'static str, Reply) {
         let (service, path) = match rest.split_once('/') {
             Some((service, path)) => (service, format!("/{path}")),
@@ -214,7 +218,7 @@
         self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Does what the decisions say until they give the answer.
+    /// Carries out the steps that the node sends until one of them is the answer.
     fn run_steps(
         &self,
         waiter: &Waiter<'_>,
@@ -239,8 +243,8 @@
                     begin_by_ms,
                     response_max_bytes,
                 } => {
-                    // A thread that was paused must not send on a grant or lease
-                    // that has run out meanwhile.
+                    // A thread that was suspended must not send after the grant or the
+                    // lease that allows the attempt has expired.
                     let (end, response) = match self.now_ms() > begin_by_ms {
                         true => (AttemptEnd::Late, None),
                         false => attempt(forwarded, &address, timeout_ms, response_max_bytes),
@@ -253,7 +257,11 @@
         }
     }
 
-    /// Reads a request's body within the bounds of size and time.
+    /// Reads a request's body within the limits of size and time.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if the body is too large, too slow or truncated.
     fn read_body(&self, request: &mut Request) -> Result<Vec<u8>, Reply> {
         const CHUNK: usize = 16 * 1024;
         let started_at = Instant::now();
@@ -313,7 +321,7 @@
     }
 }
 
-/// Marks a refusal of a malformed request: it did not run.
+/// Adds the outcome `not-run` to the refusal of a malformed request.
 fn mark_not_run(mut reply: Reply) -> Reply {
     reply.add_header_if(header(OUTCOME_HEADER, "not-run"));
     reply
@@ -343,7 +351,11 @@
     found.map(|header| header.value.to_string())
 }
 
-/// Turns a caller's request into what the decisions take.
+/// Converts a caller's request for the node.
+///
+/// # Errors
+///
+/// The refusal, if a header can't be read.
 fn core_request(
     request: &Request,
     service: &str,
--- a/crates/daemon/src/event_log.rs
+++ b/crates/daemon/src/event_log.rs
@@ -1,4 +1,5 @@
-//! The events of one process: stamped, logged and kept for the time line.
+//! The events of one process: stamped, written to the log, and retained for the
+//! timeline.
 
 use goldcrestway_core::Note;
 use goldcrestway_events::Clock;
@@ -12,14 +13,15 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Gives the wall clock in milliseconds; only for stamps and incarnations.
+/// Returns the wall clock in milliseconds since the Unix epoch. Only stamps and
+/// incarnations use it.
 pub(crate) fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Clock and events of one process.
+/// Hybrid logical clock and retained events of one process.
 pub(crate) struct EventLog {
     process: Box<str>,
     is_logging: bool,
@@ -27,7 +29,7 @@
 }
 
 impl EventLog {
-    /// Starts without events, keeping the latest `capacity`.
+    /// Creates a log without events that retains the latest `capacity` ones.
     pub(crate) fn new(process: &str, capacity: usize, is_logging: bool) -> Self {
         Self {
             process: process.into(),
@@ -40,17 +42,17 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stamps a message that is sent now.
+    /// Returns the stamp for a message that is sent now.
     pub(crate) fn stamp(&self) -> Stamp {
         self.lock().0.tick(wall_ms())
     }
 
-    /// Takes in the stamp of a message that has arrived.
+    /// Advances the clock past the stamp of a message that has arrived.
     pub(crate) fn receive(&self, sent: Stamp) {
         self.lock().0.receive(wall_ms(), sent);
     }
 
-    /// Writes down what happened.
+    /// Records an event.
     pub(crate) fn record(&self, note: &Note) {
         let mut inner = self.lock();
         let entry = Entry {
@@ -67,7 +69,7 @@
         inner.1.add(entry);
     }
 
-    /// Lists the events that are kept.
+    /// Returns the retained events, oldest first.
     pub(crate) fn list(&self) -> Vec<Entry> {
         self.lock().1.list()
     }
--- a/crates/daemon/src/fault.rs
+++ b/crates/daemon/src/fault.rs
@@ -1,18 +1,18 @@
-//! Why a daemon can't start.
+//! Errors of starting a daemon.
 
 use goldcrestway_inventory::Faults;
 use quick_error::quick_error;
 
 quick_error! {
-    /// Why a daemon can't start; carries the step and the peer or address.
+    /// Reason why a daemon can't start.
     #[derive(Debug)]
     pub enum DaemonFault {
-        /// The settings are faulty.
+        /// The settings have faults.
         Settings(faults: Faults) {
             from()
             display("{}", faults)
         }
-        /// An address can't be listened on.
+        /// Listening at an address failed; `step` says for whom.
         Listen(step: &'static str, address: Box<str>, error: std::io::Error) {
             display("while {} at {}: {}. Choose a free address in the settings", step, address, error)
         }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,8 @@
-//! The daemon of an entry host: the decisions of `goldcrestway-core` carried by a
-//! `stakker` actor, with input and output at the edge.
+//! The daemon of an entry host.
+//!
+//! A `stakker` actor runs the node of `goldcrestway-core`, which makes all decisions
+//! and does no input or output. The other modules pass events to the node and carry
+//! out the actions that it returns.
 //!
 //! ```no_run
 //! let text = std::fs::read_to_string("examples/spa/e1.ini").unwrap();
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics through `opentelemetry`, rendered as text for scraping.
+//! Metrics through `opentelemetry`, rendered in the Prometheus text format.
 
 use goldcrestway_core::Code;
 use opentelemetry::KeyValue;
@@ -20,7 +20,7 @@
 }
 
 impl Metrics {
-    /// Starts all metrics at nothing.
+    /// Creates all metrics, at zero.
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -62,7 +62,7 @@
         );
     }
 
-    /// Counts a request and its time.
+    /// Counts a request and records its latency.
     pub(crate) fn record_request(&self, outcome: &'static str, latency_ms: u64) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.latency_ms.record(latency_ms, &[]);
@@ -71,7 +71,7 @@
     /// Renders all metrics.
     pub(crate) fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory can't fail, and a metric that can't be written is left out.
+        // Writing to memory can't fail; a metric that can't be encoded is left out.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut text);
         text
     }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The side of operators: status, explanations, publishing, jobs, events.
+//! Serves operators: status, explanations, publishing, jobs and events.
 
 use crate::answers::Reply;
 use crate::answers::problem;
@@ -30,50 +30,50 @@
 use tiny_http::Request;
 use tiny_http::Server;
 
-/// A look at the node, carried to the thread that has it.
+/// A query on the node, run by the thread that owns the node.
 pub(crate) type NodeQuery = Box<dyn FnOnce(&mut Node) + Send>;
 
-/// How long an operator waits for a verdict.
+/// Longest time that an operator's request waits for the node's decision.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a look at the node may take.
+/// Longest time that a query on the node may take.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Threads that serve operators.
+/// Number of threads that serve operators.
 const THREADS: usize = 8;
-/// Largest body that an operator may send.
+/// Largest request body of an operator; further bytes are not read.
 const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A section that is published.
+/// One changed section of a [`PublishRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SectionChange {
     /// Kind of the section.
     pub kind: String,
     /// Name of the section.
     pub name: String,
-    /// Its values, or nothing if it goes.
+    /// Its values, or `None` if the section is removed.
     pub values: Option<BTreeMap<String, String>>,
 }
 
-/// What the tool sends to publish.
+/// Body of a request to publish changes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublishRequest {
-    /// Version on which the change was made.
+    /// Version that the change was made from.
     pub base: u64,
-    /// Identity of the change.
+    /// Identity of the change; a repeated request with the same one is applied once.
     pub id: String,
-    /// Who publishes.
+    /// Name of the person who publishes.
     pub author: String,
-    /// The sections that differ.
+    /// The changed sections.
     pub changes: Vec<SectionChange>,
 }
 
-/// What the tool is told when a change is accepted.
+/// Body of the reply when a change is accepted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublishReply {
-    /// The version in force.
+    /// Version that is now in force.
     pub version: u64,
 }
 
-/// What the tool sends to submit a job.
+/// Body of a request to submit a job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRequest {
     /// Name of the job in the inventory.
@@ -82,26 +82,26 @@
     pub id: String,
 }
 
-/// Where an entry host stands.
+/// Status of an entry host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// Its seat and life.
+    /// Its seat and incarnation.
     pub member: String,
-    /// Whether it may act.
+    /// Whether it may act for the cells that it owns.
     pub acts: bool,
     /// Whether it is stopping.
     pub is_stopping: bool,
     /// Version of the configuration in force.
     pub config_version: u64,
-    /// Members that it takes to live.
+    /// Members that it considers alive.
     pub alive: Vec<String>,
-    /// Cells that it owns, with a description.
+    /// Cells that it owns, each with a description of its state.
     pub cells: Vec<(String, String)>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests: usize,
 }
 
-/// Turns changes into what is sent.
+/// Converts changes of an inventory to the form of a [`PublishRequest`].
 pub fn changes_to_wire(changes: &[Change]) -> Vec<SectionChange> {
     let text = |text: &str| text.to_owned();
     changes
@@ -119,7 +119,7 @@
         .collect()
 }
 
-/// Turns what was sent into changes.
+/// Converts the sections of a [`PublishRequest`] to changes of an inventory.
 pub fn changes_from_wire(changes: &[SectionChange]) -> Vec<Change> {
     changes
         .iter()
@@ -136,7 +136,7 @@
         .collect()
 }
 
-/// What the threads that serve operators share.
+/// State that the threads which serve operators share.
 pub(crate) struct OperatorServer {
     pub(crate) waiters: Arc<Waiters>,
     pub(crate) events: Sender<Event>,
@@ -148,7 +148,7 @@
 }
 
 impl OperatorServer {
-    /// Serves operators until the daemon is over.
+    /// Serves operators until the daemon has stopped.
     pub(crate) fn serve(self: Arc<Self>, server: Server) {
         const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
         let server = Arc::new(server);
@@ -158,7 +158,7 @@
                 while !operator_server.is_stopped.load(Ordering::Relaxed) {
                     if let Ok(Some(mut request)) = server.recv_timeout(IDLE_POLL_INTERVAL) {
                         let reply = operator_server.reply(&mut request);
-                        // An operator who has gone needs no answer.
+                        // Responding fails if the operator has disconnected.
                         let _ = request.respond(reply);
                     }
                 }
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Has the thread of the decisions look at the node.
+    /// Runs `query` on the thread that owns the node; replies with its result.
     fn query(&self, query: impl FnOnce(&mut Node) -> String + Send + 'static) -> Reply {
         let (sender, receiver) = channel();
         let query: NodeQuery = Box::new(move |node| {
@@ -257,7 +257,7 @@
         self.request_decision(|request| Event::Submit { request, spec })
     }
 
-    /// Asks the decisions and waits for their answer.
+    /// Sends an event to the node and waits for the answer to it.
     fn request_decision(&self, event: impl FnOnce(u64) -> Event) -> Reply {
         let waiter = self.waiters.register();
         let _ = self.events.send(event(waiter.number));
--- a/crates/daemon/src/peer_connections.rs
+++ b/crates/daemon/src/peer_connections.rs
@@ -1,5 +1,5 @@
-//! Links between entry hosts: one TCP connection each way, framed by
-//! `goldcrestway-wire`.
+//! Connections between entry hosts: one TCP connection in each direction, with the
+//! frames of `goldcrestway-wire`.
 
 use crate::event_log::EventLog;
 use crate::fault::DaemonFault;
@@ -34,24 +34,26 @@
 use tokio_util::codec::Decoder;
 use tokio_util::codec::Encoder;
 
-/// Messages that wait for a link before further ones are dropped. Every message
-/// is repeated by its sender until it is answered, so dropping is safe.
+/// Messages that wait for a connection before further ones are dropped. The node
+/// repeats every message until it is answered, so dropping is safe.
 const MAX_QUEUED_MESSAGES: usize = 4_096;
-/// How long a link may be silent; heartbeats come far more often.
+/// Time without a byte after which an incoming connection is closed. Heartbeats come far
+/// more often.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long connecting may take.
+/// Timeout for connecting to another host and for writing to it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a failed connection.
+/// Delay after a connection could not be established or accepted.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Links from other hosts per seat, old ones that have not closed yet included.
+/// Largest number of incoming connections per seat, including old ones that are not
+/// closed yet.
 const MAX_INCOMING_PER_SEAT: usize = 4;
 
-/// The links of one process.
+/// The connections of one process: a queue of messages for each other seat.
 pub(crate) struct PeerConnections {
     queues: HashMap<Seat, SyncSender<(Member, Message)>>,
 }
 
-/// What the threads of all links share.
+/// State that the threads of all connections share.
 struct Shared {
     cluster: Box<str>,
     seats: Vec<Seat>,
@@ -62,11 +64,11 @@
 }
 
 impl PeerConnections {
-    /// Listens for the links of others and starts those to them.
+    /// Listens for other hosts and starts a thread for the connection to each of them.
     ///
     /// # Errors
     ///
-    /// When the peer address can't be listened on.
+    /// If listening at the peer address fails.
     pub(crate) fn start(
         settings: &Settings,
         events: Sender<Event>,
@@ -100,7 +102,7 @@
         Ok(Self { queues })
     }
 
-    /// Sends a message; drops it if the link is stuck.
+    /// Queues a message for a seat; drops it if the queue is full.
     pub(crate) fn send(&self, from: Member, to: Seat, message: Message) {
         let Some(queue) = self.queues.get(&to) else {
             return;
@@ -111,7 +113,7 @@
     }
 }
 
-/// Counts an open link while it lives.
+/// Decrements the count of open incoming connections when it is dropped.
 struct OpenGuard(Arc<Shared>);
 
 impl Drop for OpenGuard {
@@ -214,7 +216,7 @@
             stream = connect(address);
         }
         let Some(connected) = &mut stream else {
-            // What waited while there was no link is stale; senders repeat it.
+            // Messages that waited without a connection are stale; the node repeats them.
             while queue.try_recv().is_ok() {}
             thread::sleep(RETRY_DELAY);
             continue;
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,5 +1,5 @@
-//! Calls to the platform, on threads of their own, so that a slow log or worker
-//! never holds up the decisions.
+//! Calls to the platform's log, list of hosts and workers. They run on threads of their
+//! own, so that a slow log or worker never delays the node.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::AttemptId;
@@ -32,16 +32,16 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// A call waiting for a thread.
+/// A call that waits for a free thread.
 type Call = Box<dyn FnOnce() + Send>;
 
-/// A few threads that carry out calls in turn.
+/// A fixed number of threads that carry out calls in the order of their submission.
 pub(crate) struct ThreadPool {
     calls: Sender<Call>,
 }
 
 impl ThreadPool {
-    /// Starts `threads` threads; they end when the pool is dropped.
+    /// Starts `threads` threads, which end when the pool is dropped.
     pub(crate) fn start(threads: usize) -> Self {
         let (calls, queue) = channel::<Call>();
         let queue = Arc::new(Mutex::new(queue));
@@ -56,9 +56,9 @@
         Self { calls }
     }
 
-    /// Hands a call to the next free thread.
+    /// Queues a call for the next free thread.
     pub(crate) fn run(&self, call: impl FnOnce() + Send + 'static) {
-        // The threads live as long as the pool.
+        // Sending can't fail: the threads live as long as the pool.
         let _ = self.calls.send(Box::new(call));
     }
 }
@@ -71,7 +71,7 @@
         .ok()
 }
 
-/// The platform as the daemon's edge uses it.
+/// Clients of the platform, with the threads that use them.
 pub(crate) struct Platform {
     log: LogClient,
     worker: WorkerClient,
@@ -82,7 +82,7 @@
     started_at: Instant,
 }
 
-/// Threads that read from the log, and that append to it.
+/// Number of threads that read from the log, and of those that append to it.
 const LOG_THREADS: usize = 12;
 
 impl Platform {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Carries out one of the actions that concern the platform.
+    /// Carries out an append, a read or a call to a worker; ignores other actions.
     pub(crate) fn perform(&self, action: Action) {
         match action {
             Action::Append { stream, batch } => self.append(stream, &batch),
@@ -120,8 +120,8 @@
                     (self.worker.clone(), self.events.clone(), self.started_at);
                 self.calls.run(move || {
                     let token = call.token;
-                    // A call that waited past the lease must not be made: somebody
-                    // else may act for the cell by now.
+                    // A call that waited until the lease expired must not be made: another
+                    // host may act for the cell by now.
                     let is_late = started_at.elapsed().as_millis() as u64 >= begin_by_ms;
                     let reply = match is_late {
                         true => None,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Follows the platform's list of hosts until the daemon ends.
+/// Polls the platform's list of hosts, and sends it to the node, until the daemon ends.
 pub(crate) fn follow_hosts(settings: &crate::settings::Settings, events: Sender<Event>) {
     let poll_interval = Duration::from_millis(settings.hosts_poll_ms);
     let client = HostListClient::new(&settings.host_list_url, settings.platform_timeout_ms);
@@ -187,7 +187,7 @@
     });
 }
 
-/// Turns what was read from offset `from` on into what the decisions take.
+/// Converts what was read from the log, from offset `from` on, to the form of the node.
 pub fn log_part_of(from: u64, part: &LogPart) -> Part {
     let next = part
         .records
@@ -204,7 +204,7 @@
     }
 }
 
-/// Turns a call into what the worker's client sends.
+/// Converts a call of the node to the request that the worker's client sends.
 pub fn worker_request_of(call: &WorkerCall) -> WorkerRequest {
     let names = |attempts: &[AttemptId]| {
         attempts
@@ -235,7 +235,8 @@
     }
 }
 
-/// Reads a worker's answer; one with an unknown state counts as no answer.
+/// Converts a worker's reply to the form of the node; returns `None`, as without a reply,
+/// if the state of a task is unknown.
 pub fn listing_of(reply: WorkerReply) -> Option<Listing> {
     let tasks: Option<Vec<ListedTask>> = reply.tasks.into_iter().map(listed_task_of).collect();
     Some(Listing {
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,4 +1,5 @@
-//! One daemon: the thread of the decisions, and the edges around it.
+//! The daemon process: the thread that runs the node, and the threads for input and
+//! output around it.
 
 use crate::actor::NodeActor;
 use crate::actor::TICK;
@@ -40,17 +41,17 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Events that are taken in before timers get their turn.
+/// Largest number of further events that are handled before timers are checked again.
 const EVENTS_PER_TURN: usize = 256;
 
-/// A running daemon. Dropping it ends it at once, as a crash would.
+/// A running daemon. Dropping it stops it immediately, like a crash.
 pub struct Daemon {
     events: Sender<Event>,
     is_stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// What carries out actions.
+/// Carries out the actions of the node.
 struct ActionExecutor {
     platform: Platform,
     peers: PeerConnections,
@@ -66,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// When one of its addresses can't be listened on.
+    /// If listening at one of its addresses fails.
     pub fn start(settings: Settings) -> Result<Self, DaemonFault> {
         let is_logging = match &*settings.log_style {
             "off" => false,
@@ -167,12 +168,12 @@
         })
     }
 
-    /// Begins a planned stop; [`Daemon::wait`] returns when it is complete.
+    /// Begins a planned stop. [`Daemon::wait`] returns when it is complete.
     pub fn stop(&self) {
         let _ = self.events.send(Event::Stop);
     }
 
-    /// Gives a handle with which another thread begins a planned stop.
+    /// Returns a function with which another thread can begin a planned stop.
     pub fn stop_handle(&self) -> impl Fn() + Send + 'static {
         let events = self.events.clone();
         move || {
@@ -183,7 +184,7 @@
     /// Waits until the daemon has ended.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
-            // A panic of that thread was printed already.
+            // The panic hook has already printed a panic of that thread.
             let _ = thread.join();
         }
     }
@@ -195,8 +196,9 @@
     }
 }
 
-/// Bounds connections so that no caller holds one for ever, yet none is cut while
-/// its answer is under way.
+/// Returns limits under which no caller keeps a connection open indefinitely, and none
+/// is closed while its answer is pending: the idle timeout exceeds the longest timeout
+/// of a request.
 fn connection_limits(max_connections: usize) -> ConnectionLimits {
     const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
     const MAX_AGE: Duration = Duration::from_secs(900);
@@ -207,7 +209,7 @@
     }
 }
 
-/// Runs the decisions until the daemon is over.
+/// Runs the node until the daemon has stopped.
 fn run_node(
     node: Node,
     started_at: Instant,
@@ -273,7 +275,7 @@
             Action::Note(note) => self.record(&note),
             Action::Ready(is_ready) => self.is_ready.store(is_ready, Ordering::Relaxed),
             Action::Stopped => {
-                // Answers handed to callers' threads a moment ago are written out.
+                // Gives the threads that serve callers time to write the last answers.
                 const ANSWER_FLUSH_TIME: Duration = Duration::from_millis(300);
                 thread::sleep(ANSWER_FLUSH_TIME);
                 self.is_stopped.store(true, Ordering::Relaxed);
--- a/crates/daemon/src/proxy.rs
+++ b/crates/daemon/src/proxy.rs
@@ -1,12 +1,12 @@
-//! A gate before an HTTP server: bounds the connections, their silence and their
-//! age.
+//! A TCP proxy before an HTTP server that limits the number of connections, their idle
+//! time and their age.
 //!
-//! What goes wrong without it: `tiny_http` gives each connection a thread and sets
-//! no timeouts, so callers that connect and say nothing use up the threads. A read
-//! timeout on the listening socket would be inherited, but it ends the library's
-//! accepting as well: after that long without a caller the daemon is deaf for good.
-//! One notices by `Error accepting new client` in the log. The gate therefore
-//! accepts by itself and passes bytes on to the server behind it.
+//! `tiny_http` gives each connection a thread and sets no timeouts, so callers that
+//! connect and send nothing use up the threads. Accepted sockets would inherit a read
+//! timeout of the listening socket, but that timeout also ends the library's accept
+//! loop: after that long without a new caller the daemon accepts no connection any more,
+//! and the log has `Error accepting new client`. The proxy therefore accepts connections
+//! itself and copies their bytes to the server behind it.
 
 use crate::event_log::EventLog;
 use crate::fault::DaemonFault;
@@ -29,35 +29,36 @@
 use std::time::Instant;
 use tiny_http::Server;
 
-/// Bounds of a gate.
+/// Limits that a proxy enforces on its connections.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ConnectionLimits {
-    /// Most connections at a time.
+    /// Largest number of connections at a time.
     pub(crate) max_connections: usize,
-    /// Longest time without a byte in either direction.
+    /// Longest time without a byte in either direction, before the connection is closed.
     pub(crate) idle_timeout: Duration,
-    /// Longest life of a connection.
+    /// Longest time that a connection stays open.
     pub(crate) max_age: Duration,
 }
 
-/// What a caller is told when all connections are taken.
+/// Response to a caller that connects while the number of connections is at its limit.
 const OVERLOADED_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
     Goldcrestway-Outcome: not-run\r\nRetry-After: 1\r\n\
     Content-Type: application/problem+json\r\nContent-Length: 96\r\nConnection: close\r\n\r\n\
     {\"type\":\"urn:goldcrestway:problem:not-run\",\"title\":\"Too many connections are open\",\"status\":503}";
 
-/// How often a silent connection is looked at.
+/// Interval at which an idle connection is checked against its limits; also the timeout
+/// for connecting to the server behind.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Least time between two events about refused callers.
+/// Shortest time between two events about refused callers.
 const REFUSAL_EVENT_INTERVAL: Duration = Duration::from_secs(5);
-/// Pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// One open connection, counted while it lives.
+/// One open connection, counted in `open_connections` until it is dropped.
 struct ProxiedConnection {
     open_connections: Arc<AtomicUsize>,
     started_at: Instant,
-    /// Milliseconds after `began` at which a byte last passed.
+    /// When bytes last arrived from either side, in milliseconds after `started_at`.
     last_active_ms: AtomicU64,
     limits: ConnectionLimits,
     is_stopped: Arc<AtomicBool>,
@@ -77,7 +78,8 @@
         );
     }
 
-    /// Tells whether the connection has been silent or open for too long.
+    /// Returns whether the connection has been idle or open for too long, or the daemon
+    /// has stopped.
     fn must_close(&self) -> bool {
         let age = self.started_at.elapsed();
         let active = Duration::from_millis(self.last_active_ms.load(Ordering::Relaxed));
@@ -87,11 +89,11 @@
     }
 }
 
-/// Opens a server behind a gate at `address`.
+/// Starts a proxy at `address` and returns the HTTP server behind it.
 ///
 /// # Errors
 ///
-/// When the address can't be listened on.
+/// If listening at the address fails.
 pub(crate) fn listen(
     step: &'static str,
     address: SocketAddr,
@@ -101,11 +103,12 @@
 ) -> Result<Server, DaemonFault> {
     let fault = |error| DaemonFault::Listen(step, address.to_string().into(), error);
     let listener = TcpListener::bind(address).map_err(fault)?;
-    // The server behind listens on the same IP number, so a host needs only one.
+    // The server behind listens at another port of the same IP address, so a host needs
+    // no further address.
     let inner = TcpListener::bind((address.ip(), 0)).map_err(fault)?;
-    // The server writes head and body of an answer apart. Without this, which its
-    // accepted sockets inherit, the body waits for the kernel's delayed
-    // acknowledgement of the head: 40 ms on every connection that is used again.
+    // The server writes the head and the body of a response separately. Accepted sockets
+    // inherit TCP_NODELAY; without it the body waits for the delayed acknowledgement of
+    // the head, which adds 40 ms to every response on a reused connection.
     socket2::SockRef::from(&inner)
         .set_tcp_nodelay(true)
         .map_err(fault)?;
@@ -142,9 +145,9 @@
             is_stopped: is_stopped.clone(),
         });
         if open_before >= limits.max_connections {
-            // A caller that does not even take this is let go.
+            // If the response can't be written, the connection is just closed.
             let _ = caller.write_all(OVERLOADED_RESPONSE);
-            // One event a pause says it; a flood of callers must not flood the log.
+            // The interval between events keeps many refused callers from flooding the log.
             if last_refusal
                 .is_none_or(|last_refusal| last_refusal.elapsed() > REFUSAL_EVENT_INTERVAL)
             {
@@ -164,7 +167,7 @@
     }
 }
 
-/// Passes bytes both ways until either side ends or a bound is reached.
+/// Copies bytes in both directions until either side closes or a limit is reached.
 fn relay_connection(
     caller: TcpStream,
     server_address: SocketAddr,
@@ -190,7 +193,7 @@
     let server_side = connection.clone();
     let answers = thread::spawn(move || copy_bytes(server, caller_out, &server_side));
     copy_bytes(caller, server_out, connection);
-    // A panic of that thread was printed already.
+    // The panic hook has already printed a panic of that thread.
     let _ = answers.join();
 }
 
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,6 @@
 //! Settings of a daemon, read from an INI file.
+//!
+//! [`load`] reports every fault at once, each with file, line and remedy.
 
 use goldcrestway_core::Limits;
 use goldcrestway_core::Seat;
@@ -20,7 +22,7 @@
     max: 1_000_000,
 };
 
-/// What a settings file may hold, with defaults.
+/// Sections and keys that a settings file may have, with defaults.
 pub const SCHEMA: &[SectionSchema] = &[
     SectionSchema {
         kind: "daemon",
@@ -92,7 +94,7 @@
     },
 ];
 
-/// Where the process at one seat is reached.
+/// Addresses of the process at one seat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeatSettings {
     /// Its number.
@@ -101,11 +103,11 @@
     pub name: Box<str>,
     /// Its failure domain.
     pub failure_domain: Box<str>,
-    /// Where callers reach it.
+    /// Address at which it serves callers.
     pub caller_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address at which it serves operators.
     pub operator_address: SocketAddr,
-    /// Where other entry hosts reach it.
+    /// Address at which it accepts connections of other entry hosts.
     pub peer_address: SocketAddr,
 }
 
@@ -114,7 +116,7 @@
 pub struct Settings {
     /// Name that all entry hosts of one cluster share.
     pub cluster: Box<str>,
-    /// Its own seat, an index into `seats`.
+    /// Index of its own seat in `seats`.
     pub own: usize,
     /// All seats, in the order of their numbers.
     pub seats: Vec<SeatSettings>,
@@ -122,31 +124,32 @@
     pub log_url: Box<str>,
     /// URL of the platform's list of hosts.
     pub host_list_url: Box<str>,
-    /// `readable`, `json` or `off`.
+    /// Style of the log: `readable`, `json` or `off`.
     pub log_style: Box<str>,
-    /// Threads that serve callers, the most requests in flight.
+    /// Number of threads that serve callers, which is also the largest number of requests
+    /// in flight.
     pub caller_threads: usize,
-    /// Connections of callers that may be open at a time.
+    /// Largest number of open connections of callers.
     pub caller_connections: usize,
-    /// Threads that call workers.
+    /// Number of threads that call workers.
     pub worker_threads: usize,
-    /// Largest request that is accepted.
+    /// Largest request body that is accepted.
     pub request_max_bytes: u64,
-    /// How long a caller may take to send its request.
+    /// Time in which a caller must send the body of its request.
     pub caller_timeout_ms: u64,
-    /// How long a call to the platform may take.
+    /// Timeout of a call to the platform.
     pub platform_timeout_ms: u64,
-    /// Time between two looks at the platform's list of hosts.
+    /// Time between two reads of the platform's list of hosts.
     pub hosts_poll_ms: u64,
-    /// Events kept for the time line.
+    /// Number of events retained for the timeline.
     pub events_kept: usize,
-    /// Times and bounds of the decisions.
+    /// Times and limits of the node.
     pub limits: Limits,
 }
 
 impl Settings {
-    /// Lists the seats in the order in which they vote: one of each failure domain
-    /// in turn, so that losing a failure domain does not lose the majority.
+    /// Returns the seats in the order in which they become voters: one of each failure
+    /// domain in turn, so that the loss of one failure domain leaves a majority.
     pub fn seats_by_vote(&self) -> Vec<Seat> {
         let mut seats_by_domain: BTreeMap<&str, usize> = BTreeMap::new();
         let mut order = Vec::new();
@@ -159,17 +162,17 @@
         order.into_iter().map(|(_, seat)| seat).collect()
     }
 
-    /// Gives the daemon's own seat.
+    /// Returns the daemon's own seat.
     pub fn own(&self) -> &SeatSettings {
         &self.seats[self.own]
     }
 }
 
-/// Reads and checks settings; `file` only names them in faults.
+/// Reads and checks settings from `text`; `file` is the name that faults show.
 ///
 /// # Errors
 ///
-/// All faults at once, in the order of their lines.
+/// All faults of the settings, in the order of their lines.
 pub fn load(file: &str, text: &str) -> Result<Settings, Faults> {
     let mut faults = Faults::new(file);
     let sections = read(text, SCHEMA, &mut faults);
