--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,8 +1,8 @@
 //! `diff`: what would publishing change?
 
-use super::shared::describe;
-use super::shared::in_force;
-use crate::entry_hosts::Entries;
+use super::shared::fetch_config;
+use super::shared::format_changes;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
@@ -31,9 +31,9 @@
 
 /// Prints the differences.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let (sections, inventory) = files::load(&arguments.file)?;
-    let current = in_force(&entries)?;
+    let current = fetch_config(&entry_hosts)?;
     let changes = compare(&current.sections, &sections);
     let dangers = dangers(&current.inventory, &inventory);
     if arguments.json {
@@ -51,7 +51,7 @@
     );
     match changes.is_empty() {
         true => println!("{} does not differ from it", arguments.file),
-        false => print!("{}", describe(&current.sections, &changes)),
+        false => print!("{}", format_changes(&current.sections, &changes)),
     }
     for danger in dangers {
         println!("! {danger}");
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,9 +1,9 @@
 //! `drain`: empty a host.
 
-use super::shared::Emptying;
-use super::shared::in_force;
-use super::shared::switch_emptying;
-use crate::entry_hosts::Entries;
+use super::shared::ExclusionRule;
+use super::shared::fetch_config;
+use super::shared::set_exclusion;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
@@ -31,20 +31,20 @@
 
 /// Publishes or removes the rule.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     let host = &arguments.host;
-    let rule = Emptying {
+    let rule = ExclusionRule {
         kind: "drain",
         key: "host",
-        what: "host",
+        object: "host",
         name: host,
-        emptied: "is drained",
+        active_text: "is drained",
         is_listed: current.inventory.hosts.contains_key(host.as_str()),
-        is_emptied: current.inventory.drains(host),
+        is_active: current.inventory.drains(host),
     };
     let (undo, author) = (arguments.undo, &arguments.author);
-    if let Some(version) = switch_emptying(&entries, current.version, &rule, undo, author)? {
+    if let Some(version) = set_exclusion(&entry_hosts, current.version, &rule, undo, author)? {
         println!("version {version} is in force; follow with `goldcrestway explain {host}`");
     }
     Ok(())
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -1,9 +1,9 @@
 //! `evacuate`: empty a failure domain.
 
-use super::shared::Emptying;
-use super::shared::in_force;
-use super::shared::switch_emptying;
-use crate::entry_hosts::Entries;
+use super::shared::ExclusionRule;
+use super::shared::fetch_config;
+use super::shared::set_exclusion;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
@@ -32,20 +32,20 @@
 
 /// Publishes or removes the rule.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     let domain = &arguments.failure_domain;
-    let rule = Emptying {
+    let rule = ExclusionRule {
         kind: "evacuate",
         key: "failure_domain",
-        what: "failure domain",
+        object: "failure domain",
         name: domain,
-        emptied: "is evacuated",
+        active_text: "is evacuated",
         is_listed: current.inventory.failure_domains.contains(domain.as_str()),
-        is_emptied: current.inventory.evacuates(domain),
+        is_active: current.inventory.evacuates(domain),
     };
     let (undo, author) = (arguments.undo, &arguments.author);
-    if let Some(version) = switch_emptying(&entries, current.version, &rule, undo, author)? {
+    if let Some(version) = set_exclusion(&entry_hosts, current.version, &rule, undo, author)? {
         println!("version {version} is in force; look with `goldcrestway evacuations`");
     }
     Ok(())
--- a/src/cmd/evacuations.rs
+++ b/src/cmd/evacuations.rs
@@ -1,7 +1,7 @@
 //! `evacuations`: which failure domains are evacuated.
 
-use super::shared::in_force;
-use crate::entry_hosts::Entries;
+use super::shared::fetch_config;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use serde::Deserialize;
@@ -24,7 +24,7 @@
 
 /// What a host on the users' platform goes by.
 #[derive(Debug, Deserialize)]
-struct Standing {
+struct EvacuationState {
     /// Time since it was certain that no newer rules were there; none if it has read none.
     rules_age_ms: Option<u64>,
     evacuated: Vec<Evacuated>,
@@ -41,15 +41,16 @@
     if arguments.monitoring.is_empty() {
         return show_inventory(arguments);
     }
-    let entries = Entries::new(&arguments.monitoring, &None)?;
-    let all: Vec<(String, Standing)> = entries.get_all("asking for evacuations", "/evacuations")?;
-    for (peer, standing) in all {
-        let age = match standing.rules_age_ms {
+    let entry_hosts = EntryHosts::new(&arguments.monitoring, &None)?;
+    let all: Vec<(String, EvacuationState)> =
+        entry_hosts.get_all("asking for evacuations", "/evacuations")?;
+    for (address, state) in all {
+        let age = match state.rules_age_ms {
             Some(age_ms) => format!("rules read {age_ms} ms ago"),
             None => "no rules read yet".into(),
         };
-        println!("{peer} ({age})");
-        for row in standing.evacuated {
+        println!("{address} ({age})");
+        for row in state.evacuated {
             let (domain, version) = (row.failure_domain, row.since_version);
             println!("    {domain} is evacuated since version {version}");
         }
@@ -58,8 +59,8 @@
 }
 
 fn show_inventory(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     let version = current.version;
     println!("version {version} is in force");
     for domain in current.inventory.evacuated() {
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,6 +1,6 @@
 //! `explain`: why is something where it is?
 
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
@@ -25,9 +25,10 @@
 
 /// Prints what the owners know.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let path = format!("/v1/explain/{}", arguments.name);
-    let all: Vec<(String, Vec<String>)> = entries.get_all("asking for an explanation", &path)?;
+    let all: Vec<(String, Vec<String>)> =
+        entry_hosts.get_all("asking for an explanation", &path)?;
     let mut lines: Vec<String> = all.into_iter().flat_map(|(_, lines)| lines).collect();
     lines.sort();
     lines.dedup();
@@ -40,7 +41,7 @@
         let detail = format!(
             "nobody knows `{name}`. Jobs are named TEAM/NAME and are forgotten ten minutes after their end; ask all entry hosts with --settings FILE"
         );
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     }
     for line in lines {
         println!("{line}");
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,7 +1,7 @@
 //! `get`: fetch the configuration in force for editing.
 
-use super::shared::in_force;
-use crate::entry_hosts::Entries;
+use super::shared::fetch_config;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
@@ -30,10 +30,10 @@
     if std::path::Path::new(file).exists() {
         let detail =
             format!("{file} exists. Name another file, or run `goldcrestway rebase {file}`");
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     }
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     files::write(file, &render(&current.sections))?;
     let base = Base {
         version: current.version,
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -1,10 +1,10 @@
 //! `publish`: put an inventory into force.
 
 use super::shared::author;
-use super::shared::describe;
-use super::shared::in_force;
+use super::shared::fetch_config;
+use super::shared::format_changes;
 use super::shared::publish;
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
@@ -44,9 +44,9 @@
 /// Publishes the file.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let file = &arguments.file;
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let (sections, inventory) = files::load(file)?;
-    let current = in_force(&entries)?;
+    let current = fetch_config(&entry_hosts)?;
     let mut base = files::load_base(file)?;
     if arguments.replace {
         base = Base {
@@ -55,29 +55,29 @@
         };
     }
     let changes = compare(&base.sections, &sections);
-    let is_done =
+    let is_current =
         current.version >= base.version && compare(&current.sections, &sections).is_empty();
-    let version = if is_done {
+    let version = if is_current {
         current.version
     } else if base.version != current.version {
-        return Err(Fault::Decide(overtaken(
+        return Err(Fault::Declined(conflict_message(
             file,
             base.version,
             &current.author,
             current.version,
         )));
     } else {
-        eprint!("{}", describe(&base.sections, &changes));
+        eprint!("{}", format_changes(&base.sections, &changes));
         let dangers = dangers(&current.inventory, &inventory);
         if !dangers.is_empty() && !arguments.accept_dangers {
             let list = dangers.join("\n! ");
             let detail =
                 format!("! {list}\nNothing was published. Add --accept-dangers if this is meant");
-            return Err(Fault::Decide(detail.into()));
+            return Err(Fault::Declined(detail.into()));
         }
         let advice = format!("Run `goldcrestway rebase {file}`, then publish again.");
         publish(
-            &entries,
+            &entry_hosts,
             base.version,
             &author(&arguments.author),
             &changes,
@@ -88,16 +88,16 @@
     match arguments.json {
         true => println!(
             "{}",
-            serde_json::json!({ "version": version, "was_in_force": is_done })
+            serde_json::json!({ "version": version, "was_in_force": is_current })
         ),
-        false if is_done => println!("version {version} is in force already and equals {file}"),
+        false if is_current => println!("version {version} is in force already and equals {file}"),
         false => println!("version {version} is in force"),
     }
     Ok(())
 }
 
 /// Tells an operator that somebody else was first, and what to do.
-fn overtaken(file: &str, base: u64, author: &str, version: u64) -> Box<str> {
+fn conflict_message(file: &str, base: u64, author: &str, version: u64) -> Box<str> {
     let edited = match base {
         0 => format!("it is not known from which version {file} was edited"),
         _ => format!("{file} was edited from version {base}"),
--- a/src/cmd/rebase.rs
+++ b/src/cmd/rebase.rs
@@ -1,7 +1,7 @@
 //! `rebase`: bring an edited file onto the configuration in force.
 
-use super::shared::in_force;
-use crate::entry_hosts::Entries;
+use super::shared::fetch_config;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
@@ -32,13 +32,13 @@
 /// Rewrites the file and its copy.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let file = &arguments.file;
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let before = files::read(file)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let original = files::read(file)?;
     let (sections, _) = files::load(file)?;
     let base = files::load_base(file)?;
-    let current = in_force(&entries)?;
-    let (merged, both) = merge(&base.sections, &sections, &current.sections);
-    files::write(&format!("{file}.before-rebase"), &before)?;
+    let current = fetch_config(&entry_hosts)?;
+    let (merged, conflicts) = merge(&base.sections, &sections, &current.sections);
+    files::write(&format!("{file}.before-rebase"), &original)?;
     files::write(file, &render(&merged))?;
     let base = Base {
         version: current.version,
@@ -49,29 +49,29 @@
         "{file} now stands on version {} by {}",
         current.version, current.author
     );
-    for (kind, name) in both {
+    for (kind, name) in conflicts {
         println!("both changed [{kind} {name}]; yours is kept, look at it before you publish");
     }
     files::load(file).map(drop)
 }
 
 /// Kinds and names of sections.
-type Names = BTreeSet<(Box<str>, Box<str>)>;
+type SectionNames = BTreeSet<(Box<str>, Box<str>)>;
 
 /// Applies what `ours` changed since `base` to `theirs`; names what both changed.
-fn merge(base: &Sections, ours: &Sections, theirs: &Sections) -> (Sections, Names) {
+fn merge(base: &Sections, ours: &Sections, theirs: &Sections) -> (Sections, SectionNames) {
     let mut merged = theirs.clone();
     let their_changes: BTreeSet<_> = compare(base, theirs)
         .into_iter()
         .map(|change| (change.kind, change.name))
         .collect();
-    let mut both = BTreeSet::new();
+    let mut conflicts = BTreeSet::new();
     for change in compare(base, ours) {
         let identity = (change.kind, change.name);
         let is_same = ours.get(&identity).map(|section| &section.values)
             == theirs.get(&identity).map(|section| &section.values);
         if their_changes.contains(&identity) && !is_same {
-            both.insert(identity.clone());
+            conflicts.insert(identity.clone());
         }
         match change.values {
             None => drop(merged.remove(&identity)),
@@ -84,5 +84,5 @@
             }
         }
     }
-    (merged, both)
+    (merged, conflicts)
 }
--- a/src/cmd/shared.rs
+++ b/src/cmd/shared.rs
@@ -1,7 +1,7 @@
 //! What several commands need: the configuration in force, changes in words,
 //! publishing.
 
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use goldcrestway_core::hash;
 use goldcrestway_daemon::PublishReply;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 /// The configuration in force.
-pub(crate) struct InForce {
+pub(crate) struct CurrentConfig {
     /// Its version; 0 before the first one.
     pub(crate) version: u64,
     /// Who published it.
@@ -34,18 +34,18 @@
 }
 
 /// Gets the configuration in force.
-pub(crate) fn in_force(entries: &Entries) -> Result<InForce, Fault> {
+pub(crate) fn fetch_config(entry_hosts: &EntryHosts) -> Result<CurrentConfig, Fault> {
     const STEP: &str = "getting the configuration in force";
-    let answered = entries.get(STEP, "/v1/config")?;
-    let Ok(reply) = serde_json::from_str::<ConfigReply>(&answered.body) else {
+    let response = entry_hosts.get(STEP, "/v1/config")?;
+    let Ok(reply) = serde_json::from_str::<ConfigReply>(&response.body) else {
         return Err(Fault::Refused(
             STEP,
-            answered.peer.as_str().into(),
-            answered.detail(),
+            response.address.as_str().into(),
+            response.detail(),
         ));
     };
     let (sections, inventory) = load_sections("the configuration in force", &reply.inventory)?;
-    Ok(InForce {
+    Ok(CurrentConfig {
         version: reply.version,
         author: reply.author,
         sections,
@@ -54,7 +54,7 @@
 }
 
 /// Writes changes as lines that begin with `+`, `-` or `~`.
-pub(crate) fn describe(old: &Sections, changes: &[Change]) -> String {
+pub(crate) fn format_changes(old: &Sections, changes: &[Change]) -> String {
     let mut text = String::new();
     for change in changes {
         let before = old.get(&(change.kind.clone(), change.name.clone()));
@@ -77,14 +77,14 @@
 
 /// Publishes changes of `base` and gives the version that is now in force.
 pub(crate) fn publish(
-    entries: &Entries,
+    entry_hosts: &EntryHosts,
     base: u64,
     author: &str,
     changes: &[Change],
     advice: &str,
 ) -> Result<u64, Fault> {
     const STEP: &str = "publishing";
-    const OVERTAKEN: u16 = 409;
+    const CONFLICT: u16 = 409;
     let sent = changes_to_wire(changes);
     // The identity follows from what is published, so that giving the same command
     // again asks for the outcome and never publishes twice.
@@ -96,37 +96,37 @@
         changes: sent,
     };
     eprintln!("waiting until a majority of entry hosts has it in force (up to 15 s) ...");
-    let answered = entries.post(STEP, "/v1/config", &request)?;
-    if answered.status == 200
-        && let Ok(reply) = serde_json::from_str::<PublishReply>(&answered.body)
+    let response = entry_hosts.post(STEP, "/v1/config", &request)?;
+    if response.status == 200
+        && let Ok(reply) = serde_json::from_str::<PublishReply>(&response.body)
     {
         return Ok(reply.version);
     }
-    let mut detail = answered.detail().to_string();
-    if answered.status == OVERTAKEN {
+    let mut detail = response.detail().to_string();
+    if response.status == CONFLICT {
         detail = format!("{detail} {advice}");
     }
     Err(Fault::Refused(
         STEP,
-        answered.peer.as_str().into(),
+        response.address.as_str().into(),
         detail.into(),
     ))
 }
 
 /// A rule that empties one listed object for as long as it stands.
-pub(crate) struct Emptying<'a> {
+pub(crate) struct ExclusionRule<'a> {
     /// Kind of the rule, and what its name begins with.
     pub(crate) kind: &'a str,
     /// Key under which the rule names the object.
     pub(crate) key: &'a str,
     /// What the object is, in words, and its name.
-    pub(crate) what: &'a str,
+    pub(crate) object: &'a str,
     pub(crate) name: &'a str,
     /// What is said of an object that is emptied already.
-    pub(crate) emptied: &'a str,
+    pub(crate) active_text: &'a str,
     /// The inventory in force lists the object, and has the rule.
     pub(crate) is_listed: bool,
-    pub(crate) is_emptied: bool,
+    pub(crate) is_active: bool,
 }
 
 /// Publishes the rule, or removes it to `undo` it, and gives the version that is then in force;
@@ -135,30 +135,30 @@
 /// # Errors
 ///
 /// The object is not listed, or the change was refused.
-pub(crate) fn switch_emptying(
-    entries: &Entries,
+pub(crate) fn set_exclusion(
+    entry_hosts: &EntryHosts,
     base: u64,
-    rule: &Emptying<'_>,
+    rule: &ExclusionRule<'_>,
     undo: bool,
     given_author: &Option<String>,
 ) -> Result<Option<u64>, Fault> {
-    let Emptying {
+    let ExclusionRule {
         kind,
         key,
-        what,
+        object,
         name,
-        emptied,
+        active_text,
         is_listed,
-        is_emptied,
+        is_active,
     } = *rule;
     if !is_listed {
         let detail = format!(
-            "the inventory in force lists no {what} `{name}`. Look with `goldcrestway get FILE`"
+            "the inventory in force lists no {object} `{name}`. Look with `goldcrestway get FILE`"
         );
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     }
-    if is_emptied != undo {
-        let state = if undo { "takes work" } else { emptied };
+    if is_active != undo {
+        let state = if undo { "takes work" } else { active_text };
         println!("nothing to do: {name} {state}");
         return Ok(None);
     }
@@ -169,7 +169,7 @@
         values: (!undo).then_some(values),
     };
     let advice = "Give the command again.";
-    publish(entries, base, &author(given_author), &[change], advice).map(Some)
+    publish(entry_hosts, base, &author(given_author), &[change], advice).map(Some)
 }
 
 /// Names who publishes.
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,6 +1,6 @@
 //! `status`: where the entry hosts stand.
 
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::StatusReply;
@@ -26,21 +26,21 @@
 
 /// Prints a line for each entry host.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let all: Vec<(String, StatusReply)> = entries.get_all("asking for status", "/v1/status")?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let all: Vec<(String, StatusReply)> = entry_hosts.get_all("asking for status", "/v1/status")?;
     if arguments.json {
         let map: std::collections::BTreeMap<_, _> = all.into_iter().collect();
         println!("{}", serde_json::json!(map));
         return Ok(());
     }
-    for (peer, status) in all {
+    for (address, status) in all {
         let acts = match (status.acts, status.is_stopping) {
             (true, false) => "acts",
             (true, true) => "is stopping",
             (false, _) => "may not act (no majority has promised, or it must catch up)",
         };
         println!(
-            "{peer} {} {acts}; configuration {}, {} cells, {} requests in flight, sees {} alive",
+            "{address} {} {acts}; configuration {}, {} cells, {} requests in flight, sees {} alive",
             status.member,
             status.config_version,
             status.cells.len(),
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -1,6 +1,6 @@
 //! `stop`: end one entry host without cutting anything off.
 
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
@@ -16,8 +16,8 @@
 
 /// Asks the entry host to stop.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(std::slice::from_ref(&arguments.entry), &None)?;
-    entries.post("stopping an entry host", "/v1/stop", &())?;
+    let entry_hosts = EntryHosts::new(std::slice::from_ref(&arguments.entry), &None)?;
+    entry_hosts.post("stopping an entry host", "/v1/stop", &())?;
     println!(
         "{} is stopping; it ends when the last request in flight is answered",
         arguments.entry
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,6 +1,6 @@
 //! `submit`: have a job run once.
 
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::JobRequest;
@@ -30,24 +30,24 @@
 /// Submits the job and prints its state.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     const STEP: &str = "submitting the job";
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let request = JobRequest {
         job: arguments.job.clone(),
         id: arguments.id.clone(),
     };
-    let answered = entries.post(STEP, "/v1/jobs", &request)?;
-    if answered.status != 200 {
+    let response = entry_hosts.post(STEP, "/v1/jobs", &request)?;
+    if response.status != 200 {
         return Err(Fault::Refused(
             STEP,
-            answered.peer.as_str().into(),
-            answered.detail(),
+            response.address.as_str().into(),
+            response.detail(),
         ));
     }
     if arguments.json {
-        println!("{}", answered.body);
+        println!("{}", response.body);
         return Ok(());
     }
-    let value: serde_json::Value = serde_json::from_str(&answered.body).unwrap_or_default();
+    let value: serde_json::Value = serde_json::from_str(&response.body).unwrap_or_default();
     let state = value
         .get("state")
         .and_then(|state| state.as_str())
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,6 +1,6 @@
 //! `timeline`: what happened, over all entry hosts.
 
-use crate::entry_hosts::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
@@ -36,14 +36,15 @@
 
 /// Prints the events or writes the page.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let all: Vec<(String, Vec<Entry>)> = entries.get_all("asking for events", "/v1/timeline")?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let all: Vec<(String, Vec<Entry>)> =
+        entry_hosts.get_all("asking for events", "/v1/timeline")?;
     let mut events = merge(all.into_iter().map(|(_, list)| list).collect());
-    cut(&mut events, arguments.most, arguments.follow.as_deref());
+    limit_events(&mut events, arguments.most, arguments.follow.as_deref());
     if let Some(file) = &arguments.html {
         let subject = arguments.follow.as_deref();
         let page = render_page(&events, subject)
-            .map_err(|error| Fault::Decide(format!("while writing the page: {error}").into()))?;
+            .map_err(|error| Fault::Declined(format!("while writing the page: {error}").into()))?;
         files::write(file, &page)?;
         println!("{file} holds {} events", events.len());
         return Ok(());
@@ -73,9 +74,9 @@
 /// Keeps the latest `most` events, and of earlier ones those that say who may act,
 /// how the log is, or what is followed: without them leases and terms that began
 /// earlier would be missing, and a job would seem to come from nowhere.
-fn cut(events: &mut Vec<Entry>, most: usize, subject: Option<&str>) {
+fn limit_events(events: &mut Vec<Entry>, max_events: usize, subject: Option<&str>) {
     const OWNERSHIP_AND_LOG: std::ops::Range<u16> = 1_100..1_300;
-    let surplus = events.len().saturating_sub(most);
+    let surplus = events.len().saturating_sub(max_events);
     let earlier: Vec<Entry> = events.drain(..surplus).collect();
     let followed = subject
         .map(|subject| follow(&earlier, subject))
--- a/src/entry_hosts.rs
+++ b/src/entry_hosts.rs
@@ -8,24 +8,24 @@
 
 /// Where entry hosts are reached, as options that most commands share.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Entries {
+pub(crate) struct EntryHosts {
     addresses: Vec<String>,
 }
 
 /// Where an entry host listens for operators unless options say otherwise.
-const DEFAULT_ENTRY: &str = "127.0.0.1:8081";
+const DEFAULT_ADDRESS: &str = "127.0.0.1:8081";
 
 /// What an entry host answered.
-pub(crate) struct Answered {
+pub(crate) struct HostResponse {
     /// Its address.
-    pub(crate) peer: String,
+    pub(crate) address: String,
     /// HTTP status.
     pub(crate) status: u16,
     /// Body.
     pub(crate) body: String,
 }
 
-impl Answered {
+impl HostResponse {
     /// Gives the detail of problem details, or the body as it is.
     pub(crate) fn detail(&self) -> Box<str> {
         let value: Option<serde_json::Value> = serde_json::from_str(&self.body).ok();
@@ -40,10 +40,10 @@
     }
 }
 
-impl Entries {
+impl EntryHosts {
     /// Takes addresses from the options `--entry` and `--settings`.
-    pub(crate) fn new(entries: &[String], settings: &Option<String>) -> Result<Self, Fault> {
-        let mut addresses = entries.to_vec();
+    pub(crate) fn new(given: &[String], settings: &Option<String>) -> Result<Self, Fault> {
+        let mut addresses = given.to_vec();
         if let Some(file) = settings {
             let settings = load_settings(file, &files::read(file)?)?;
             addresses.extend(
@@ -54,7 +54,7 @@
             );
         }
         if addresses.is_empty() {
-            addresses.push(DEFAULT_ENTRY.into());
+            addresses.push(DEFAULT_ADDRESS.into());
         }
         Ok(Self { addresses })
     }
@@ -69,12 +69,12 @@
     }
 
     /// Asks the first entry host that answers.
-    pub(crate) fn get(&self, step: &'static str, path: &str) -> Result<Answered, Fault> {
+    pub(crate) fn get(&self, step: &'static str, path: &str) -> Result<HostResponse, Fault> {
         let agent = Self::agent();
-        for peer in &self.addresses {
-            let sent = agent.get(format!("http://{peer}{path}")).call();
-            if let Some(answered) = answered(peer, sent) {
-                return Ok(answered);
+        for address in &self.addresses {
+            let sent = agent.get(format!("http://{address}{path}")).call();
+            if let Some(response) = read_response(address, sent) {
+                return Ok(response);
             }
         }
         Err(self.unreachable(step))
@@ -88,19 +88,19 @@
     ) -> Result<Vec<(String, T)>, Fault> {
         let agent = Self::agent();
         let mut all = Vec::new();
-        for peer in &self.addresses {
-            let sent = agent.get(format!("http://{peer}{path}")).call();
-            let Some(answered) = answered(peer, sent) else {
-                eprintln!("no answer from {peer}; its part is missing below");
+        for address in &self.addresses {
+            let sent = agent.get(format!("http://{address}{path}")).call();
+            let Some(response) = read_response(address, sent) else {
+                eprintln!("no answer from {address}; its part is missing below");
                 continue;
             };
-            match serde_json::from_str(&answered.body) {
-                Ok(value) => all.push((peer.clone(), value)),
+            match serde_json::from_str(&response.body) {
+                Ok(value) => all.push((address.clone(), value)),
                 Err(_) => {
                     return Err(Fault::Refused(
                         step,
-                        peer.as_str().into(),
-                        answered.detail(),
+                        address.as_str().into(),
+                        response.detail(),
                     ));
                 }
             }
@@ -118,27 +118,29 @@
         step: &'static str,
         path: &str,
         body: &T,
-    ) -> Result<Answered, Fault> {
+    ) -> Result<HostResponse, Fault> {
         const UNKNOWN: u16 = 504;
         let agent = Self::agent();
         let mut unknown = None;
-        for peer in self
+        for address in self
             .addresses
             .iter()
             .cycle()
             .take(self.addresses.len().max(2))
         {
-            let sent = agent.post(format!("http://{peer}{path}")).send_json(body);
-            match answered(peer, sent) {
-                Some(answered) if answered.status == UNKNOWN => unknown = Some(answered),
-                Some(answered) => return Ok(answered),
+            let sent = agent
+                .post(format!("http://{address}{path}"))
+                .send_json(body);
+            match read_response(address, sent) {
+                Some(response) if response.status == UNKNOWN => unknown = Some(response),
+                Some(response) => return Ok(response),
                 None => {}
             }
         }
         match unknown {
             Some(last) => Err(Fault::Unknown(
                 step,
-                last.peer.as_str().into(),
+                last.address.as_str().into(),
                 last.detail(),
             )),
             None => Err(self.unreachable(step)),
@@ -150,21 +152,21 @@
     }
 }
 
-fn answered(
-    peer: &str,
+fn read_response(
+    address: &str,
     sent: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-) -> Option<Answered> {
-    const MOST_BYTES: u64 = 256 * 1024 * 1024;
+) -> Option<HostResponse> {
+    const MAX_BODY_BYTES: u64 = 256 * 1024 * 1024;
     let mut response = sent.ok()?;
     let status = response.status().as_u16();
     let body = response
         .body_mut()
         .with_config()
-        .limit(MOST_BYTES)
+        .limit(MAX_BODY_BYTES)
         .read_to_string()
         .ok()?;
-    Some(Answered {
-        peer: peer.into(),
+    Some(HostResponse {
+        address: address.into(),
         status,
         body,
     })
--- a/src/fault.rs
+++ b/src/fault.rs
@@ -17,19 +17,19 @@
             display("{}", faults.to_string().trim_end())
         }
         /// No entry host answered.
-        Unreachable(step: &'static str, peers: Box<str>) {
-            display("while {}: no entry host answers at {}. Give others with --entry ADDRESS:PORT or --settings FILE", step, peers)
+        Unreachable(step: &'static str, addresses: Box<str>) {
+            display("while {}: no entry host answers at {}. Give others with --entry ADDRESS:PORT or --settings FILE", step, addresses)
         }
         /// An entry host refused.
-        Refused(step: &'static str, peer: Box<str>, detail: Box<str>) {
-            display("while {} at {}: {}", step, peer, detail)
+        Refused(step: &'static str, address: Box<str>, detail: Box<str>) {
+            display("while {} at {}: {}", step, address, detail)
         }
         /// The outcome is not known yet.
-        Unknown(step: &'static str, peer: Box<str>, detail: Box<str>) {
-            display("while {} at {}: {}. Give the same command again to learn the outcome", step, peer, detail)
+        Unknown(step: &'static str, address: Box<str>, detail: Box<str>) {
+            display("while {} at {}: {}. Give the same command again to learn the outcome", step, address, detail)
         }
         /// The operator has to decide.
-        Decide(detail: Box<str>) {
+        Declined(detail: Box<str>) {
             display("{}", detail)
         }
     }
@@ -40,7 +40,7 @@
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Fault::File(..) | Fault::Faulty(_) => 2,
-            Fault::Unreachable(..) | Fault::Refused(..) | Fault::Decide(_) => 1,
+            Fault::Unreachable(..) | Fault::Refused(..) | Fault::Declined(_) => 1,
             Fault::Unknown(..) => 3,
         }
     }
--- a/src/files.rs
+++ b/src/files.rs
@@ -8,7 +8,7 @@
 use goldcrestway_inventory::render;
 
 /// First words of a copy, before the version.
-const BASE_LINE: &str = "# base: ";
+const BASE_PREFIX: &str = "# base: ";
 
 /// The version that a file was edited from.
 #[derive(Debug, Clone, Default)]
@@ -27,9 +27,9 @@
 /// Writes a file in one step, so that nothing is lost if writing fails.
 pub(crate) fn write(file: &str, text: &str) -> Result<(), Fault> {
     let fault = |error| Fault::File("writing", file.into(), error);
-    let draft = format!("{file}.new");
-    std::fs::write(&draft, text).map_err(fault)?;
-    std::fs::rename(&draft, file).map_err(fault)
+    let temporary = format!("{file}.new");
+    std::fs::write(&temporary, text).map_err(fault)?;
+    std::fs::rename(&temporary, file).map_err(fault)
 }
 
 /// Reads and checks an inventory.
@@ -37,13 +37,13 @@
     Ok(load_sections(file, &read(file)?)?)
 }
 
-fn base_file(file: &str) -> String {
+fn base_path(file: &str) -> String {
     format!("{file}.base")
 }
 
 /// Reads the copy beside `file`; a file without one was never published.
 pub(crate) fn load_base(file: &str) -> Result<Base, Fault> {
-    let name = base_file(file);
+    let name = base_path(file);
     let text = match std::fs::read_to_string(&name) {
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Base::default()),
@@ -52,12 +52,12 @@
     let version = text
         .lines()
         .next()
-        .and_then(|line| line.strip_prefix(BASE_LINE));
+        .and_then(|line| line.strip_prefix(BASE_PREFIX));
     let Some(version) = version.and_then(|version| version.trim().parse().ok()) else {
         let detail = format!(
-            "{name}:1: the line `{BASE_LINE}VERSION` is missing. Remove {name} and run `goldcrestway rebase {file}`"
+            "{name}:1: the line `{BASE_PREFIX}VERSION` is missing. Remove {name} and run `goldcrestway rebase {file}`"
         );
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     };
     let (sections, _) = load_sections(&name, &text)?;
     Ok(Base { version, sections })
@@ -65,6 +65,6 @@
 
 /// Remembers beside `file` that it now stands on `base`.
 pub(crate) fn write_base(file: &str, base: &Base) -> Result<(), Fault> {
-    let text = format!("{BASE_LINE}{}\n{}", base.version, render(&base.sections));
-    write(&base_file(file), &text)
+    let text = format!("{BASE_PREFIX}{}\n{}", base.version, render(&base.sections));
+    write(&base_path(file), &text)
 }
