--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -87,7 +87,7 @@
 pub struct StatusReply {
     /// Its seat and incarnation.
     pub member: String,
-    /// Whether it may act for the cells that it owns.
+    /// Whether its lease is in force, so that it may act for its cells.
     pub acts: bool,
     /// Whether it is stopping.
     pub is_stopping: bool,
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,23 +1,23 @@
-//! `check`: is an inventory sound?
+//! `check`: checks an inventory file.
 
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
 
 /// Check an inventory and its rules, without any entry host. All faults are shown
-/// at once, each with its line and what to do.
+/// at once, each with its line and a remedy.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct Arguments {
-    /// the inventory
+    /// inventory file
     #[argh(positional)]
     file: String,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
 
-/// Checks the file and counts what it lists.
+/// Checks the file and prints how many objects of each kind it lists.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let (_, inventory) = files::load(&arguments.file)?;
     let counts = [
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: what would publishing change?
+//! `diff`: shows what publishing a file would change.
 
 use super::shared::fetch_config;
 use super::shared::format_changes;
@@ -10,21 +10,22 @@
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::dangers;
 
-/// Show in what an inventory differs from the configuration in force, and what
-/// publishing it would stop.
+/// Show how an inventory differs from the configuration in force, and which running
+/// work publishing it would stop.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub(crate) struct Arguments {
-    /// the inventory
+    /// inventory file
     #[argh(positional)]
     file: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: empty a host.
+//! `drain`: moves the work of a host elsewhere.
 
 use super::shared::ExclusionRule;
 use super::shared::fetch_config;
@@ -12,24 +12,25 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Arguments {
-    /// the host
+    /// name of the host
     #[argh(positional)]
     host: String,
-    /// let the host take work again
+    /// end the drain: the host gets new work again
     #[argh(switch)]
     undo: bool,
-    /// who drains; default: the name of the user
+    /// name recorded as author; default: the name of the user
     #[argh(option)]
     author: Option<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Publishes or removes the rule.
+/// Publishes or removes the drain rule.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let current = fetch_config(&entry_hosts)?;
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`: empty a failure domain.
+//! `evacuate`: moves the work of a failure domain elsewhere.
 
 use super::shared::ExclusionRule;
 use super::shared::fetch_config;
@@ -13,24 +13,25 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuate")]
 pub(crate) struct Arguments {
-    /// the failure domain
+    /// name of the failure domain
     #[argh(positional)]
     failure_domain: String,
-    /// let the failure domain take work again
+    /// end the evacuation: the failure domain gets new work again
     #[argh(switch)]
     undo: bool,
-    /// who evacuates; default: the name of the user
+    /// name recorded as author; default: the name of the user
     #[argh(option)]
     author: Option<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Publishes or removes the rule.
+/// Publishes or removes the evacuation rule.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let current = fetch_config(&entry_hosts)?;
@@ -46,7 +47,7 @@
     };
     let (undo, author) = (arguments.undo, &arguments.author);
     if let Some(version) = set_exclusion(&entry_hosts, current.version, &rule, undo, author)? {
-        println!("version {version} is in force; look with `goldcrestway evacuations`");
+        println!("version {version} is in force; check with `goldcrestway evacuations`");
     }
     Ok(())
 }
--- a/src/cmd/evacuations.rs
+++ b/src/cmd/evacuations.rs
@@ -1,4 +1,4 @@
-//! `evacuations`: which failure domains are evacuated.
+//! `evacuations`: lists the evacuated failure domains.
 
 use super::shared::fetch_config;
 use crate::entry_hosts::EntryHosts;
@@ -6,26 +6,28 @@
 use argh::FromArgs;
 use serde::Deserialize;
 
-/// Show which failure domains are evacuated, and by which version of the rules.
+/// Show which failure domains are evacuated, and since which version of the rules.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuations")]
 pub(crate) struct Arguments {
-    /// an entry host on the users' platform, as ADDRESS:PORT where it serves its
-    /// metrics; each tells what it goes by
+    /// metrics address of an entry host on the users' platform, as ADDRESS:PORT; may be
+    /// repeated; shows the rules that each host applies
     #[argh(option)]
     monitoring: Vec<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// What a host on the users' platform goes by.
+/// Evacuations that a host on the users' platform applies.
 #[derive(Debug, Deserialize)]
 struct EvacuationState {
-    /// Time since it was certain that no newer rules were there; none if it has read none.
+    /// Time in milliseconds since it last knew that its rules were the newest; `None` if it
+    /// has not read any.
     rules_age_ms: Option<u64>,
     evacuated: Vec<Evacuated>,
 }
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,29 +1,30 @@
-//! `explain`: why is something where it is?
+//! `explain`: shows where a job, service or host is, and why.
 
 use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
-/// Explain a job (TEAM/NAME), a service or a host: where it is, or why it can't
+/// Explain a job (TEAM/NAME), a service or a host: where it runs, or why it can't
 /// run.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Arguments {
-    /// the job, service or host
+    /// name of the job, service or host
     #[argh(positional)]
     name: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
 
-/// Prints what the owners know.
+/// Prints the explanations of all entry hosts, without duplicates.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let path = format!("/v1/explain/{}", arguments.name);
@@ -39,7 +40,7 @@
     if lines.is_empty() {
         let name = &arguments.name;
         let detail = format!(
-            "nobody knows `{name}`. Jobs are named TEAM/NAME and are forgotten ten minutes after their end; ask all entry hosts with --settings FILE"
+            "no entry host knows `{name}`. Jobs are named TEAM/NAME and are removed ten minutes after their end; query all entry hosts with --settings FILE"
         );
         return Err(Fault::Declined(detail.into()));
     }
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,4 +1,4 @@
-//! `get`: fetch the configuration in force for editing.
+//! `get`: fetches the configuration in force for editing.
 
 use super::shared::fetch_config;
 use crate::entry_hosts::EntryHosts;
@@ -9,22 +9,23 @@
 use goldcrestway_inventory::render;
 
 /// Write the configuration in force to a file for editing, and FILE.base beside
-/// it, which remembers the version. An existing file is not overwritten.
+/// it, which records the version. An existing file is not overwritten.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 pub(crate) struct Arguments {
-    /// the file to write
+    /// file to write
     #[argh(positional)]
     file: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Writes both files.
+/// Writes the inventory file and `FILE.base`.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let file = &arguments.file;
     if std::path::Path::new(file).exists() {
@@ -41,7 +42,7 @@
     };
     files::write_base(file, &base)?;
     println!(
-        "{file} holds version {} by {}",
+        "{file} contains version {} by {}",
         current.version, current.author
     );
     Ok(())
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One file per command; each has its arguments and `execute`.
+//! The commands of the tool: a module for each, with its arguments and `execute`.
 
 mod check;
 mod diff;
@@ -38,7 +38,7 @@
 }
 
 impl Command {
-    /// Does what the command says.
+    /// Executes the command.
     pub(crate) fn execute(self) -> Result<(), Fault> {
         match self {
             Command::Check(arguments) => check::execute(&arguments),
--- a/src/cmd/publish.rs
+++ b/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! `publish`: put an inventory into force.
+//! `publish`: puts an inventory into force.
 
 use super::shared::author;
 use super::shared::fetch_config;
@@ -12,31 +12,31 @@
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::dangers;
 
-/// Check an inventory and put it into force everywhere. If somebody published
-/// since you began to edit, nothing is published and you are told by whom.
+/// Check an inventory and put it into force everywhere. If another version was published
+/// since you began to edit, nothing is published and its author is shown.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "publish")]
 pub(crate) struct Arguments {
-    /// the inventory
+    /// inventory file
     #[argh(positional)]
     file: String,
-    /// publish even if running work is evicted or a quota shrinks
+    /// publish even if running work is evicted or a quota is lowered
     #[argh(switch)]
     accept_dangers: bool,
-    /// publish FILE as the whole truth though it is not known from which version
-    /// it was edited
+    /// replace the whole configuration by FILE, whichever version it was edited from
     #[argh(switch)]
     replace: bool,
-    /// who publishes; default: the name of the user
+    /// name recorded as author; default: the name of the user
     #[argh(option)]
     author: Option<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
@@ -96,7 +96,8 @@
     Ok(())
 }
 
-/// Tells an operator that somebody else was first, and what to do.
+/// Returns the message that another version was published first, and the commands that
+/// resolve the conflict.
 fn conflict_message(file: &str, base: u64, author: &str, version: u64) -> Box<str> {
     let edited = match base {
         0 => format!("it is not known from which version {file} was edited"),
@@ -105,7 +106,7 @@
     format!(
         "{edited}, but version {version} by {author} is in force. Nothing was published.\n\
          See the difference:        goldcrestway diff {file}\n\
-         Bring both together:       goldcrestway rebase {file}\n\
+         Merge both versions:       goldcrestway rebase {file}\n\
          Or keep only your file:    goldcrestway publish --replace {file}"
     )
     .into()
--- a/src/cmd/rebase.rs
+++ b/src/cmd/rebase.rs
@@ -1,4 +1,4 @@
-//! `rebase`: bring an edited file onto the configuration in force.
+//! `rebase`: applies the edits of a file to the configuration in force.
 
 use super::shared::fetch_config;
 use crate::entry_hosts::EntryHosts;
@@ -12,24 +12,25 @@
 use goldcrestway_inventory::render;
 use std::collections::BTreeSet;
 
-/// Bring your edits onto the version in force, after somebody else published.
-/// Sections that both of you changed are listed and yours are kept; your former
-/// file is kept as FILE.before-rebase.
+/// Apply your edits to the version in force, after somebody else published one.
+/// Sections that both of you changed are listed and yours are retained; your previous
+/// file is saved as FILE.before-rebase.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rebase")]
 pub(crate) struct Arguments {
-    /// the inventory
+    /// inventory file
     #[argh(positional)]
     file: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Rewrites the file and its copy.
+/// Rewrites the inventory file and `FILE.base`.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let file = &arguments.file;
     let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
@@ -46,11 +47,11 @@
     };
     files::write_base(file, &base)?;
     println!(
-        "{file} now stands on version {} by {}",
+        "{file} is now based on version {} by {}",
         current.version, current.author
     );
     for (kind, name) in conflicts {
-        println!("both changed [{kind} {name}]; yours is kept, look at it before you publish");
+        println!("both changed [{kind} {name}]; yours is retained: review it before you publish");
     }
     files::load(file).map(drop)
 }
@@ -58,7 +59,8 @@
 /// Kinds and names of sections.
 type SectionNames = BTreeSet<(Box<str>, Box<str>)>;
 
-/// Applies what `ours` changed since `base` to `theirs`; names what both changed.
+/// Applies the changes from `base` to `ours` on top of `theirs`; also returns the sections
+/// that both changed differently.
 fn merge(base: &Sections, ours: &Sections, theirs: &Sections) -> (Sections, SectionNames) {
     let mut merged = theirs.clone();
     let their_changes: BTreeSet<_> = compare(base, theirs)
--- a/src/cmd/shared.rs
+++ b/src/cmd/shared.rs
@@ -1,5 +1,5 @@
-//! What several commands need: the configuration in force, changes in words,
-//! publishing.
+//! Functions that several commands share: they fetch the configuration in force, format
+//! changes and publish them.
 
 use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
@@ -16,13 +16,13 @@
 
 /// The configuration in force.
 pub(crate) struct CurrentConfig {
-    /// Its version; 0 before the first one.
+    /// Its version; 0 before any was published.
     pub(crate) version: u64,
     /// Who published it.
     pub(crate) author: String,
     /// Its sections.
     pub(crate) sections: Sections,
-    /// The same, typed.
+    /// The inventory that the sections describe.
     pub(crate) inventory: Inventory,
 }
 
@@ -33,7 +33,11 @@
     inventory: String,
 }
 
-/// Gets the configuration in force.
+/// Fetches the configuration in force.
+///
+/// # Errors
+///
+/// No entry host answers, or the response can't be read.
 pub(crate) fn fetch_config(entry_hosts: &EntryHosts) -> Result<CurrentConfig, Fault> {
     const STEP: &str = "getting the configuration in force";
     let response = entry_hosts.get(STEP, "/v1/config")?;
@@ -53,7 +57,7 @@
     })
 }
 
-/// Writes changes as lines that begin with `+`, `-` or `~`.
+/// Formats changes as lines that begin with `+`, `-` or `~`, followed by the changed keys.
 pub(crate) fn format_changes(old: &Sections, changes: &[Change]) -> String {
     let mut text = String::new();
     for change in changes {
@@ -75,7 +79,12 @@
     text
 }
 
-/// Publishes changes of `base` and gives the version that is now in force.
+/// Publishes changes to version `base` and returns the version that is then in force.
+///
+/// # Errors
+///
+/// The change was refused, with `advice` added if another version was first, or its
+/// outcome is unknown.
 pub(crate) fn publish(
     entry_hosts: &EntryHosts,
     base: u64,
@@ -86,8 +95,8 @@
     const STEP: &str = "publishing";
     const CONFLICT: u16 = 409;
     let sent = changes_to_wire(changes);
-    // The identity follows from what is published, so that giving the same command
-    // again asks for the outcome and never publishes twice.
+    // The identity is derived from the content, so that a repeated command returns the
+    // outcome and never publishes twice.
     let content = serde_json::to_string(&sent).unwrap_or_default();
     let request = PublishRequest {
         base,
@@ -95,7 +104,7 @@
         author: author.into(),
         changes: sent,
     };
-    eprintln!("waiting until a majority of entry hosts has it in force (up to 15 s) ...");
+    eprintln!("waiting until the change is in force at a majority of entry hosts (up to 15 s) ...");
     let response = entry_hosts.post(STEP, "/v1/config", &request)?;
     if response.status == 200
         && let Ok(reply) = serde_json::from_str::<PublishReply>(&response.body)
@@ -113,24 +122,24 @@
     ))
 }
 
-/// A rule that empties one listed object for as long as it stands.
+/// A rule that keeps work off one host or failure domain until the rule is removed.
 pub(crate) struct ExclusionRule<'a> {
-    /// Kind of the rule, and what its name begins with.
+    /// Kind of the rule, which is also the prefix of its name.
     pub(crate) kind: &'a str,
     /// Key under which the rule names the object.
     pub(crate) key: &'a str,
-    /// What the object is, in words, and its name.
+    /// Kind of the object in words, and its name.
     pub(crate) object: &'a str,
     pub(crate) name: &'a str,
-    /// What is said of an object that is emptied already.
+    /// State that is printed for an object that has the rule already.
     pub(crate) active_text: &'a str,
-    /// The inventory in force lists the object, and has the rule.
+    /// Whether the inventory in force lists the object, and whether it has the rule.
     pub(crate) is_listed: bool,
     pub(crate) is_active: bool,
 }
 
-/// Publishes the rule, or removes it to `undo` it, and gives the version that is then in force;
-/// `None` if nothing had to be done, which is said.
+/// Publishes the rule, or removes it with `undo`, and returns the version that is then in force;
+/// prints a message and returns `None` if there is nothing to do.
 ///
 /// # Errors
 ///
@@ -153,12 +162,12 @@
     } = *rule;
     if !is_listed {
         let detail = format!(
-            "the inventory in force lists no {object} `{name}`. Look with `goldcrestway get FILE`"
+            "the inventory in force lists no {object} `{name}`. List them with `goldcrestway get FILE`"
         );
         return Err(Fault::Declined(detail.into()));
     }
     if is_active != undo {
-        let state = if undo { "takes work" } else { active_text };
+        let state = if undo { "accepts work" } else { active_text };
         println!("nothing to do: {name} {state}");
         return Ok(None);
     }
@@ -168,11 +177,11 @@
         name: format!("{kind}-{name}").into(),
         values: (!undo).then_some(values),
     };
-    let advice = "Give the command again.";
+    let advice = "Run the command again.";
     publish(entry_hosts, base, &author(given_author), &[change], advice).map(Some)
 }
 
-/// Names who publishes.
+/// Returns the given author, else the name of the user.
 pub(crate) fn author(given: &Option<String>) -> String {
     let from_system = || std::env::var("USER").ok();
     given
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,25 +1,26 @@
-//! `status`: where the entry hosts stand.
+//! `status`: shows the state of the entry hosts.
 
 use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::StatusReply;
 
-/// Show where each entry host stands: whether it may act, its configuration, and
-/// what it owns.
+/// Show the state of each entry host: whether it may act, the version of its
+/// configuration, and the cells that it owns.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Arguments {
-    /// show each cell
+    /// list the cells of each entry host
     #[argh(switch)]
     cells: bool,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
@@ -37,7 +38,7 @@
         let acts = match (status.acts, status.is_stopping) {
             (true, false) => "acts",
             (true, true) => "is stopping",
-            (false, _) => "may not act (no majority has promised, or it must catch up)",
+            (false, _) => "may not act (no majority has granted a lease, or it must catch up)",
         };
         println!(
             "{address} {} {acts}; configuration {}, {} cells, {} requests in flight, sees {} alive",
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -1,20 +1,20 @@
-//! `stop`: end one entry host without cutting anything off.
+//! `stop`: stops one entry host without cutting off requests.
 
 use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
-/// Begin a planned stop of one entry host: it turns unready, answers what is in
-/// flight, passes on what it owns, and ends.
+/// Begin a planned stop of one entry host: it becomes unready, answers the requests in
+/// flight, hands over what it owns, and exits.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "stop")]
 pub(crate) struct Arguments {
-    /// the entry host to stop, as ADDRESS:PORT of its operator address
+    /// operator address of the entry host to stop, as ADDRESS:PORT
     #[argh(positional)]
     entry: String,
 }
 
-/// Asks the entry host to stop.
+/// Requests the planned stop.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let entry_hosts = EntryHosts::new(std::slice::from_ref(&arguments.entry), &None)?;
     entry_hosts.post("stopping an entry host", "/v1/stop", &())?;
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,12 +1,12 @@
-//! `submit`: have a job run once.
+//! `submit`: runs a job once.
 
 use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::JobRequest;
 
-/// Submit a job that the inventory lists. Giving the same --id again asks for its
-/// state and never runs it twice.
+/// Submit a job that the inventory lists. With an --id that was used before, show the
+/// state of that run; the job never runs twice.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub(crate) struct Arguments {
@@ -16,13 +16,14 @@
     /// identity of this run, unique within its team
     #[argh(option)]
     id: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`: what happened, over all entry hosts.
+//! `timeline`: shows the events of all entry hosts.
 
 use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
@@ -9,27 +9,28 @@
 use goldcrestway_events::merge;
 use goldcrestway_events::render_page;
 
-/// Show the events of all entry hosts in one order.
+/// Show the events of all entry hosts in a single order.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "timeline")]
 pub(crate) struct Arguments {
-    /// keep only what is about this request, job, cell or member
+    /// show only events about this request, job, cell or member; with --html, highlight them
     #[argh(option)]
     follow: Option<String>,
-    /// keep the latest so many events, and earlier ones that say who may act or what
-    /// is followed; default 1000
+    /// number of latest events to show, in addition to earlier events about ownership, the
+    /// log, or what --follow names; default 1000
     #[argh(option, default = "1000")]
     most: usize,
-    /// write a self-contained page to this file
+    /// write a self-contained HTML page to this file
     #[argh(option)]
     html: Option<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
@@ -46,7 +47,7 @@
         let page = render_page(&events, subject)
             .map_err(|error| Fault::Declined(format!("while writing the page: {error}").into()))?;
         files::write(file, &page)?;
-        println!("{file} holds {} events", events.len());
+        println!("{file} contains {} events", events.len());
         return Ok(());
     }
     if let Some(subject) = &arguments.follow {
@@ -71,9 +72,9 @@
     Ok(())
 }
 
-/// Keeps the latest `most` events, and of earlier ones those that say who may act,
-/// how the log is, or what is followed: without them leases and terms that began
-/// earlier would be missing, and a job would seem to come from nowhere.
+/// Retains the latest `max_events` events, and earlier ones about ownership, the state of
+/// the log or `subject`. Without these, leases and terms of cells that began earlier would
+/// be missing, and so would the start of a job.
 fn limit_events(events: &mut Vec<Entry>, max_events: usize, subject: Option<&str>) {
     const OWNERSHIP_AND_LOG: std::ops::Range<u16> = 1_100..1_300;
     let surplus = events.len().saturating_sub(max_events);
--- a/src/entry_hosts.rs
+++ b/src/entry_hosts.rs
@@ -1,4 +1,5 @@
-//! Talking to entry hosts: any of them serves any command.
+//! HTTP client of the entry hosts. Any entry host serves any command, so requests go to
+//! the first one that answers.
 
 use crate::fault::Fault;
 use crate::files;
@@ -6,27 +7,26 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// Where entry hosts are reached, as options that most commands share.
+/// Operator addresses of the entry hosts, from the options that most commands share.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct EntryHosts {
     addresses: Vec<String>,
 }
 
-/// Where an entry host listens for operators unless options say otherwise.
+/// Address of an entry host if no option gives one.
 const DEFAULT_ADDRESS: &str = "127.0.0.1:8081";
 
-/// What an entry host answered.
+/// Response of an entry host.
 pub(crate) struct HostResponse {
-    /// Its address.
+    /// Address of the entry host.
     pub(crate) address: String,
-    /// HTTP status.
+    /// HTTP status code.
     pub(crate) status: u16,
-    /// Body.
     pub(crate) body: String,
 }
 
 impl HostResponse {
-    /// Gives the detail of problem details, or the body as it is.
+    /// Returns title and detail if the body has problem details, else the body.
     pub(crate) fn detail(&self) -> Box<str> {
         let value: Option<serde_json::Value> = serde_json::from_str(&self.body).ok();
         let part = |key: &str| {
@@ -41,7 +41,11 @@
 }
 
 impl EntryHosts {
-    /// Takes addresses from the options `--entry` and `--settings`.
+    /// Collects the addresses of the options `--entry` and `--settings`.
+    ///
+    /// # Errors
+    ///
+    /// The settings file can't be read or has faults.
     pub(crate) fn new(given: &[String], settings: &Option<String>) -> Result<Self, Fault> {
         let mut addresses = given.to_vec();
         if let Some(file) = settings {
@@ -68,7 +72,11 @@
             .new_agent()
     }
 
-    /// Asks the first entry host that answers.
+    /// Returns the response of the first entry host that answers.
+    ///
+    /// # Errors
+    ///
+    /// No entry host answers.
     pub(crate) fn get(&self, step: &'static str, path: &str) -> Result<HostResponse, Fault> {
         let agent = Self::agent();
         for address in &self.addresses {
@@ -80,7 +88,12 @@
         Err(self.unreachable(step))
     }
 
-    /// Asks all entry hosts; those that do not answer are left out.
+    /// Returns the responses of all entry hosts, each with its address. Hosts that do not
+    /// answer are reported to standard error and left out.
+    ///
+    /// # Errors
+    ///
+    /// No entry host answers, or a response can't be read.
     pub(crate) fn get_all<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -91,7 +104,7 @@
         for address in &self.addresses {
             let sent = agent.get(format!("http://{address}{path}")).call();
             let Some(response) = read_response(address, sent) else {
-                eprintln!("no answer from {address}; its part is missing below");
+                eprintln!("no answer from {address}; its data is missing below");
                 continue;
             };
             match serde_json::from_str(&response.body) {
@@ -111,8 +124,12 @@
         }
     }
 
-    /// Sends to the first entry host that answers, then to the next ones while the
-    /// outcome is unknown. What is sent carries an identity, so that is safe.
+    /// Sends `body` to the first entry host that answers, and to the next ones while the
+    /// outcome is unknown. Sending it again is safe, as the body has an identity.
+    ///
+    /// # Errors
+    ///
+    /// No entry host answers, or none knows the outcome.
     pub(crate) fn post<T: serde::Serialize>(
         &self,
         step: &'static str,
--- a/src/files.rs
+++ b/src/files.rs
@@ -1,5 +1,5 @@
-//! The operator's inventory file, and the copy beside it that remembers which
-//! published version it was edited from.
+//! The operator's inventory file, and `FILE.base` beside it: a copy of the published
+//! version that the file was edited from.
 
 use crate::fault::Fault;
 use goldcrestway_inventory::Inventory;
@@ -7,24 +7,33 @@
 use goldcrestway_inventory::load_sections;
 use goldcrestway_inventory::render;
 
-/// First words of a copy, before the version.
+/// Start of the first line of `FILE.base`, before the version.
 const BASE_PREFIX: &str = "# base: ";
 
-/// The version that a file was edited from.
+/// The published version that a file was edited from.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Base {
-    /// Its version; 0 if the file was never published.
+    /// Its number; 0 if the file was never published.
     pub(crate) version: u64,
     /// Its sections.
     pub(crate) sections: Sections,
 }
 
-/// Reads a file.
+/// Reads a text file.
+///
+/// # Errors
+///
+/// The file can't be read.
 pub(crate) fn read(file: &str) -> Result<String, Fault> {
     std::fs::read_to_string(file).map_err(|error| Fault::File("reading", file.into(), error))
 }
 
-/// Writes a file in one step, so that nothing is lost if writing fails.
+/// Replaces a file atomically, through `FILE.new`, so that a failure does not destroy the
+/// previous content.
+///
+/// # Errors
+///
+/// Either file can't be written.
 pub(crate) fn write(file: &str, text: &str) -> Result<(), Fault> {
     let fault = |error| Fault::File("writing", file.into(), error);
     let temporary = format!("{file}.new");
@@ -33,6 +42,10 @@
 }
 
 /// Reads and checks an inventory.
+///
+/// # Errors
+///
+/// The file can't be read or has faults.
 pub(crate) fn load(file: &str) -> Result<(Sections, Inventory), Fault> {
     Ok(load_sections(file, &read(file)?)?)
 }
@@ -41,7 +54,11 @@
     format!("{file}.base")
 }
 
-/// Reads the copy beside `file`; a file without one was never published.
+/// Reads `FILE.base`; returns version 0 if there is none, as the file was never published.
+///
+/// # Errors
+///
+/// `FILE.base` can't be read or has faults.
 pub(crate) fn load_base(file: &str) -> Result<Base, Fault> {
     let name = base_path(file);
     let text = match std::fs::read_to_string(&name) {
@@ -63,7 +80,11 @@
     Ok(Base { version, sections })
 }
 
-/// Remembers beside `file` that it now stands on `base`.
+/// Writes `FILE.base`, which records that `file` is now based on `base`.
+///
+/// # Errors
+///
+/// `FILE.base` can't be written.
 pub(crate) fn write_base(file: &str, base: &Base) -> Result<(), Fault> {
     let text = format!("{BASE_PREFIX}{}\n{}", base.version, render(&base.sections));
     write(&base_path(file), &text)
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The operator's tool.
+//! The command-line tool for operators.
 
 mod cmd;
 mod entry_hosts;
@@ -9,10 +9,10 @@
 use cmd::Command;
 use std::process::ExitCode;
 
-/// The operator's tool of goldcrestway. Edit the inventory, `check` it, look at the
-/// `diff`, and `publish` it; `status`, `explain` and `timeline` tell what happens.
+/// Manage goldcrestway. Edit the inventory, `check` it, show the `diff`, and `publish` it;
+/// `status`, `explain` and `timeline` show what the entry hosts do.
 /// Exit codes: 0 done, 1 refused or failed, 2 faulty file or arguments, 3 the
-/// outcome is not known yet and the same command should be given again.
+/// outcome is not known yet: run the same command again.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
