--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -26,5 +26,5 @@
 pub use page::render_page;
 pub use timeline::Entry;
 pub use timeline::Recorder;
-pub use timeline::follow;
+pub use timeline::filter_by_subject;
 pub use timeline::merge;
--- a/crates/events/src/logging.rs
+++ b/crates/events/src/logging.rs
@@ -28,14 +28,14 @@
 
 /// Lines that wait to be written at most. A reader that is slower loses lines, and never
 /// holds the process up.
-const LINES_WAITING_MOST: usize = 4_096;
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 /// Starts logging JSON lines to standard output from a thread of its own, so that a slow
 /// reader does not hold the process up. The guard writes what waits when it is dropped.
 pub fn start_bounded_logging() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES_WAITING_MOST)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(io::stdout());
     // An error means that logging has started already, which is fine.
     let _ = tracing_subscriber::fmt()
--- a/crates/events/src/page.rs
+++ b/crates/events/src/page.rs
@@ -1,7 +1,7 @@
 //! The time line as one self-contained page.
 
 use crate::timeline::Entry;
-use crate::timeline::follow;
+use crate::timeline::filter_by_subject;
 use minijinja::Environment;
 use minijinja::Value;
 use minijinja::value::Serde;
@@ -11,16 +11,16 @@
 
 const TEMPLATE: &str = include_str!("timeline.html");
 /// Width that all lanes share, and the least that one gets.
-const BOARD_WIDTH_PX: u64 = 1_080;
-const LEAST_LANE_PX: u64 = 190;
-const WIDEST_LANE_PX: u64 = 360;
+const TOTAL_LANE_WIDTH_PX: u64 = 1_080;
+const MIN_LANE_WIDTH_PX: u64 = 190;
+const MAX_LANE_WIDTH_PX: u64 = 360;
 const ROW_HEIGHT_PX: u64 = 16;
 
 /// Numbers of the events that begin and end a band.
-const LOG_AWAY: u16 = 1201;
-const LOG_BACK: u16 = 1202;
+const LOG_UNAVAILABLE: u16 = 1201;
+const LOG_AVAILABLE: u16 = 1202;
 const CELL_OPENED: u16 = 1106;
-const CELL_GONE: u16 = 1107;
+const CELL_CLOSED: u16 = 1107;
 const LEASE_GAINED: u16 = 1101;
 const LEASE_LOST: u16 = 1102;
 
@@ -67,10 +67,10 @@
     let lanes: BTreeSet<&str> = entries.iter().map(|entry| &*entry.process).collect();
     let lanes: Vec<&str> = lanes.into_iter().collect();
     let followed = subject
-        .map(|subject| follow(entries, subject))
+        .map(|subject| filter_by_subject(entries, subject))
         .unwrap_or_default();
-    let lane_px = BOARD_WIDTH_PX / lanes.len().max(1) as u64;
-    let lane_px = lane_px.clamp(LEAST_LANE_PX, WIDEST_LANE_PX);
+    let lane_px = TOTAL_LANE_WIDTH_PX / lanes.len().max(1) as u64;
+    let lane_px = lane_px.clamp(MIN_LANE_WIDTH_PX, MAX_LANE_WIDTH_PX);
     let start_ms = entries.first().map_or(0, |entry| entry.stamp.wall_ms());
     let rows: Vec<Row> = entries
         .iter()
@@ -109,9 +109,9 @@
 /// Finds outages of the log, leases and terms of cells as bands of their lanes.
 fn bands(entries: &[Entry], lanes: &[&str], lane_px: u64) -> Vec<Band> {
     let pairs = [
-        (LOG_AWAY, LOG_BACK, "outage"),
+        (LOG_UNAVAILABLE, LOG_AVAILABLE, "outage"),
         (LEASE_GAINED, LEASE_LOST, "lease"),
-        (CELL_OPENED, CELL_GONE, "term"),
+        (CELL_OPENED, CELL_CLOSED, "term"),
     ];
     let mut bands = Vec::new();
     let end_px = entries.len() as u64 * ROW_HEIGHT_PX;
--- a/crates/events/src/timeline.rs
+++ b/crates/events/src/timeline.rs
@@ -25,15 +25,15 @@
 /// Keeps the latest events of one process.
 #[derive(Debug, Clone)]
 pub struct Recorder {
-    most: usize,
+    capacity: usize,
     entries: VecDeque<Entry>,
 }
 
 impl Recorder {
     /// Makes a recorder for `most` events.
-    pub fn new(most: usize) -> Self {
+    pub fn new(capacity: usize) -> Self {
         Self {
-            most,
+            capacity,
             entries: VecDeque::new(),
         }
     }
@@ -41,7 +41,7 @@
     /// Adds an event and drops the oldest beyond the bound.
     pub fn add(&mut self, entry: Entry) {
         self.entries.push_back(entry);
-        if self.entries.len() > self.most {
+        if self.entries.len() > self.capacity {
             self.entries.pop_front();
         }
     }
@@ -63,7 +63,7 @@
 }
 
 /// Keeps the events about one request, job, cell or member.
-pub fn follow(entries: &[Entry], subject: &str) -> Vec<Entry> {
+pub fn filter_by_subject(entries: &[Entry], subject: &str) -> Vec<Entry> {
     let about = |entry: &&Entry| &*entry.subject == subject || entry.detail.contains(subject);
     entries.iter().filter(about).cloned().collect()
 }
--- a/crates/inventory/src/change.rs
+++ b/crates/inventory/src/change.rs
@@ -54,15 +54,15 @@
 pub fn apply(sections: &mut Sections, changes: &[Change]) -> Result<Inventory, Faults> {
     // Changes are made in place and taken back if the result is faulty: copying a
     // large inventory for each small change would cost far more.
-    let mut former = Vec::new();
+    let mut previous = Vec::new();
     for change in changes {
         let identity = (change.kind.clone(), change.name.clone());
         let section = change.values.as_ref().map(|values| Section {
             values: values.clone(),
             ..Section::default()
         });
-        let before = put(sections, identity.clone(), section);
-        former.push((identity, before));
+        let before = replace_section(sections, identity.clone(), section);
+        previous.push((identity, before));
     }
     let inventory = build(sections);
     let mut faults = Faults::new("published inventory");
@@ -70,14 +70,14 @@
     if faults.is_empty() {
         return Ok(inventory);
     }
-    for (identity, before) in former.into_iter().rev() {
-        put(sections, identity, before);
+    for (identity, before) in previous.into_iter().rev() {
+        replace_section(sections, identity, before);
     }
     Err(faults)
 }
 
 /// Puts a section in place, or takes it away; gives what stood there.
-fn put(
+fn replace_section(
     sections: &mut Sections,
     identity: (Box<str>, Box<str>),
     section: Option<Section>,
--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -50,8 +50,8 @@
                 Some(near) => format!("Did you mean `{near}`?"),
                 None => format!("Add a section `[{target} {value}]` or correct the name."),
             };
-            let wrong = format!("{kind} `{name}` names {target} `{value}`, which is not listed");
-            faults.add(section.line_of(key), wrong, remedy);
+            let problem = format!("{kind} `{name}` names {target} `{value}`, which is not listed");
+            faults.add(section.line_of(key), problem, remedy);
         }
     }
 }
@@ -69,10 +69,10 @@
 ];
 
 /// A service and a job that a rule speaks of.
-type Pair = (Box<str>, Box<str>);
+type ServiceAndJob = (Box<str>, Box<str>);
 
 fn check_rules(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
-    let mut shares: BTreeMap<Pair, (Box<str>, Box<str>)> = BTreeMap::new();
+    let mut sharing_rules: BTreeMap<ServiceAndJob, (Box<str>, Box<str>)> = BTreeMap::new();
     let mut quotas: BTreeMap<Box<str>, Box<str>> = BTreeMap::new();
     for ((section_kind, name), section) in sections {
         if &**section_kind != "rule" {
@@ -84,7 +84,7 @@
         match &*kind {
             "may-share" | "never-share" => {
                 let pair = (value("service"), value("job"));
-                if let Some((other, other_kind)) = shares.get(&pair)
+                if let Some((other, other_kind)) = sharing_rules.get(&pair)
                     && *other_kind != kind
                 {
                     faults.add(
@@ -93,7 +93,7 @@
                         "Remove one of the two.",
                     );
                 }
-                shares.insert(pair, (name.clone(), kind));
+                sharing_rules.insert(pair, (name.clone(), kind));
             }
             "quota" => {
                 if let Some(other) = quotas.insert(value("team"), name.clone()) {
@@ -111,10 +111,11 @@
 }
 
 fn check_rule_keys(name: &str, kind: &str, section: &Section, faults: &mut Faults) {
-    let Some((_, needed, allowed)) = RULE_KEYS.iter().find(|(known, _, _)| *known == kind) else {
+    let Some((_, required, optional)) = RULE_KEYS.iter().find(|(known, _, _)| *known == kind)
+    else {
         return;
     };
-    for key in *needed {
+    for key in *required {
         if !section.values.contains_key(*key) {
             faults.add(
                 section.line,
@@ -124,7 +125,7 @@
         }
     }
     for key in section.values.keys() {
-        if &**key == "kind" || needed.contains(&&**key) || allowed.contains(&&**key) {
+        if &**key == "kind" || required.contains(&&**key) || optional.contains(&&**key) {
             continue;
         }
         faults.add(
@@ -138,7 +139,7 @@
 fn check_spread(name: &str, section: &Section, inventory: &Inventory, faults: &mut Faults) {
     let service = section.values.get("service").cloned().unwrap_or_default();
     let value = section.values.get("failure_domains");
-    let wanted: usize = value.and_then(|text| text.parse().ok()).unwrap_or(2);
+    let required: usize = value.and_then(|text| text.parse().ok()).unwrap_or(2);
     let mut domains = BTreeSet::new();
     for upstream in inventory.upstreams.values() {
         if upstream.service != service {
@@ -148,11 +149,11 @@
             domains.insert(host.failure_domain.clone());
         }
     }
-    if domains.len() < wanted {
+    if domains.len() < required {
         faults.add(
             section.line,
             format!(
-                "rule `{name}` spreads service `{service}` over {wanted} failure domains, but its upstreams stand in {}",
+                "rule `{name}` spreads service `{service}` over {required} failure domains, but its upstreams stand in {}",
                 domains.len()
             ),
             "List upstreams on hosts of further failure domains or lower `failure_domains`.",
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -9,8 +9,8 @@
     #[expect(missing_docs, reason = "The macro passes no comments on to fields.")]
     pub enum Fault {
         /// A fault at a line of a file; lines count from 1.
-        At { file: Box<str>, line: usize, wrong: Box<str>, remedy: Box<str> } {
-            display("{}:{}: {}. {}", file, line, wrong, remedy)
+        At { file: Box<str>, line: usize, problem: Box<str>, remedy: Box<str> } {
+            display("{}:{}: {}. {}", file, line, problem, remedy)
         }
     }
 }
@@ -32,11 +32,11 @@
     }
 
     /// Adds a fault at `line`.
-    pub fn add(&mut self, line: usize, wrong: impl Into<String>, remedy: impl Into<String>) {
+    pub fn add(&mut self, line: usize, problem: impl Into<String>, remedy: impl Into<String>) {
         self.list.push(Fault::At {
             file: self.file.clone(),
             line,
-            wrong: wrong.into().into(),
+            problem: problem.into().into(),
             remedy: remedy.into().into(),
         });
     }
--- a/crates/inventory/src/model.rs
+++ b/crates/inventory/src/model.rs
@@ -16,10 +16,10 @@
 
 impl Resources {
     /// Tells whether `self` fits into `room`.
-    pub fn fits(self, room: Resources) -> bool {
-        self.millicores <= room.millicores
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    pub fn fits(self, available: Resources) -> bool {
+        self.millicores <= available.millicores
+            && self.memory_mb <= available.memory_mb
+            && self.accelerators <= available.accelerators
     }
 
     /// Adds `other`.
@@ -171,16 +171,16 @@
 
     /// Names the jobs that rules keep off `host`.
     pub fn excluded_jobs(&self, host: &str) -> Vec<Box<str>> {
-        let mut barred = Vec::new();
+        let mut excluded = Vec::new();
         for rule in &self.rules {
             let Rule::NeverShare { service, job } = rule else {
                 continue;
             };
             if self.services_on(host).contains(service) {
-                barred.push(job.clone());
+                excluded.push(job.clone());
             }
         }
-        barred
+        excluded
     }
 
     /// Tells whether operators drain `host`.
@@ -247,8 +247,8 @@
                 continue;
             }
             large_enough = true;
-            let barring = self.services_on(host_name);
-            if !barring
+            let services = self.services_on(host_name);
+            if !services
                 .iter()
                 .any(|service| self.forbids_sharing(service, name))
             {
--- a/crates/inventory/src/schema.rs
+++ b/crates/inventory/src/schema.rs
@@ -74,7 +74,7 @@
     min: 1,
     max: 64_000_000,
 };
-const FEW: Value = Value::Whole { min: 0, max: 1_024 };
+const OPTIONAL_COUNT: Value = Value::Whole { min: 0, max: 1_024 };
 
 /// The words that the key `kind` of a rule accepts.
 pub(crate) const RULE_KINDS: &[&str] = &[
@@ -104,7 +104,7 @@
                 Field::required("rack", Value::Text),
                 Field::required("cores", Value::Cores),
                 Field::required("memory_mb", MEGABYTES),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
             ],
         },
         SectionSchema {
@@ -114,7 +114,7 @@
                 Field::required("team", Value::Text),
                 Field::required("cores", Value::Cores),
                 Field::required("memory_mb", MEGABYTES),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
                 Field::optional("slots", COUNT, "8"),
                 Field::optional("connections", COUNT, "64"),
                 Field::optional(
@@ -155,7 +155,7 @@
                 Field::required("team", Value::Text),
                 Field::required("cores", Value::Cores),
                 Field::required("memory_mb", MEGABYTES),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
                 Field::optional(
                     "run_time_s",
                     Value::Whole {
@@ -178,7 +178,7 @@
                 Field::optional("failure_domain", Value::Text, ""),
                 Field::optional("cores", Value::Cores, "0"),
                 Field::optional("memory_mb", MEGABYTES, "0"),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
                 Field::optional("failure_domains", Value::Whole { min: 2, max: 20 }, "2"),
             ],
         },
@@ -187,16 +187,16 @@
 
 /// Finds the candidate that looks most like `word`, for a remedy.
 pub fn closest<'a>(word: &str, candidates: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    const TOO_FAR: usize = 4;
+    const DISTANCE_LIMIT: usize = 4;
     candidates
-        .map(|candidate| (edits(word, candidate), candidate))
-        .filter(|(distance, _)| *distance < TOO_FAR)
+        .map(|candidate| (edit_distance(word, candidate), candidate))
+        .filter(|(distance, _)| *distance < DISTANCE_LIMIT)
         .min()
         .map(|(_, candidate)| candidate)
 }
 
 /// Counts the single-letter edits between two words.
-fn edits(first: &str, second: &str) -> usize {
+fn edit_distance(first: &str, second: &str) -> usize {
     let second: Vec<char> = second.chars().collect();
     let mut row: Vec<usize> = (0..=second.len()).collect();
     for (line, left) in first.chars().enumerate() {
--- a/crates/inventory/src/sections.rs
+++ b/crates/inventory/src/sections.rs
@@ -56,16 +56,16 @@
             continue;
         }
         if raw.starts_with('[') {
-            let wrong = format!("the heading `{raw}` is not closed");
-            faults.add(line, wrong, "End it with `]`, alone on its line.");
+            let problem = format!("the heading `{raw}` is not closed");
+            faults.add(line, problem, "End it with `]`, alone on its line.");
             current = None;
             continue;
         }
         let Some((key, value)) = raw.split_once('=') else {
-            let wrong = format!("`{raw}` is neither a heading nor a key with a value");
+            let problem = format!("`{raw}` is neither a heading nor a key with a value");
             faults.add(
                 line,
-                wrong,
+                problem,
                 "Write `[kind name]`, `key = value`, or begin it with `#`.",
             );
             continue;
@@ -117,8 +117,8 @@
         faults.add(line, format!("unknown kind of section `{kind}`"), remedy);
         return None;
     };
-    let good = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if name.is_empty() != known.is_single || !name.chars().all(good) {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    if name.is_empty() != known.is_single || !name.chars().all(is_allowed) {
         faults.add(
             line,
             format!("section `[{heading}]` has no usable name"),
@@ -172,7 +172,7 @@
         faults.add(line, format!("unknown key `{key}` of a {kind}"), remedy);
         return;
     };
-    if let Some(remedy) = unfit(field.value, value) {
+    if let Some(remedy) = value_remedy(field.value, value) {
         faults.add(line, format!("`{key} = {value}` can't be read"), remedy);
         return;
     }
@@ -189,7 +189,7 @@
 }
 
 /// Gives the remedy when `text` is not written as `value` asks.
-fn unfit(value: Value, text: &str) -> Option<String> {
+fn value_remedy(value: Value, text: &str) -> Option<String> {
     match value {
         Value::Text if text.is_empty() => Some("Give a value or remove the line.".into()),
         Value::Text => None,
@@ -203,7 +203,7 @@
             None => Some("Write a number of cores from 0.001 to 4096, such as 0.5 or 16.".into()),
         },
         Value::Megabits => match text.parse::<f64>() {
-            Ok(width) if (0.1..=1_000_000.0).contains(&width) => None,
+            Ok(megabits) if (0.1..=1_000_000.0).contains(&megabits) => None,
             _ => Some("Write megabits a second from 0.1 to 1000000, such as 2.5 or 1000.".into()),
         },
         Value::OneOf(words) if words.contains(&text) => None,
@@ -213,9 +213,9 @@
 
 /// Reads a number of cores as thousandths of a core.
 pub(crate) fn millicores(text: &str) -> Option<u32> {
-    const MOST_CORES: f64 = 4096.0;
+    const MAX_CORES: f64 = 4096.0;
     let cores: f64 = text.parse().ok()?;
-    if !(0.001..=MOST_CORES).contains(&cores) {
+    if !(0.001..=MAX_CORES).contains(&cores) {
         return None;
     }
     Some((cores * 1000.0).round() as u32)
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -5,7 +5,7 @@
 use crate::files;
 use argh::FromArgs;
 use goldcrestway_events::Entry;
-use goldcrestway_events::follow;
+use goldcrestway_events::filter_by_subject;
 use goldcrestway_events::merge;
 use goldcrestway_events::render_page;
 
@@ -51,7 +51,7 @@
         return Ok(());
     }
     if let Some(subject) = &arguments.follow {
-        events = follow(&events, subject);
+        events = filter_by_subject(&events, subject);
     }
     if arguments.json {
         println!("{}", serde_json::json!(events));
@@ -80,7 +80,7 @@
     let surplus = events.len().saturating_sub(max_events);
     let earlier: Vec<Entry> = events.drain(..surplus).collect();
     let followed = subject
-        .map(|subject| follow(&earlier, subject))
+        .map(|subject| filter_by_subject(&earlier, subject))
         .unwrap_or_default();
     let kept = earlier
         .into_iter()
