--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -47,7 +47,7 @@
             }
             let names = sections.keys().filter(|(kind, _)| &**kind == *target);
             let remedy = match closest(value, names.map(|(_, name)| &**name)) {
-                Some(near) => format!("Did you mean `{near}`?"),
+                Some(suggestion) => format!("Did you mean `{suggestion}`?"),
                 None => format!("Add a section `[{target} {value}]` or correct the name."),
             };
             let problem = format!("{kind} `{name}` names {target} `{value}`, which is not listed");
--- a/crates/inventory/src/sections.rs
+++ b/crates/inventory/src/sections.rs
@@ -111,13 +111,13 @@
     let Some(known) = known else {
         let kinds = schema.iter().map(|known| known.kind);
         let remedy = match closest(kind, kinds.clone()) {
-            Some(near) => format!("Did you mean `[{near} {name}]`?"),
+            Some(suggestion) => format!("Did you mean `[{suggestion} {name}]`?"),
             None => format!("Use one of: {}.", kinds.collect::<Vec<_>>().join(", ")),
         };
         faults.add(line, format!("unknown kind of section `{kind}`"), remedy);
         return None;
     };
-    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.is_empty() != known.is_single || !name.chars().all(is_allowed) {
         faults.add(
             line,
@@ -165,7 +165,7 @@
         let keys = known.fields.iter().map(|field| field.key);
         let prefixed = keys.clone().find(|known| known.starts_with(key));
         let remedy = match prefixed.or_else(|| closest(key, keys.clone())) {
-            Some(near) => format!("Did you mean `{near}`?"),
+            Some(suggestion) => format!("Did you mean `{suggestion}`?"),
             None if known.fields.is_empty() => format!("A {kind} takes no keys; remove the line."),
             None => format!("A {kind} takes: {}.", keys.collect::<Vec<_>>().join(", ")),
         };
