--- a/src/cmd/shared.rs
+++ b/src/cmd/shared.rs
@@ -128,13 +128,15 @@
     pub(crate) kind: &'a str,
     /// Key under which the rule names the object.
     pub(crate) key: &'a str,
-    /// Kind of the object in words, and its name.
+    /// Kind of the object, in words.
     pub(crate) object: &'a str,
+    /// Name of the object.
     pub(crate) name: &'a str,
     /// State that is printed for an object that has the rule already.
     pub(crate) active_text: &'a str,
-    /// Whether the inventory in force lists the object, and whether it has the rule.
+    /// Whether the inventory in force lists the object.
     pub(crate) is_listed: bool,
+    /// Whether the inventory in force has the rule.
     pub(crate) is_active: bool,
 }
 
