--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -217,7 +217,7 @@
     }
     for key in ["log_url", "host_list_url"] {
         if !text_of(daemon, key).starts_with("http://") && daemon.values.contains_key(key) {
-            let problem = format!("`{key}` is no URL of the platform");
+            let problem = format!("`{key}` is not a URL of the platform");
             faults.add(
                 daemon.line_of(key),
                 problem,
@@ -282,11 +282,11 @@
         let text = text_of(section, key);
         let parsed: Result<SocketAddr, _> = text.parse();
         if parsed.is_err() && !text.is_empty() {
-            let problem = format!("`{key} = {text}` is no address");
+            let problem = format!("`{key} = {text}` is not an IP address and port");
             faults.add(
                 section.line_of(key),
                 problem,
-                "Write an IP number and a port, such as 10.0.0.1:8080.",
+                "Write an IP address and a port, such as 10.0.0.1:8080.",
             );
         }
         parsed.ok()
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,5 +1,5 @@
-//! Events over all processes: a clock that orders them, logs that carry them, and
-//! a time line that merges them.
+//! Events of all processes: a clock that orders them, logs that record them, and a
+//! timeline that merges them.
 //!
 //! ```
 //! use goldcrestway_events::Clock;
@@ -7,7 +7,7 @@
 //! let mut first = Clock::default();
 //! let mut second = Clock::default();
 //! let sent = first.tick(1_000);
-//! // The second process's wall clock runs behind, yet its event comes later.
+//! // The wall clock of the second process is behind, but its event is later.
 //! let received = second.receive(990, sent);
 //! assert!(received > sent);
 //! ```
--- a/crates/events/src/logging.rs
+++ b/crates/events/src/logging.rs
@@ -1,16 +1,16 @@
-//! Numbered events as logs, through `tracing`.
+//! Writes numbered events to the log, through `tracing`.
 
 use crate::timeline::Entry;
 use std::io;
 use tracing_appender::non_blocking::NonBlockingBuilder;
 use tracing_appender::non_blocking::WorkerGuard;
 
-/// How logs are written.
+/// Format of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Style {
-    /// A line for people.
+    /// One readable line per event.
     Readable,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -19,25 +19,25 @@
     let builder = tracing_subscriber::fmt()
         .with_writer(io::stderr)
         .with_target(false);
-    // An error means that logging has started already, which is fine.
+    // An error only means that logging was started before.
     let _ = match style {
         Style::Readable => builder.try_init(),
         Style::Json => builder.json().try_init(),
     };
 }
 
-/// Lines that wait to be written at most. A reader that is slower loses lines, and never
-/// holds the process up.
+/// Number of lines that may wait to be written. If the reader is slower, lines are dropped
+/// and the process is not blocked.
 const MAX_BUFFERED_LINES: usize = 4_096;
 
 /// Starts logging JSON lines to standard output from a thread of its own, so that a slow
-/// reader does not hold the process up. The guard writes what waits when it is dropped.
+/// reader does not block the process. The guard writes the waiting lines when it is dropped.
 pub fn start_bounded_logging() -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
         .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(io::stdout());
-    // An error means that logging has started already, which is fine.
+    // An error only means that logging was started before.
     let _ = tracing_subscriber::fmt()
         .with_writer(writer)
         .with_target(false)
--- a/crates/events/src/page.rs
+++ b/crates/events/src/page.rs
@@ -1,4 +1,4 @@
-//! The time line as one self-contained page.
+//! Renders the timeline as a self-contained HTML page.
 
 use crate::timeline::Entry;
 use crate::timeline::filter_by_subject;
@@ -10,13 +10,13 @@
 use std::collections::BTreeSet;
 
 const TEMPLATE: &str = include_str!("timeline.html");
-/// Width that all lanes share, and the least that one gets.
+/// Total width of all lanes, within the limits for one lane.
 const TOTAL_LANE_WIDTH_PX: u64 = 1_080;
 const MIN_LANE_WIDTH_PX: u64 = 190;
 const MAX_LANE_WIDTH_PX: u64 = 360;
 const ROW_HEIGHT_PX: u64 = 16;
 
-/// Numbers of the events that begin and end a band.
+/// Numbers of the events that begin and end a band of the page.
 const LOG_UNAVAILABLE: u16 = 1201;
 const LOG_AVAILABLE: u16 = 1202;
 const CELL_OPENED: u16 = 1106;
@@ -56,13 +56,13 @@
     label: String,
 }
 
-/// Renders events, already merged, as a page that needs nothing else.
+/// Renders merged events as a page that loads no other file.
 ///
-/// `subject` names a request, job or cell that is followed through all lanes.
+/// `subject` names a request, job, cell or member whose events are highlighted.
 ///
 /// # Errors
 ///
-/// When the template can't be filled in, which is a fault of the program.
+/// If the template can't be rendered, which is a bug.
 pub fn render_page(entries: &[Entry], subject: Option<&str>) -> Result<String, minijinja::Error> {
     let lanes: BTreeSet<&str> = entries.iter().map(|entry| &*entry.process).collect();
     let lanes: Vec<&str> = lanes.into_iter().collect();
@@ -106,7 +106,7 @@
     lane.unwrap_or(0) as u64 * lane_px
 }
 
-/// Finds outages of the log, leases and terms of cells as bands of their lanes.
+/// Returns the outages of the log, the leases and the terms of cells as bands of their lanes.
 fn bands(entries: &[Entry], lanes: &[&str], lane_px: u64) -> Vec<Band> {
     let pairs = [
         (LOG_UNAVAILABLE, LOG_AVAILABLE, "outage"),
--- a/crates/events/src/timeline.rs
+++ b/crates/events/src/timeline.rs
@@ -1,28 +1,28 @@
-//! Events of many processes in one order.
+//! Events of several processes in a single order.
 
 use crate::clock::Stamp;
 use serde::Deserialize;
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// One event as it is kept and passed on.
+/// One recorded event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When, by the hybrid clock.
+    /// Time of the event, by the hybrid logical clock.
     pub stamp: Stamp,
-    /// Which process.
+    /// Name of the process that recorded it.
     pub process: Box<str>,
-    /// Number of the event, from the catalogue.
+    /// Number of the event in the catalogue of events.
     pub code: u16,
     /// Name of the event.
     pub name: Box<str>,
-    /// What it is about.
+    /// Request, job, cell, member or address that it is about.
     pub subject: Box<str>,
-    /// Details in words.
+    /// Details, as text.
     pub detail: Box<str>,
 }
 
-/// Keeps the latest events of one process.
+/// Retains the latest events of one process.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     capacity: usize,
@@ -30,7 +30,7 @@
 }
 
 impl Recorder {
-    /// Makes a recorder for `most` events.
+    /// Creates a recorder that retains `capacity` events.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds an event and drops the oldest beyond the bound.
+    /// Adds an event; drops the oldest one beyond the capacity.
     pub fn add(&mut self, entry: Entry) {
         self.entries.push_back(entry);
         if self.entries.len() > self.capacity {
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Lists the events from oldest to latest.
+    /// Returns the events, oldest first.
     pub fn list(&self) -> Vec<Entry> {
         self.entries.iter().cloned().collect()
     }
 }
 
-/// Merges the events of several processes into one order.
+/// Merges the events of several processes, in the order of their stamps.
 pub fn merge(lists: Vec<Vec<Entry>>) -> Vec<Entry> {
     let mut merged: Vec<Entry> = lists.into_iter().flatten().collect();
     merged.sort_by(|left, right| {
@@ -62,7 +62,7 @@
     merged
 }
 
-/// Keeps the events about one request, job, cell or member.
+/// Returns the events about one request, job, cell or member.
 pub fn filter_by_subject(entries: &[Entry], subject: &str) -> Vec<Entry> {
     let about = |entry: &&Entry| &*entry.subject == subject || entry.detail.contains(subject);
     entries.iter().filter(about).cloned().collect()
--- a/crates/inventory/src/build.rs
+++ b/crates/inventory/src/build.rs
@@ -1,4 +1,4 @@
-//! Sections become a typed, checked inventory.
+//! Builds a typed, checked inventory from sections.
 
 use crate::check::check;
 use crate::fault::Faults;
@@ -16,20 +16,20 @@
 use crate::sections::millicores;
 use crate::sections::read;
 
-/// Reads and checks an inventory; `file` only names it in faults.
+/// Reads and checks an inventory from `text`; `file` is the name that faults show.
 ///
 /// # Errors
 ///
-/// All faults at once, in the order of their lines.
+/// All faults of the inventory, in the order of their lines.
 pub fn load(file: &str, text: &str) -> Result<Inventory, Faults> {
     load_sections(file, text).map(|(_, inventory)| inventory)
 }
 
-/// Does as [`load`] and also gives the sections, for comparing and publishing.
+/// Like [`load`], but also returns the sections, which are compared and published.
 ///
 /// # Errors
 ///
-/// All faults at once, in the order of their lines.
+/// All faults of the inventory, in the order of their lines.
 pub fn load_sections(file: &str, text: &str) -> Result<(Sections, Inventory), Faults> {
     let mut faults = Faults::new(file);
     let sections = read(text, InventorySchema::SECTIONS, &mut faults);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Builds the typed inventory from sections whose shape is already checked.
+/// Builds the typed inventory from sections whose keys and values are already checked.
 pub(crate) fn build(sections: &Sections) -> Inventory {
     let mut inventory = Inventory::default();
     for ((kind, name), section) in sections {
--- a/crates/inventory/src/change.rs
+++ b/crates/inventory/src/change.rs
@@ -1,4 +1,4 @@
-//! Differences between two inventories: what is published and kept in the log.
+//! Differences between two inventories, which are published and stored in the log.
 
 use crate::build::build;
 use crate::check::check;
@@ -8,18 +8,18 @@
 use crate::sections::Sections;
 use std::collections::BTreeMap;
 
-/// One section that differs; without values it is removed.
+/// One section that is added, changed or removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// Kind of the section.
     pub kind: Box<str>,
     /// Name of the section.
     pub name: Box<str>,
-    /// All values of the section after the change, or `None` if it goes.
+    /// All values of the section after the change, or `None` if it is removed.
     pub values: Option<BTreeMap<Box<str>, Box<str>>>,
 }
 
-/// Lists the sections in which `new` differs from `old`.
+/// Returns the sections in which `new` differs from `old`, removed ones first.
 pub fn compare(old: &Sections, new: &Sections) -> Vec<Change> {
     let mut changes = Vec::new();
     for (kind, name) in old.keys() {
@@ -46,14 +46,14 @@
     changes
 }
 
-/// Applies `changes` to `sections` and checks the whole again.
+/// Applies `changes` to `sections` and returns the resulting inventory.
 ///
 /// # Errors
 ///
-/// The faults of the result; `sections` is then left as it was.
+/// The faults of the resulting inventory; `sections` is then unchanged.
 pub fn apply(sections: &mut Sections, changes: &[Change]) -> Result<Inventory, Faults> {
-    // Changes are made in place and taken back if the result is faulty: copying a
-    // large inventory for each small change would cost far more.
+    // Changes are made in place and reverted if the result has faults: copying a large
+    // inventory for each small change would cost far more.
     let mut previous = Vec::new();
     for change in changes {
         let identity = (change.kind.clone(), change.name.clone());
@@ -76,7 +76,7 @@
     Err(faults)
 }
 
-/// Puts a section in place, or takes it away; gives what stood there.
+/// Inserts a section, or removes it if `section` is `None`; returns the previous one.
 fn replace_section(
     sections: &mut Sections,
     identity: (Box<str>, Box<str>),
@@ -88,25 +88,27 @@
     }
 }
 
-/// Explains the changes that may stop running work, one sentence each.
+/// Returns a sentence for each change that may stop or delay work of `old`.
 pub fn dangers(old: &Inventory, new: &Inventory) -> Vec<String> {
     let mut list = Vec::new();
     for name in old.hosts.keys() {
         if !new.hosts.contains_key(name) {
             list.push(format!(
-                "host `{name}` goes: its tasks are evicted and run elsewhere"
+                "host `{name}` is removed: its tasks are evicted and run elsewhere"
             ));
         }
     }
     for name in old.upstreams.keys() {
         if !new.upstreams.contains_key(name) {
-            list.push(format!("upstream `{name}` goes: it gets no new requests"));
+            list.push(format!(
+                "upstream `{name}` is removed: it gets no new requests"
+            ));
         }
     }
     for name in old.jobs.keys() {
         if !new.jobs.contains_key(name) {
             list.push(format!(
-                "job `{name}` goes: what waits of it is cancelled, what runs goes on"
+                "job `{name}` is removed: waiting runs are cancelled, running ones continue"
             ));
         }
     }
@@ -119,7 +121,7 @@
         };
         if shrinks {
             list.push(format!(
-                "the quota of team `{name}` shrinks: its queued jobs wait longer"
+                "the quota of team `{name}` is lowered: its queued jobs wait longer"
             ));
         }
     }
--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks between sections: references, rules and what can never run.
+//! Checks that need several sections: references, rules, and jobs that can never run.
 
 use crate::fault::Faults;
 use crate::model::Inventory;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Adds every fault that only shows when sections are read together.
+/// Adds the faults that no section has by itself.
 pub(crate) fn check(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
     check_references(sections, inventory, faults);
     check_rules(sections, inventory, faults);
@@ -16,8 +16,8 @@
     check_jobs(sections, inventory, faults);
 }
 
-/// Tells whether something is listed; looks into the typed inventory, since looking
-/// up a section would copy both words.
+/// Returns whether the inventory lists `name`. This searches the typed inventory, since the
+/// key of a section would need copies of both strings.
 fn is_known(inventory: &Inventory, kind: &str, name: &str) -> bool {
     match kind {
         "failure-domain" => inventory.failure_domains.contains(name),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Keys that each kind of rule needs; all others are refused.
+/// Kinds of rules, each with its required and its optional keys; other keys are faults.
 const RULE_KEYS: &[(&str, &[&str], &[&str])] = &[
     ("may-share", &["service", "job"], &[]),
     ("never-share", &["service", "job"], &[]),
@@ -68,7 +68,7 @@
     ("evacuate", &["failure_domain"], &[]),
 ];
 
-/// A service and a job that a rule speaks of.
+/// Names of the service and the job of a rule.
 type ServiceAndJob = (Box<str>, Box<str>);
 
 fn check_rules(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
@@ -153,7 +153,7 @@
         faults.add(
             section.line,
             format!(
-                "rule `{name}` spreads service `{service}` over {required} failure domains, but its upstreams stand in {}",
+                "rule `{name}` spreads service `{service}` over {required} failure domains, but its upstreams are in {}",
                 domains.len()
             ),
             "List upstreams on hosts of further failure domains or lower `failure_domains`.",
@@ -179,7 +179,7 @@
         if **domain != *host.failure_domain {
             faults.add(
                 line_of("rack"),
-                format!("rack `{}` stands in two failure domains", host.rack),
+                format!("rack `{}` is listed in two failure domains", host.rack),
                 "Give each rack a name of its own.",
             );
         }
--- a/crates/inventory/src/fault.rs
+++ b/crates/inventory/src/fault.rs
@@ -1,14 +1,14 @@
-//! Faults in a file that an operator wrote.
+//! Faults in a file written by an operator.
 
 use quick_error::quick_error;
 use std::fmt;
 
 quick_error! {
-    /// One fault: where it stands, what is wrong and what to do about it.
+    /// One fault: its file and line, the problem and the remedy.
     #[derive(Debug, Clone, PartialEq, Eq)]
-    #[expect(missing_docs, reason = "The macro passes no comments on to fields.")]
+    #[expect(missing_docs, reason = "The macro does not accept doc comments on fields.")]
     pub enum Fault {
-        /// A fault at a line of a file; lines count from 1.
+        /// A fault at a line of a file. Lines count from 1.
         At { file: Box<str>, line: usize, problem: Box<str>, remedy: Box<str> } {
             display("{}:{}: {}. {}", file, line, problem, remedy)
         }
@@ -23,7 +23,7 @@
 }
 
 impl Faults {
-    /// Starts an empty list for `file`.
+    /// Creates an empty list for `file`.
     pub fn new(file: &str) -> Self {
         Self {
             file: file.into(),
@@ -41,12 +41,12 @@
         });
     }
 
-    /// Tells whether no fault was found.
+    /// Returns whether there is no fault.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// Lists the faults in the order of their lines.
+    /// Returns the faults in the order of their lines.
     pub fn list(&self) -> Vec<&Fault> {
         let mut sorted: Vec<&Fault> = self.list.iter().collect();
         sorted.sort_by_key(|fault| {
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,7 +1,7 @@
 //! The inventory and its rules: reading, checking, comparing.
 //!
-//! An inventory is an INI file in which operators list what they own (failure
-//! domains, hosts, services, upstreams, teams, jobs) and a few rules on top.
+//! An inventory is an INI file in which operators list failure domains, hosts, services,
+//! upstreams, teams, jobs, and rules for them.
 //! [`load`] reports every fault at once, each with file, line and remedy.
 //!
 //! ```
--- a/crates/inventory/src/model.rs
+++ b/crates/inventory/src/model.rs
@@ -1,28 +1,28 @@
-//! The inventory as typed objects, each mirroring a thing that operators own.
+//! The inventory as typed objects.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// An amount of what a host holds or a task needs.
+/// Resources that a host has or a task needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Resources {
     /// Thousandths of a processor core.
     pub millicores: u32,
     /// Megabytes of memory.
     pub memory_mb: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Tells whether `self` fits into `room`.
+    /// Returns whether `self` is at most `available` in every resource.
     pub fn fits(self, available: Resources) -> bool {
         self.millicores <= available.millicores
             && self.memory_mb <= available.memory_mb
             && self.accelerators <= available.accelerators
     }
 
-    /// Adds `other`.
+    /// Returns the sum of both.
     pub fn plus(self, other: Resources) -> Resources {
         Resources {
             millicores: self.millicores + other.millicores,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Takes `other` away, stopping at nothing.
+    /// Returns the difference, at least 0 in every resource.
     pub fn minus(self, other: Resources) -> Resources {
         Resources {
             millicores: self.millicores.saturating_sub(other.millicores),
@@ -57,50 +57,50 @@
 pub struct Service {
     /// Team that owns it.
     pub team: Box<str>,
-    /// What one instance reserves on its host.
+    /// Resources that one instance reserves on its host.
     pub need: Resources,
-    /// Requests that one instance works on at a time.
+    /// Largest number of requests that one instance processes at a time.
     pub slots: u32,
-    /// Connections that one instance accepts.
+    /// Largest number of connections that one instance accepts.
     pub connections: u32,
-    /// Time within which an instance ends any request, answered or not.
+    /// Time in milliseconds in which an instance finishes any request, answered or not.
     pub timeout_ms: u64,
-    /// Largest answer that is accepted from an instance.
+    /// Largest response in bytes that is accepted from an instance.
     pub response_max_bytes: u64,
 }
 
 /// One instance of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Upstream {
-    /// Service that it serves.
+    /// Name of its service.
     pub service: Box<str>,
-    /// Host on which it runs.
+    /// Name of the host on which it runs.
     pub host: Box<str>,
 }
 
-/// A team, with its quota if a rule sets one.
+/// A team that owns services and jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Team {
-    /// Most that its jobs may hold at a time.
+    /// Largest sum of resources that its jobs may use at a time; `None` without a rule.
     pub quota: Option<Resources>,
 }
 
 /// A kind of job that can be submitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Team that is charged for it.
+    /// Name of the team whose quota it counts against.
     pub team: Box<str>,
-    /// What one run needs.
+    /// Resources that one run needs.
     pub need: Resources,
-    /// Declared run time; often far off.
+    /// Declared run time in milliseconds, which is often far from the real one.
     pub run_time_ms: u64,
-    /// Overtakes other work.
+    /// Whether it is placed before other jobs.
     pub urgent: bool,
-    /// Is never started again once its fate is unknown.
+    /// Whether it must not be started again if it is unknown whether it ran.
     pub never_twice: bool,
 }
 
-/// A rule that is not folded into the object it speaks of.
+/// A rule that is no field of another object, as a quota or an urgent job is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Rule {
     /// The service and the job must not share a host.
@@ -110,19 +110,20 @@
         /// Name of the job.
         job: Box<str>,
     },
-    /// The host gets no new work and its tasks move.
+    /// The host gets no new work, and its tasks move to other hosts.
     Drain {
         /// Name of the host.
         host: Box<str>,
     },
-    /// The hosts of the failure domain get no new work and no new requests, and their tasks move.
+    /// The hosts of the failure domain get no new work and no new requests, and their tasks
+    /// move to other hosts.
     Evacuate {
         /// Name of the failure domain.
         failure_domain: Box<str>,
     },
 }
 
-/// All that operators own, checked.
+/// All objects and rules of an inventory.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Inventory {
     /// Names of failure domains.
@@ -137,23 +138,23 @@
     pub teams: BTreeMap<Box<str>, Team>,
     /// Jobs by name.
     pub jobs: BTreeMap<Box<str>, Job>,
-    /// Remaining rules.
+    /// Rules that are no field of another object.
     pub rules: Vec<Rule>,
-    /// What services take of each host; derived from the upstreams.
+    /// Reservations of services by host, derived from the upstreams.
     pub loads: BTreeMap<Box<str>, Load>,
 }
 
-/// What the services take of one host.
+/// Reservations of services on one host.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Load {
-    /// Sum of what their instances reserve.
+    /// Sum of the reservations of all instances.
     pub reserved: Resources,
-    /// Their names.
+    /// Name of the service of each instance.
     pub services: Vec<Box<str>>,
 }
 
 impl Inventory {
-    /// Gives what the services' instances reserve on `host`.
+    /// Returns the resources that instances of services reserve on `host`.
     pub fn reserved(&self, host: &str) -> Resources {
         self.loads
             .get(host)
@@ -161,7 +162,7 @@
             .unwrap_or_default()
     }
 
-    /// Names the services that run on `host`.
+    /// Returns the names of the services on `host`, one for each instance.
     pub fn services_on(&self, host: &str) -> &[Box<str>] {
         self.loads
             .get(host)
@@ -169,7 +170,7 @@
             .unwrap_or_default()
     }
 
-    /// Names the jobs that rules keep off `host`.
+    /// Returns the names of the jobs that rules exclude from `host`.
     pub fn excluded_jobs(&self, host: &str) -> Vec<Box<str>> {
         let mut excluded = Vec::new();
         for rule in &self.rules {
@@ -183,20 +184,20 @@
         excluded
     }
 
-    /// Tells whether operators drain `host`.
+    /// Returns whether a rule drains `host`.
     pub fn drains(&self, host: &str) -> bool {
         self.rules
             .iter()
             .any(|rule| matches!(rule, Rule::Drain { host: drained } if **drained == *host))
     }
 
-    /// Tells whether operators evacuate `failure_domain`.
+    /// Returns whether a rule evacuates `failure_domain`.
     pub fn evacuates(&self, failure_domain: &str) -> bool {
         self.evacuated()
             .any(|evacuated| evacuated == failure_domain)
     }
 
-    /// Lists the failure domains that operators evacuate.
+    /// Returns the names of the evacuated failure domains.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
         self.rules.iter().filter_map(|rule| match rule {
             Rule::Evacuate { failure_domain } => Some(&**failure_domain),
@@ -204,13 +205,13 @@
         })
     }
 
-    /// Tells whether `host` stands in a failure domain that operators evacuate.
+    /// Returns whether `host` is in an evacuated failure domain.
     pub fn is_evacuated(&self, host: &str) -> bool {
         let host = self.hosts.get(host);
         host.is_some_and(|host| self.evacuates(&host.failure_domain))
     }
 
-    /// Derives the loads of hosts from the upstreams.
+    /// Computes `loads` from the upstreams.
     pub(crate) fn derive_loads(&mut self) {
         self.loads.clear();
         for upstream in self.upstreams.values() {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Tells whether a rule keeps `job` off a host that runs `service`.
+    /// Returns whether a rule excludes `job` from hosts that run `service`.
     pub fn forbids_sharing(&self, service: &str, job: &str) -> bool {
         self.rules.iter().any(|rule| {
             matches!(rule, Rule::NeverShare { service: left, job: right }
@@ -231,7 +232,8 @@
         })
     }
 
-    /// Gives the first reason why `job` can run on no listed host at all.
+    /// Returns the first reason why `job` can run on no listed host, or `None` if it can run
+    /// on one.
     pub fn unplaceable_reason(&self, name: &str, job: &Job) -> Option<String> {
         if let Some(quota) = self.teams.get(&job.team).and_then(|team| team.quota)
             && !job.need.fits(quota)
--- a/crates/inventory/src/schema.rs
+++ b/crates/inventory/src/schema.rs
@@ -1,6 +1,7 @@
-//! Which sections and keys a file may hold, and how their values are written.
+//! Schema of INI files: which sections and keys a file may have, and the form of their
+//! values.
 
-/// How a value is written.
+/// Form of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Value {
     /// Any non-empty text.
@@ -14,7 +15,7 @@
     },
     /// A number of processor cores with up to three decimals, such as `0.5`.
     Cores,
-    /// A width in megabits a second, such as `2.5`.
+    /// A bandwidth in megabits per second, such as `2.5`.
     Megabits,
     /// One of a few words.
     OneOf(&'static [&'static str]),
@@ -25,14 +26,14 @@
 pub struct Field {
     /// The key as written in the file; its suffix names the unit.
     pub key: &'static str,
-    /// How the value is written.
+    /// Form of the value.
     pub value: Value,
-    /// What holds when the key is left out; `None` means the key is required.
+    /// Value if the key is left out; `None` means that the key is required.
     pub default: Option<&'static str>,
 }
 
 impl Field {
-    /// A key that must be present.
+    /// Creates a key that must be present.
     pub const fn required(key: &'static str, value: Value) -> Self {
         Self {
             key,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A key that may be left out.
+    /// Creates a key that may be left out, with its default.
     pub const fn optional(key: &'static str, value: Value, default: &'static str) -> Self {
         Self {
             key,
@@ -51,18 +52,18 @@
     }
 }
 
-/// What a section of one kind may hold.
+/// Schema of the sections of one kind.
 #[derive(Debug, Clone, Copy)]
 pub struct SectionSchema {
     /// First word of the section's heading, such as `host`.
     pub kind: &'static str,
-    /// The keys.
+    /// Keys that such a section may have.
     pub fields: &'static [Field],
-    /// Whether there is one such section, whose heading has no name.
+    /// Whether there is at most one such section, with no name in its heading.
     pub is_single: bool,
 }
 
-/// The kinds of section in an inventory.
+/// The schema of an inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InventorySchema;
 
@@ -76,7 +77,7 @@
 };
 const OPTIONAL_COUNT: Value = Value::Whole { min: 0, max: 1_024 };
 
-/// The words that the key `kind` of a rule accepts.
+/// Values of the key `kind` of a rule.
 pub(crate) const RULE_KINDS: &[&str] = &[
     "may-share",
     "never-share",
@@ -89,7 +90,7 @@
 ];
 
 impl InventorySchema {
-    /// The schema of an inventory.
+    /// Schemas of all kinds of sections in an inventory.
     pub const SECTIONS: &'static [SectionSchema] = &[
         SectionSchema {
             kind: "failure-domain",
@@ -185,7 +186,8 @@
     ];
 }
 
-/// Finds the candidate that looks most like `word`, for a remedy.
+/// Returns the candidate with the smallest edit distance to `word`, or `None` if all differ by
+/// 4 edits or more.
 pub fn closest<'a>(word: &str, candidates: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     const DISTANCE_LIMIT: usize = 4;
     candidates
@@ -195,7 +197,7 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// Counts the single-letter edits between two words.
+/// Returns the Levenshtein distance between two words.
 fn edit_distance(first: &str, second: &str) -> usize {
     let second: Vec<char> = second.chars().collect();
     let mut row: Vec<usize> = (0..=second.len()).collect();
--- a/crates/inventory/src/sections.rs
+++ b/crates/inventory/src/sections.rs
@@ -1,4 +1,4 @@
-//! An INI file as ordered sections, with the lines at which they stand.
+//! Reads INI files into ordered sections that record the line of each heading and key.
 
 use crate::fault::Faults;
 use crate::schema::SectionSchema;
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// One section: its keys and values as written, defaults left out.
+/// One section: its keys and values as written, without defaults.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Section {
-    /// Line of the heading, counted from 1; 0 where no file was read.
+    /// Line of the heading, counted from 1; 0 if the section was not read from a file.
     pub line: usize,
     /// Values by key.
     pub values: BTreeMap<Box<str>, Box<str>>,
@@ -20,7 +20,7 @@
 }
 
 impl Section {
-    /// Gives the line of `key`, or that of the heading.
+    /// Returns the line of `key`, or that of the heading if the section has no such key.
     pub fn line_of(&self, key: &str) -> usize {
         self.lines.get(key).copied().unwrap_or(self.line)
     }
@@ -29,10 +29,10 @@
 /// All sections by kind and name, such as `("host", "w1")`.
 pub type Sections = BTreeMap<(Box<str>, Box<str>), Section>;
 
-/// Reads `text` and checks its shape against `schema`, adding to `faults`.
+/// Reads `text` into sections and checks them against `schema`; adds all faults to `faults`.
 pub fn read(text: &str, schema: &[SectionSchema], faults: &mut Faults) -> Sections {
-    // `rust-ini` settles what is valid INI and where its syntax breaks; it
-    // keeps no lines for keys, so they are found again by `scan`.
+    // `rust-ini` decides whether the text is valid INI and reports the line of a syntax
+    // error. It does not record the lines of keys, so the loop below reads the text again.
     if let Err(error) = Ini::load_from_str(text) {
         faults.add(
             error.line + 1,
@@ -73,7 +73,7 @@
         let Some(identity) = &current else {
             faults.add(
                 line,
-                format!("`{}` stands in no known section", key.trim()),
+                format!("`{}` is outside any known section", key.trim()),
                 "Move it below a heading such as `[host w1]`.",
             );
             continue;
@@ -188,7 +188,7 @@
     section.lines.insert(key.into(), line);
 }
 
-/// Gives the remedy when `text` is not written as `value` asks.
+/// Returns the remedy if `text` does not have the form that `value` requires.
 fn value_remedy(value: Value, text: &str) -> Option<String> {
     match value {
         Value::Text if text.is_empty() => Some("Give a value or remove the line.".into()),
@@ -211,7 +211,8 @@
     }
 }
 
-/// Reads a number of cores as thousandths of a core.
+/// Parses a number of cores; returns thousandths of a core, or `None` if it is no number
+/// from 0.001 to 4096.
 pub(crate) fn millicores(text: &str) -> Option<u32> {
     const MAX_CORES: f64 = 4096.0;
     let cores: f64 = text.parse().ok()?;
@@ -241,7 +242,7 @@
     }
 }
 
-/// Writes sections as INI text in a fixed order.
+/// Formats sections as INI text, ordered by kind and name.
 pub fn render(sections: &Sections) -> String {
     let mut text = String::new();
     for ((kind, name), section) in sections {
--- a/tests/inventories.rs
+++ b/tests/inventories.rs
@@ -1,4 +1,4 @@
-//! Bad inventories: each gets its own clear error, at its line, with a remedy.
+//! Faulty inventories: each fault is reported with its own message, line and remedy.
 
 use crate::scenarios::SPA;
 use goldcrestway_inventory::compare;
@@ -9,15 +9,15 @@
 
 struct Case {
     name: &'static str,
-    /// Text that replaces `find` in a sound inventory, or is added at its end.
-    find: &'static str,
-    put: &'static str,
-    /// Parts that the errors must hold.
+    /// Text of the valid inventory that is replaced; if empty, `replacement` is appended.
+    original: &'static str,
+    replacement: &'static str,
+    /// Parts that the errors must contain.
     expect: &'static [&'static str],
 }
 
-/// A small sound inventory that each case spoils in one way.
-const SOUND: &str = "\
+/// A small valid inventory; each case adds one fault.
+const VALID: &str = "\
 [failure-domain espoo]
 [failure-domain vantaa]
 
@@ -53,98 +53,98 @@
 const CASES: &[Case] = &[
     Case {
         name: "unknown kind",
-        find: "",
-        put: "[hosts w9]\n",
+        original: "",
+        replacement: "[hosts w9]\n",
         expect: &["unknown kind of section `hosts`", "`[host w9]`"],
     },
     Case {
         name: "far kind",
-        find: "",
-        put: "[volcano x]\n",
+        original: "",
+        replacement: "[volcano x]\n",
         expect: &["unknown kind of section `volcano`", "Use one of"],
     },
     Case {
         name: "no name",
-        find: "",
-        put: "[host]\n",
+        original: "",
+        replacement: "[host]\n",
         expect: &["no usable name", "[host NAME]"],
     },
     Case {
         name: "bad name",
-        find: "",
-        put: "[host a b]\n",
+        original: "",
+        replacement: "[host a b]\n",
         expect: &["no usable name"],
     },
     Case {
         name: "listed twice",
-        find: "",
-        put: "[team desk]\n",
+        original: "",
+        replacement: "[team desk]\n",
         expect: &["team `desk` is listed twice, first at line 16", "Rename"],
     },
     Case {
         name: "unknown key",
-        find: "rack = r1",
-        put: "rak = r1",
+        original: "rack = r1",
+        replacement: "rak = r1",
         expect: &["unknown key `rak`", "Did you mean `rack`"],
     },
     Case {
         name: "far key",
-        find: "rack = r1",
-        put: "rack = r1\ncolour_of_door = red",
+        original: "rack = r1",
+        replacement: "rack = r1\ncolour_of_door = red",
         expect: &["unknown key `colour_of_door`", "A host takes:"],
     },
     Case {
         name: "unit left out",
-        find: "memory_mb = 60000\n\n[host w2]",
-        put: "memory = 60000\n\n[host w2]",
+        original: "memory_mb = 60000\n\n[host w2]",
+        replacement: "memory = 60000\n\n[host w2]",
         expect: &["unknown key `memory`", "`memory_mb`"],
     },
     Case {
         name: "wrong unit",
-        find: "memory_mb = 8000",
-        put: "memory_mb = 8GB",
+        original: "memory_mb = 8000",
+        replacement: "memory_mb = 8GB",
         expect: &["`memory_mb = 8GB` can't be read", "whole number"],
     },
     Case {
         name: "out of range",
-        find: "memory_mb = 8000",
-        put: "memory_mb = 0",
+        original: "memory_mb = 8000",
+        replacement: "memory_mb = 0",
         expect: &["`memory_mb = 0`", "from 1 to"],
     },
     Case {
         name: "negative cores",
-        find: "cores = 4\n",
-        put: "cores = -4\n",
+        original: "cores = 4\n",
+        replacement: "cores = -4\n",
         expect: &["`cores = -4`", "0.001 to 4096"],
     },
     Case {
         name: "key twice",
-        find: "rack = r1",
-        put: "rack = r1\nrack = r9",
+        original: "rack = r1",
+        replacement: "rack = r1\nrack = r9",
         expect: &["`rack` is given twice, first at line 6"],
     },
     Case {
         name: "key missing",
-        find: "rack = r1\n",
-        put: "",
+        original: "rack = r1\n",
+        replacement: "",
         expect: &["host `w1` lacks `rack`", "Add a line"],
     },
     Case {
         name: "key above",
-        find: "[failure-domain espoo]",
-        put: "cores = 1\n[failure-domain espoo]",
-        expect: &["stands in no known section"],
+        original: "[failure-domain espoo]",
+        replacement: "cores = 1\n[failure-domain espoo]",
+        expect: &["is outside any known section"],
     },
     Case {
         name: "no keys taken",
-        find: "[team desk]",
-        put: "[team desk]\nsize = 4",
+        original: "[team desk]",
+        replacement: "[team desk]\nsize = 4",
         expect: &["A team takes no keys"],
     },
     Case {
         name: "unknown domain",
-        find: "failure_domain = espoo",
-        put: "failure_domain = espo",
+        original: "failure_domain = espoo",
+        replacement: "failure_domain = espo",
         expect: &[
             "failure-domain `espo`, which is not listed",
             "Did you mean `espoo`",
@@ -152,50 +152,50 @@
     },
     Case {
         name: "unknown service",
-        find: "service = booking",
-        put: "service = massage",
+        original: "service = booking",
+        replacement: "service = massage",
         expect: &["service `massage`, which is not listed", "Add a section"],
     },
     Case {
         name: "unknown host",
-        find: "host = w1",
-        put: "host = w7",
+        original: "host = w1",
+        replacement: "host = w7",
         expect: &["host `w7`, which is not listed"],
     },
     Case {
         name: "unknown team",
-        find: "[team desk]",
-        put: "[team front]",
+        original: "[team desk]",
+        replacement: "[team front]",
         expect: &["names team `desk`, which is not listed"],
     },
     Case {
         name: "rule without kind",
-        find: "",
-        put: "[rule x]\njob = roster\n",
+        original: "",
+        replacement: "[rule x]\njob = roster\n",
         expect: &["rule `x` lacks `kind`"],
     },
     Case {
         name: "rule of no kind",
-        find: "",
-        put: "[rule x]\nkind = sometimes\n",
+        original: "",
+        replacement: "[rule x]\nkind = sometimes\n",
         expect: &["`kind = sometimes`", "may-share"],
     },
     Case {
         name: "rule lacks key",
-        find: "",
-        put: "[rule x]\nkind = never-share\njob = roster\n",
+        original: "",
+        replacement: "[rule x]\nkind = never-share\njob = roster\n",
         expect: &["rule `x` of kind `never-share` lacks `service`"],
     },
     Case {
         name: "rule has surplus key",
-        find: "",
-        put: "[rule x]\nkind = urgent\njob = roster\nteam = desk\n",
+        original: "",
+        replacement: "[rule x]\nkind = urgent\njob = roster\nteam = desk\n",
         expect: &["takes no `team`"],
     },
     Case {
         name: "rule names nothing",
-        find: "",
-        put: "[rule x]\nkind = never-twice\njob = rooster\n",
+        original: "",
+        replacement: "[rule x]\nkind = never-twice\njob = rooster\n",
         expect: &[
             "job `rooster`, which is not listed",
             "Did you mean `roster`",
@@ -203,26 +203,26 @@
     },
     Case {
         name: "rules contradict",
-        find: "",
-        put: "[rule x]\nkind = may-share\nservice = booking\njob = roster\n[rule y]\nkind = never-share\nservice = booking\njob = roster\n",
+        original: "",
+        replacement: "[rule x]\nkind = may-share\nservice = booking\njob = roster\n[rule y]\nkind = never-share\nservice = booking\njob = roster\n",
         expect: &["rule `y` contradicts rule `x`", "Remove one"],
     },
     Case {
         name: "quota twice",
-        find: "",
-        put: "[rule x]\nkind = quota\nteam = desk\ncores = 9\nmemory_mb = 20000\n[rule y]\nkind = quota\nteam = desk\ncores = 9\nmemory_mb = 20000\n",
+        original: "",
+        replacement: "[rule x]\nkind = quota\nteam = desk\ncores = 9\nmemory_mb = 20000\n[rule y]\nkind = quota\nteam = desk\ncores = 9\nmemory_mb = 20000\n",
         expect: &["rules `x` and `y` both set the quota"],
     },
     Case {
         name: "spread impossible",
-        find: "",
-        put: "[rule x]\nkind = spread\nservice = booking\n",
-        expect: &["over 2 failure domains, but its upstreams stand in 1"],
+        original: "",
+        replacement: "[rule x]\nkind = spread\nservice = booking\n",
+        expect: &["over 2 failure domains, but its upstreams are in 1"],
     },
     Case {
         name: "job too large",
-        find: "cores = 8",
-        put: "cores = 64",
+        original: "cores = 8",
+        replacement: "cores = 64",
         expect: &[
             "job `roster` could never run",
             "no listed host has that much room",
@@ -230,58 +230,58 @@
     },
     Case {
         name: "job over quota",
-        find: "",
-        put: "[rule x]\nkind = quota\nteam = desk\ncores = 2\nmemory_mb = 20000\n",
+        original: "",
+        replacement: "[rule x]\nkind = quota\nteam = desk\ncores = 2\nmemory_mb = 20000\n",
         expect: &["could never run", "more than the quota of team `desk`"],
     },
     Case {
         name: "job barred everywhere",
-        find: "host = w1",
-        put: "host = w1\n[upstream b2]\nservice = booking\nhost = w2\n[rule x]\nkind = never-share\nservice = booking\njob = roster",
+        original: "host = w1",
+        replacement: "host = w1\n[upstream b2]\nservice = booking\nhost = w2\n[rule x]\nkind = never-share\nservice = booking\njob = roster",
         expect: &["could never run", "rules bar it"],
     },
     Case {
         name: "host over-reserved",
-        find: "cores = 4\n",
-        put: "cores = 17\n",
+        original: "cores = 4\n",
+        replacement: "cores = 17\n",
         expect: &["the services on host `w1` need more than the host has"],
     },
     Case {
         name: "rack in two domains",
-        find: "rack = r2",
-        put: "rack = r1",
-        expect: &["rack `r1` stands in two failure domains"],
+        original: "rack = r2",
+        replacement: "rack = r1",
+        expect: &["rack `r1` is listed in two failure domains"],
     },
     Case {
         name: "not INI",
-        find: "[team desk]",
-        put: "[team desk",
+        original: "[team desk]",
+        replacement: "[team desk",
         expect: &["the heading `[team desk` is not closed", "End it with"],
     },
     Case {
         name: "no equals sign",
-        find: "rack = r1",
-        put: "rack r1",
+        original: "rack = r1",
+        replacement: "rack r1",
         expect: &["`rack r1` is neither a heading nor a key"],
     },
 ];
 
-fn spoil(case: &Case) -> String {
-    if case.find.is_empty() {
-        return format!("{SOUND}{}", case.put);
+fn add_fault(case: &Case) -> String {
+    if case.original.is_empty() {
+        return format!("{VALID}{}", case.replacement);
     }
     assert!(
-        SOUND.contains(case.find),
-        "case `{}` finds nothing to spoil",
+        VALID.contains(case.original),
+        "case `{}` does not apply to the inventory",
         case.name
     );
-    SOUND.replacen(case.find, case.put, 1)
+    VALID.replacen(case.original, case.replacement, 1)
 }
 
 #[gtest]
-fn each_fault_gets_its_own_error() {
+fn each_fault_gets_its_own_message() {
     for case in CASES {
-        let text = spoil(case);
+        let text = add_fault(case);
         let faults = load("first.ini", &text).expect_err(case.name).to_string();
         for part in case.expect {
             expect_that!(faults, contains_substring(*part), "case `{}`", case.name);
@@ -304,7 +304,7 @@
 
 #[gtest]
 fn all_faults_are_shown_at_once() {
-    let text = SOUND
+    let text = VALID
         .replace("rack = r1", "rak = r1")
         .replace("memory_mb = 8000", "memory_mb = 8GB");
     let faults = load("first.ini", &text).expect_err("two faults");
@@ -312,44 +312,48 @@
 }
 
 #[gtest]
-fn sound_inventories_load() {
-    for text in [SOUND, SPA] {
-        expect_that!(load("sound.ini", text), ok(anything()));
+fn valid_inventories_load() {
+    for text in [VALID, SPA] {
+        expect_that!(load("valid.ini", text), ok(anything()));
     }
 }
 
 #[gtest]
 fn dangerous_changes_are_explained() {
     struct Danger {
-        find: &'static str,
-        put: &'static str,
+        original: &'static str,
+        replacement: &'static str,
         expect: &'static [&'static str],
     }
     let cases = [
         Danger {
-            find: "[host w2]\nfailure_domain = vantaa\nrack = r2\ncores = 16\nmemory_mb = 60000\n",
-            put: "",
-            expect: &["host `w2` goes"],
+            original: "[host w2]\nfailure_domain = vantaa\nrack = r2\ncores = 16\nmemory_mb = 60000\n",
+            replacement: "",
+            expect: &["host `w2` is removed"],
         },
         Danger {
-            find: "[upstream b1]\nservice = booking\nhost = w1\n",
-            put: "",
-            expect: &["upstream `b1` goes"],
+            original: "[upstream b1]\nservice = booking\nhost = w1\n",
+            replacement: "",
+            expect: &["upstream `b1` is removed"],
         },
         Danger {
-            find: "[team desk]",
-            put: "[team desk]\n[rule q]\nkind = quota\nteam = desk\ncores = 9\nmemory_mb = 20000",
-            expect: &["quota of team `desk` shrinks"],
+            original: "[team desk]",
+            replacement: "[team desk]\n[rule q]\nkind = quota\nteam = desk\ncores = 9\nmemory_mb = 20000",
+            expect: &["quota of team `desk` is lowered"],
         },
         Danger {
-            find: "cores = 8",
-            put: "cores = 7",
+            original: "cores = 8",
+            replacement: "cores = 7",
             expect: &[],
         },
     ];
-    let old = load("old.ini", SOUND).expect("sound");
+    let old = load("old.ini", VALID).expect("valid");
     for case in cases {
-        let new = load("new.ini", &SOUND.replacen(case.find, case.put, 1)).expect("sound");
+        let new = load(
+            "new.ini",
+            &VALID.replacen(case.original, case.replacement, 1),
+        )
+        .expect("valid");
         let found = dangers(&old, &new);
         expect_that!(found.len(), eq(case.expect.len()));
         for part in case.expect {
@@ -359,10 +363,10 @@
 }
 
 #[gtest]
-fn a_change_holds_only_what_differs() {
-    let (old, _) = load_sections("old.ini", SPA).expect("sound");
+fn changes_contain_only_differing_sections() {
+    let (old, _) = load_sections("old.ini", SPA).expect("valid");
     let (new, _) =
-        load_sections("new.ini", &SPA.replacen("cores = 32", "cores = 31", 1)).expect("sound");
+        load_sections("new.ini", &SPA.replacen("cores = 32", "cores = 31", 1)).expect("valid");
     let changes = compare(&old, &new);
     expect_that!(changes.len(), eq(1));
     expect_that!(&*changes[0].name, eq("w1"));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,74 +1,74 @@
-//! Settings of a daemon: every key is checked.
+//! Settings of a daemon: each fault is reported, and the page of settings is complete.
 
 use goldcrestway_daemon::SCHEMA;
 use goldcrestway_daemon::load_settings;
 use googletest::prelude::*;
 
-const SOUND: &str = include_str!("../examples/spa/e1.ini");
+const VALID: &str = include_str!("../examples/spa/e1.ini");
 
 struct Case {
-    find: &'static str,
-    put: &'static str,
+    original: &'static str,
+    replacement: &'static str,
     expect: &'static str,
 }
 
 const CASES: &[Case] = &[
     Case {
-        find: "[daemon]",
-        put: "[deamon]",
+        original: "[daemon]",
+        replacement: "[deamon]",
         expect: "unknown kind of section `deamon`",
     },
     Case {
-        find: "[daemon]",
-        put: "[daemon x]",
+        original: "[daemon]",
+        replacement: "[daemon x]",
         expect: "there is only one",
     },
     Case {
-        find: "cluster = spa\n",
-        put: "",
+        original: "cluster = spa\n",
+        replacement: "",
         expect: "lacks `cluster`",
     },
     Case {
-        find: "seat = e1",
-        put: "seat = e9",
+        original: "seat = e1",
+        replacement: "seat = e9",
         expect: "`seat = e9` names no seat",
     },
     Case {
-        find: "number = 2",
-        put: "number = 1",
+        original: "number = 2",
+        replacement: "number = 1",
         expect: "share a number",
     },
     Case {
-        find: "127.0.0.1:8080",
-        put: "localhost:8080",
-        expect: "is no address",
+        original: "127.0.0.1:8080",
+        replacement: "localhost:8080",
+        expect: "is not an IP address and port",
     },
     Case {
-        find: "http://127.0.0.1:7000",
-        put: "127.0.0.1:7000",
-        expect: "is no URL",
+        original: "http://127.0.0.1:7000",
+        replacement: "127.0.0.1:7000",
+        expect: "is not a URL of the platform",
     },
     Case {
-        find: "[seat e1]",
-        put: "[limits]\nlease_ms = 300\n[seat e1]",
+        original: "[seat e1]",
+        replacement: "[limits]\nlease_ms = 300\n[seat e1]",
         expect: "at least twice `heartbeat_ms`",
     },
     Case {
-        find: "[seat e1]",
-        put: "[limits]\nlease = 500\n[seat e1]",
+        original: "[seat e1]",
+        replacement: "[limits]\nlease = 500\n[seat e1]",
         expect: "Did you mean `lease_ms`",
     },
     Case {
-        find: "[daemon]",
-        put: "[limits]",
+        original: "[daemon]",
+        replacement: "[limits]",
         expect: "no `[daemon]` section",
     },
 ];
 
 #[gtest]
-fn each_fault_in_settings_gets_its_own_error() {
+fn each_fault_in_settings_gets_its_own_message() {
     for case in CASES {
-        let text = SOUND.replacen(case.find, case.put, 1);
+        let text = VALID.replacen(case.original, case.replacement, 1);
         let faults = load_settings("e1.ini", &text)
             .expect_err(case.expect)
             .to_string();
@@ -77,13 +77,13 @@
 }
 
 #[gtest]
-fn the_example_is_sound() {
-    let settings = load_settings("e1.ini", SOUND).expect("sound");
+fn the_example_is_valid() {
+    let settings = load_settings("e1.ini", VALID).expect("valid");
     expect_that!(settings.seats.len(), eq(3));
     expect_that!(&*settings.own().name, eq("e1"));
 }
 
-/// Symptom: a page that names keys or defaults which the daemon does not have.
+/// Guards against a page of settings that lacks a key or gives another default than the daemon.
 #[gtest]
 fn the_page_lists_every_key_with_its_default() {
     let page = include_str!("../docs/user/settings.md");
@@ -96,8 +96,8 @@
     }
 }
 
-/// Symptom: losing one failure domain leaves no majority. Cause: the seats of one
-/// domain have the lowest numbers, and voters were taken in that order.
+/// Guards against voters that lose their majority with one failure domain, which happens if
+/// the seats of one domain have the lowest numbers and voters are chosen in that order.
 #[gtest]
 fn voters_are_spread_over_failure_domains() {
     let mut text = String::from(
@@ -110,7 +110,7 @@
              caller_address = {address}\noperator_address = {address}\npeer_address = {address}\n"
         ));
     }
-    let settings = load_settings("seats.ini", &text).expect("sound");
+    let settings = load_settings("seats.ini", &text).expect("valid");
     let order: Vec<u16> = settings.seats_by_vote().iter().map(|seat| seat.0).collect();
     expect_that!(order, eq(&vec![0, 3, 5, 1, 4, 6, 2]));
 }
