--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -6,7 +6,7 @@
 use goldcrestway_daemon::JobRequest;
 
 /// Submit a job that the inventory lists. With an --id that was used before, show the
-/// state of that run; the job never runs twice.
+/// state of that run and start no other.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub(crate) struct Arguments {
