--- a/crates/core/src/node/publishing.rs
+++ b/crates/core/src/node/publishing.rs
@@ -35,7 +35,7 @@
     fn build(inventory: &Inventory) -> Self {
         let mut runnable = Self::default();
         for (name, job) in &inventory.jobs {
-            if let Some(reason) = inventory.never_runs(name, job) {
+            if let Some(reason) = inventory.unplaceable_reason(name, job) {
                 runnable.reasons.insert(name.clone(), reason.into());
                 continue;
             }
@@ -43,7 +43,7 @@
             for (host_name, host) in &inventory.hosts {
                 if job
                     .need
-                    .fits(host.need.minus(inventory.reserved(host_name)))
+                    .fits(host.capacity.minus(inventory.reserved(host_name)))
                 {
                     cells.insert(Cell::workers(&host.rack));
                 }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -70,9 +70,9 @@
                 now_ms,
                 HostEntry {
                     address: listed.map(|host| host.address.clone()).unwrap_or_default(),
-                    total: host.need,
+                    total: host.capacity,
                     reserved: inventory.reserved(&name),
-                    excluded_jobs: inventory.barred_on(&name),
+                    excluded_jobs: inventory.excluded_jobs(&name),
                     is_leaving,
                     name,
                 },
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,8 @@
-//! The daemon of an entry host: the decisions of `goldcrestway-core` carried by a
-//! `stakker` actor, with input and output at the edge.
+//! The daemon of an entry host.
+//!
+//! A `stakker` actor runs the node of `goldcrestway-core`, which makes all decisions
+//! and does no input or output. The other modules pass events to the node and carry
+//! out the actions that it returns.
 //!
 //! ```no_run
 //! let text = std::fs::read_to_string("examples/spa/e1.ini").unwrap();
@@ -11,31 +14,31 @@
 mod actor;
 mod answers;
 mod attempt;
-mod chronicle;
+mod callers;
+mod event_log;
 mod fault;
-mod front;
-mod gate;
-mod links;
 mod metrics;
-mod operator;
+mod operators;
+mod peer_connections;
 mod platform;
 mod process;
+mod proxy;
 mod settings;
 
 pub use actor::NodeActor;
-pub use actor::Perform;
+pub use actor::PerformActions;
 pub use actor::TICK;
 pub use fault::DaemonFault;
-pub use operator::JobRequest;
-pub use operator::PublishReply;
-pub use operator::PublishRequest;
-pub use operator::SectionChange;
-pub use operator::StatusReply;
-pub use operator::changes_in;
-pub use operator::changes_out;
-pub use platform::call_out;
-pub use platform::listing_in;
-pub use platform::part_in;
+pub use operators::JobRequest;
+pub use operators::PublishReply;
+pub use operators::PublishRequest;
+pub use operators::SectionChange;
+pub use operators::StatusReply;
+pub use operators::changes_from_wire;
+pub use operators::changes_to_wire;
+pub use platform::listing_of;
+pub use platform::log_part_of;
+pub use platform::worker_request_of;
 pub use process::Daemon;
 pub use settings::SCHEMA;
 pub use settings::SeatSettings;
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,5 +1,5 @@
-//! Calls to the platform, on threads of their own, so that a slow log or worker
-//! never holds up the decisions.
+//! Calls to the platform's log, list of hosts and workers. They run on threads of their
+//! own, so that a slow log or worker never delays the node.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::AttemptId;
@@ -32,23 +32,23 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// A call waiting for a thread.
+/// A call that waits for a free thread.
 type Call = Box<dyn FnOnce() + Send>;
 
-/// A few threads that carry out calls in turn.
-pub(crate) struct Pool {
+/// A fixed number of threads that carry out calls in the order of their submission.
+pub(crate) struct ThreadPool {
     calls: Sender<Call>,
 }
 
-impl Pool {
-    /// Starts `threads` threads; they end when the pool is dropped.
+impl ThreadPool {
+    /// Starts `threads` threads, which end when the pool is dropped.
     pub(crate) fn start(threads: usize) -> Self {
-        let (calls, waiting) = channel::<Call>();
-        let waiting = Arc::new(Mutex::new(waiting));
+        let (calls, queue) = channel::<Call>();
+        let queue = Arc::new(Mutex::new(queue));
         for _ in 0..threads {
-            let waiting = waiting.clone();
+            let queue = queue.clone();
             thread::spawn(move || {
-                while let Some(call) = next_call(&waiting) {
+                while let Some(call) = next_call(&queue) {
                     call();
                 }
             });
@@ -56,33 +56,33 @@
         Self { calls }
     }
 
-    /// Hands a call to the next free thread.
+    /// Queues a call for the next free thread.
     pub(crate) fn run(&self, call: impl FnOnce() + Send + 'static) {
-        // The threads live as long as the pool.
+        // Sending can't fail: the threads live as long as the pool.
         let _ = self.calls.send(Box::new(call));
     }
 }
 
-fn next_call(waiting: &Mutex<Receiver<Call>>) -> Option<Call> {
-    waiting
+fn next_call(queue: &Mutex<Receiver<Call>>) -> Option<Call> {
+    queue
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .recv()
         .ok()
 }
 
-/// The platform as the daemon's edge uses it.
+/// Clients of the platform, with the threads that use them.
 pub(crate) struct Platform {
     log: LogClient,
     worker: WorkerClient,
-    appends: Pool,
-    reads: Pool,
-    calls: Pool,
+    appends: ThreadPool,
+    reads: ThreadPool,
+    calls: ThreadPool,
     events: Sender<Event>,
-    began: Instant,
+    started_at: Instant,
 }
 
-/// Threads that read from the log, and that append to it.
+/// Number of threads that read from the log, and of those that append to it.
 const LOG_THREADS: usize = 12;
 
 impl Platform {
@@ -90,21 +90,21 @@
     pub(crate) fn start(
         settings: &crate::settings::Settings,
         events: Sender<Event>,
-        began: Instant,
+        started_at: Instant,
     ) -> Self {
         let timeout_ms = settings.platform_timeout_ms;
         Self {
             log: LogClient::new(&settings.log_url, timeout_ms),
             worker: WorkerClient::new(timeout_ms),
-            appends: Pool::start(LOG_THREADS),
-            reads: Pool::start(LOG_THREADS),
-            calls: Pool::start(settings.worker_threads),
+            appends: ThreadPool::start(LOG_THREADS),
+            reads: ThreadPool::start(LOG_THREADS),
+            calls: ThreadPool::start(settings.worker_threads),
             events,
-            began,
+            started_at,
         }
     }
 
-    /// Carries out one of the actions that concern the platform.
+    /// Carries out an append, a read or a call to a worker; ignores other actions.
     pub(crate) fn perform(&self, action: Action) {
         match action {
             Action::Append { stream, batch } => self.append(stream, &batch),
@@ -116,18 +116,18 @@
                 call,
                 begin_by_ms,
             } => {
-                let (worker, events, began) =
-                    (self.worker.clone(), self.events.clone(), self.began);
+                let (worker, events, started_at) =
+                    (self.worker.clone(), self.events.clone(), self.started_at);
                 self.calls.run(move || {
                     let token = call.token;
-                    // A call that waited past the lease must not be made: somebody
-                    // else may act for the cell by now.
-                    let is_late = began.elapsed().as_millis() as u64 >= begin_by_ms;
+                    // A call that waited until the lease expired must not be made: another
+                    // host may act for the cell by now.
+                    let is_late = started_at.elapsed().as_millis() as u64 >= begin_by_ms;
                     let reply = match is_late {
                         true => None,
-                        false => worker.call(&address, &call_out(&call)).ok(),
+                        false => worker.call(&address, &worker_request_of(&call)).ok(),
                     };
-                    let report = reply.and_then(listing_in);
+                    let report = reply.and_then(listing_of);
                     let _ = events.send(Event::WorkerAnswered {
                         cell,
                         host,
@@ -160,15 +160,15 @@
             let page = log
                 .read(&stream.to_string(), from)
                 .ok()
-                .map(|page| part_in(from, &page));
+                .map(|page| log_part_of(from, &page));
             let _ = events.send(Event::Read { stream, page });
         });
     }
 }
 
-/// Follows the platform's list of hosts until the daemon ends.
+/// Polls the platform's list of hosts, and sends it to the node, until the daemon ends.
 pub(crate) fn follow_hosts(settings: &crate::settings::Settings, events: Sender<Event>) {
-    let pause = Duration::from_millis(settings.hosts_poll_ms);
+    let poll_interval = Duration::from_millis(settings.hosts_poll_ms);
     let client = HostListClient::new(&settings.host_list_url, settings.platform_timeout_ms);
     thread::spawn(move || {
         loop {
@@ -182,13 +182,13 @@
                     return;
                 }
             }
-            thread::sleep(pause);
+            thread::sleep(poll_interval);
         }
     });
 }
 
-/// Turns what was read from offset `from` on into what the decisions take.
-pub fn part_in(from: u64, page: &LogPart) -> StreamPage {
+/// Converts what was read from the log, from offset `from` on, to the form of the node.
+pub fn log_part_of(from: u64, page: &LogPart) -> StreamPage {
     let next = page
         .records
         .last()
@@ -204,8 +204,8 @@
     }
 }
 
-/// Turns a call into what the worker's client sends.
-pub fn call_out(call: &WorkerCall) -> WorkerRequest {
+/// Converts a call of the node to the request that the worker's client sends.
+pub fn worker_request_of(call: &WorkerCall) -> WorkerRequest {
     let names = |attempts: &[AttemptId]| {
         attempts
             .iter()
@@ -216,14 +216,14 @@
         token: call.token,
         answers: call.answers,
         lease_ms: call.lease_ms,
-        start: call.start.iter().map(order_out).collect(),
+        start: call.start.iter().map(worker_order_of).collect(),
         stop: names(&call.stop),
         forget: names(&call.forget),
         batch_permille: call.batch_permille,
     }
 }
 
-fn order_out(order: &TaskOrder) -> WorkerOrder {
+fn worker_order_of(order: &TaskOrder) -> WorkerOrder {
     WorkerOrder {
         id: order.attempt.id.to_string(),
         attempt: order.attempt.attempt,
@@ -235,9 +235,10 @@
     }
 }
 
-/// Reads a worker's answer; one with an unknown state counts as no answer.
-pub fn listing_in(reply: WorkerReply) -> Option<WorkerReport> {
-    let tasks: Option<Vec<TaskReport>> = reply.tasks.into_iter().map(task_in).collect();
+/// Converts a worker's reply to the form of the node; returns `None`, as without a reply,
+/// if the state of a task is unknown.
+pub fn listing_of(reply: WorkerReply) -> Option<WorkerReport> {
+    let tasks: Option<Vec<TaskReport>> = reply.tasks.into_iter().map(listed_task_of).collect();
     Some(WorkerReport {
         number: reply.number,
         tasks: tasks?.into(),
@@ -245,7 +246,7 @@
     })
 }
 
-fn task_in(task: WorkerTask) -> Option<TaskReport> {
+fn listed_task_of(task: WorkerTask) -> Option<TaskReport> {
     let state = match &*task.state {
         "running" => ReportedState::Running,
         "finished" => ReportedState::Finished,
--- a/crates/inventory/src/lib.rs
+++ b/crates/inventory/src/lib.rs
@@ -1,14 +1,14 @@
 //! The inventory and its rules: reading, checking, comparing.
 //!
-//! An inventory is an INI file in which operators list what they own (failure
-//! domains, hosts, services, upstreams, teams, jobs) and a few rules on top.
+//! An inventory is an INI file in which operators list failure domains, hosts, services,
+//! upstreams, teams, jobs, and rules for them.
 //! [`load`] reports every fault at once, each with file, line and remedy.
 //!
 //! ```
 //! let text = "[failure-domain espoo]\n\n[host w1]\nfailure_domain = espoo\n\
 //!             rack = r1\ncores = 16\nmemory_mb = 60000\n";
 //! let inventory = goldcrestway_inventory::load("inventory.ini", text).unwrap();
-//! assert_eq!(inventory.hosts["w1"].need.millicores, 16_000);
+//! assert_eq!(inventory.hosts["w1"].capacity.millicores, 16_000);
 //! ```
 
 mod build;
@@ -37,7 +37,7 @@
 pub use model::Team;
 pub use model::Upstream;
 pub use schema::Field;
-pub use schema::Kind;
+pub use schema::InventorySchema;
 pub use schema::SectionSchema;
 pub use schema::Value;
 pub use schema::closest;
--- a/crates/inventory/src/schema.rs
+++ b/crates/inventory/src/schema.rs
@@ -1,6 +1,7 @@
-//! Which sections and keys a file may hold, and how their values are written.
+//! Schema of INI files: which sections and keys a file may have, and the form of their
+//! values.
 
-/// How a value is written.
+/// Form of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Value {
     /// Any non-empty text.
@@ -8,13 +9,13 @@
     /// A whole number in the given range.
     Whole {
         /// Smallest accepted number.
-        least: u64,
+        min: u64,
         /// Largest accepted number.
-        most: u64,
+        max: u64,
     },
     /// A number of processor cores with up to three decimals, such as `0.5`.
     Cores,
-    /// A width in megabits a second, such as `2.5`.
+    /// A bandwidth in megabits per second, such as `2.5`.
     Megabits,
     /// One of a few words.
     OneOf(&'static [&'static str]),
@@ -25,14 +26,14 @@
 pub struct Field {
     /// The key as written in the file; its suffix names the unit.
     pub key: &'static str,
-    /// How the value is written.
+    /// Form of the value.
     pub value: Value,
-    /// What holds when the key is left out; `None` means the key is required.
+    /// Value if the key is left out; `None` means that the key is required.
     pub default: Option<&'static str>,
 }
 
 impl Field {
-    /// A key that must be present.
+    /// Creates a key that must be present.
     pub const fn required(key: &'static str, value: Value) -> Self {
         Self {
             key,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A key that may be left out.
+    /// Creates a key that may be left out, with its default.
     pub const fn optional(key: &'static str, value: Value, default: &'static str) -> Self {
         Self {
             key,
@@ -51,35 +52,32 @@
     }
 }
 
-/// What a section of one kind may hold.
+/// Schema of the sections of one kind.
 #[derive(Debug, Clone, Copy)]
 pub struct SectionSchema {
     /// First word of the section's heading, such as `host`.
     pub kind: &'static str,
-    /// The keys.
+    /// Keys that such a section may have.
     pub fields: &'static [Field],
-    /// Whether there is one such section, whose heading has no name.
+    /// Whether there is at most one such section, with no name in its heading.
     pub is_single: bool,
 }
 
-/// The kinds of section in an inventory.
+/// The schema of an inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Kind;
+pub struct InventorySchema;
 
 const COUNT: Value = Value::Whole {
-    least: 1,
-    most: 1_000_000,
+    min: 1,
+    max: 1_000_000,
 };
 const MEGABYTES: Value = Value::Whole {
-    least: 1,
-    most: 64_000_000,
-};
-const FEW: Value = Value::Whole {
-    least: 0,
-    most: 1_024,
+    min: 1,
+    max: 64_000_000,
 };
+const OPTIONAL_COUNT: Value = Value::Whole { min: 0, max: 1_024 };
 
-/// The words that the key `kind` of a rule accepts.
+/// Values of the key `kind` of a rule.
 pub(crate) const RULE_KINDS: &[&str] = &[
     "may-share",
     "never-share",
@@ -91,9 +89,9 @@
     "evacuate",
 ];
 
-impl Kind {
-    /// The schema of an inventory.
-    pub const ALL: &'static [SectionSchema] = &[
+impl InventorySchema {
+    /// Schemas of all kinds of sections in an inventory.
+    pub const SECTIONS: &'static [SectionSchema] = &[
         SectionSchema {
             kind: "failure-domain",
             is_single: false,
@@ -107,7 +105,7 @@
                 Field::required("rack", Value::Text),
                 Field::required("cores", Value::Cores),
                 Field::required("memory_mb", MEGABYTES),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
             ],
         },
         SectionSchema {
@@ -117,22 +115,22 @@
                 Field::required("team", Value::Text),
                 Field::required("cores", Value::Cores),
                 Field::required("memory_mb", MEGABYTES),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
                 Field::optional("slots", COUNT, "8"),
                 Field::optional("connections", COUNT, "64"),
                 Field::optional(
                     "timeout_ms",
                     Value::Whole {
-                        least: 10,
-                        most: 600_000,
+                        min: 10,
+                        max: 600_000,
                     },
                     "2000",
                 ),
                 Field::optional(
                     "response_max_bytes",
                     Value::Whole {
-                        least: 1,
-                        most: 67_108_864,
+                        min: 1,
+                        max: 67_108_864,
                     },
                     "1048576",
                 ),
@@ -158,12 +156,12 @@
                 Field::required("team", Value::Text),
                 Field::required("cores", Value::Cores),
                 Field::required("memory_mb", MEGABYTES),
-                Field::optional("accelerators", FEW, "0"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
                 Field::optional(
                     "run_time_s",
                     Value::Whole {
-                        least: 1,
-                        most: 2_592_000,
+                        min: 1,
+                        max: 2_592_000,
                     },
                     "60",
                 ),
@@ -181,25 +179,26 @@
                 Field::optional("failure_domain", Value::Text, ""),
                 Field::optional("cores", Value::Cores, "0"),
                 Field::optional("memory_mb", MEGABYTES, "0"),
-                Field::optional("accelerators", FEW, "0"),
-                Field::optional("failure_domains", Value::Whole { least: 2, most: 20 }, "2"),
+                Field::optional("accelerators", OPTIONAL_COUNT, "0"),
+                Field::optional("failure_domains", Value::Whole { min: 2, max: 20 }, "2"),
             ],
         },
     ];
 }
 
-/// Finds the candidate that looks most like `word`, for a remedy.
+/// Returns the candidate with the smallest edit distance to `word`, or `None` if all differ by
+/// 4 edits or more.
 pub fn closest<'a>(word: &str, candidates: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    const TOO_FAR: usize = 4;
+    const DISTANCE_LIMIT: usize = 4;
     candidates
-        .map(|candidate| (edits(word, candidate), candidate))
-        .filter(|(distance, _)| *distance < TOO_FAR)
+        .map(|candidate| (edit_distance(word, candidate), candidate))
+        .filter(|(distance, _)| *distance < DISTANCE_LIMIT)
         .min()
         .map(|(_, candidate)| candidate)
 }
 
-/// Counts the single-letter edits between two words.
-fn edits(first: &str, second: &str) -> usize {
+/// Returns the Levenshtein distance between two words.
+fn edit_distance(first: &str, second: &str) -> usize {
     let second: Vec<char> = second.chars().collect();
     let mut row: Vec<usize> = (0..=second.len()).collect();
     for (line, left) in first.chars().enumerate() {
--- a/crates/inventory/src/sections.rs
+++ b/crates/inventory/src/sections.rs
@@ -1,4 +1,4 @@
-//! An INI file as ordered sections, with the lines at which they stand.
+//! Reads INI files into ordered sections that record the line of each heading and key.
 
 use crate::fault::Faults;
 use crate::schema::SectionSchema;
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
-/// One section: its keys and values as written, defaults left out.
+/// One section: its keys and values as written, without defaults.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Section {
-    /// Line of the heading, counted from 1; 0 where no file was read.
+    /// Line of the heading, counted from 1; 0 if the section was not read from a file.
     pub line: usize,
     /// Values by key.
     pub values: BTreeMap<Box<str>, Box<str>>,
@@ -20,7 +20,7 @@
 }
 
 impl Section {
-    /// Gives the line of `key`, or that of the heading.
+    /// Returns the line of `key`, or that of the heading if the section has no such key.
     pub fn line_of(&self, key: &str) -> usize {
         self.lines.get(key).copied().unwrap_or(self.line)
     }
@@ -29,10 +29,10 @@
 /// All sections by kind and name, such as `("host", "w1")`.
 pub type Sections = BTreeMap<(Box<str>, Box<str>), Section>;
 
-/// Reads `text` and checks its shape against `schema`, adding to `faults`.
+/// Reads `text` into sections and checks them against `schema`; adds all faults to `faults`.
 pub fn read(text: &str, schema: &[SectionSchema], faults: &mut Faults) -> Sections {
-    // `rust-ini` settles what is valid INI and where its syntax breaks; it
-    // keeps no lines for keys, so they are found again by `scan`.
+    // `rust-ini` decides whether the text is valid INI and reports the line of a syntax
+    // error. It does not record the lines of keys, so the loop below reads the text again.
     if let Err(error) = Ini::load_from_str(text) {
         faults.add(
             error.line + 1,
@@ -56,16 +56,16 @@
             continue;
         }
         if raw.starts_with('[') {
-            let wrong = format!("the heading `{raw}` is not closed");
-            faults.add(line, wrong, "End it with `]`, alone on its line.");
+            let problem = format!("the heading `{raw}` is not closed");
+            faults.add(line, problem, "End it with `]`, alone on its line.");
             current = None;
             continue;
         }
         let Some((key, value)) = raw.split_once('=') else {
-            let wrong = format!("`{raw}` is neither a heading nor a key with a value");
+            let problem = format!("`{raw}` is neither a heading nor a key with a value");
             faults.add(
                 line,
-                wrong,
+                problem,
                 "Write `[kind name]`, `key = value`, or begin it with `#`.",
             );
             continue;
@@ -73,7 +73,7 @@
         let Some(identity) = &current else {
             faults.add(
                 line,
-                format!("`{}` stands in no known section", key.trim()),
+                format!("`{}` is outside any known section", key.trim()),
                 "Move it below a heading such as `[host w1]`.",
             );
             continue;
@@ -111,14 +111,14 @@
     let Some(known) = known else {
         let kinds = schema.iter().map(|known| known.kind);
         let remedy = match closest(kind, kinds.clone()) {
-            Some(near) => format!("Did you mean `[{near} {name}]`?"),
+            Some(suggestion) => format!("Did you mean `[{suggestion} {name}]`?"),
             None => format!("Use one of: {}.", kinds.collect::<Vec<_>>().join(", ")),
         };
         faults.add(line, format!("unknown kind of section `{kind}`"), remedy);
         return None;
     };
-    let good = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if name.is_empty() != known.is_single || !name.chars().all(good) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if name.is_empty() != known.is_single || !name.chars().all(is_allowed) {
         faults.add(
             line,
             format!("section `[{heading}]` has no usable name"),
@@ -165,14 +165,14 @@
         let keys = known.fields.iter().map(|field| field.key);
         let prefixed = keys.clone().find(|known| known.starts_with(key));
         let remedy = match prefixed.or_else(|| closest(key, keys.clone())) {
-            Some(near) => format!("Did you mean `{near}`?"),
+            Some(suggestion) => format!("Did you mean `{suggestion}`?"),
             None if known.fields.is_empty() => format!("A {kind} takes no keys; remove the line."),
             None => format!("A {kind} takes: {}.", keys.collect::<Vec<_>>().join(", ")),
         };
         faults.add(line, format!("unknown key `{key}` of a {kind}"), remedy);
         return;
     };
-    if let Some(remedy) = unfit(field.value, value) {
+    if let Some(remedy) = value_remedy(field.value, value) {
         faults.add(line, format!("`{key} = {value}` can't be read"), remedy);
         return;
     }
@@ -188,14 +188,14 @@
     section.lines.insert(key.into(), line);
 }
 
-/// Gives the remedy when `text` is not written as `value` asks.
-fn unfit(value: Value, text: &str) -> Option<String> {
+/// Returns the remedy if `text` does not have the form that `value` requires.
+fn value_remedy(value: Value, text: &str) -> Option<String> {
     match value {
         Value::Text if text.is_empty() => Some("Give a value or remove the line.".into()),
         Value::Text => None,
-        Value::Whole { least, most } => match text.parse::<u64>() {
-            Ok(number) if (least..=most).contains(&number) => None,
-            Ok(_) => Some(format!("Use a whole number from {least} to {most}.")),
+        Value::Whole { min, max } => match text.parse::<u64>() {
+            Ok(number) if (min..=max).contains(&number) => None,
+            Ok(_) => Some(format!("Use a whole number from {min} to {max}.")),
             Err(_) => Some("Write a whole number; the key's suffix names the unit.".into()),
         },
         Value::Cores => match millicores(text) {
@@ -203,7 +203,7 @@
             None => Some("Write a number of cores from 0.001 to 4096, such as 0.5 or 16.".into()),
         },
         Value::Megabits => match text.parse::<f64>() {
-            Ok(width) if (0.1..=1_000_000.0).contains(&width) => None,
+            Ok(megabits) if (0.1..=1_000_000.0).contains(&megabits) => None,
             _ => Some("Write megabits a second from 0.1 to 1000000, such as 2.5 or 1000.".into()),
         },
         Value::OneOf(words) if words.contains(&text) => None,
@@ -211,11 +211,12 @@
     }
 }
 
-/// Reads a number of cores as thousandths of a core.
+/// Parses a number of cores; returns thousandths of a core, or `None` if it is no number
+/// from 0.001 to 4096.
 pub(crate) fn millicores(text: &str) -> Option<u32> {
-    const MOST_CORES: f64 = 4096.0;
+    const MAX_CORES: f64 = 4096.0;
     let cores: f64 = text.parse().ok()?;
-    if !(0.001..=MOST_CORES).contains(&cores) {
+    if !(0.001..=MAX_CORES).contains(&cores) {
         return None;
     }
     Some((cores * 1000.0).round() as u32)
@@ -241,7 +242,7 @@
     }
 }
 
-/// Writes sections as INI text in a fixed order.
+/// Formats sections as INI text, ordered by kind and name.
 pub fn render(sections: &Sections) -> String {
     let mut text = String::new();
     for ((kind, name), section) in sections {
--- a/src/cmd/diff.rs
+++ b/src/cmd/diff.rs
@@ -1,45 +1,46 @@
-//! `diff`: what would publishing change?
+//! `diff`: shows what publishing a file would change.
 
-use super::shared::describe;
-use super::shared::in_force;
-use crate::entry::Entries;
+use super::shared::fetch_config;
+use super::shared::format_changes;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use argh::FromArgs;
-use goldcrestway_daemon::changes_out;
+use goldcrestway_daemon::changes_to_wire;
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::dangers;
 
-/// Show in what an inventory differs from the configuration in force, and what
-/// publishing it would stop.
+/// Show how an inventory differs from the configuration in force, and which running
+/// work publishing it would stop.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub(crate) struct Arguments {
-    /// the inventory
+    /// inventory file
     #[argh(positional)]
     file: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
 
 /// Prints the differences.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let (sections, inventory) = files::load(&arguments.file)?;
-    let current = in_force(&entries)?;
+    let current = fetch_config(&entry_hosts)?;
     let changes = compare(&current.sections, &sections);
     let dangers = dangers(&current.inventory, &inventory);
     if arguments.json {
         let body = serde_json::json!({
             "version": current.version,
-            "changes": changes_out(&changes),
+            "changes": changes_to_wire(&changes),
             "dangers": dangers,
         });
         println!("{body}");
@@ -51,7 +52,7 @@
     );
     match changes.is_empty() {
         true => println!("{} does not differ from it", arguments.file),
-        false => print!("{}", describe(&current.sections, &changes)),
+        false => print!("{}", format_changes(&current.sections, &changes)),
     }
     for danger in dangers {
         println!("! {danger}");
--- a/src/cmd/evacuate.rs
+++ b/src/cmd/evacuate.rs
@@ -1,9 +1,9 @@
-//! `evacuate`: empty a failure domain.
+//! `evacuate`: moves the work of a failure domain elsewhere.
 
-use super::shared::Emptying;
-use super::shared::in_force;
-use super::shared::switch_emptying;
-use crate::entry::Entries;
+use super::shared::ExclusionRule;
+use super::shared::fetch_config;
+use super::shared::set_exclusion;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
@@ -13,40 +13,41 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuate")]
 pub(crate) struct Arguments {
-    /// the failure domain
+    /// name of the failure domain
     #[argh(positional)]
     failure_domain: String,
-    /// let the failure domain take work again
+    /// end the evacuation: the failure domain gets new work again
     #[argh(switch)]
     undo: bool,
-    /// who evacuates; default: the name of the user
+    /// name recorded as author; default: the name of the user
     #[argh(option)]
     author: Option<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Publishes or removes the rule.
+/// Publishes or removes the evacuation rule.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     let domain = &arguments.failure_domain;
-    let rule = Emptying {
+    let rule = ExclusionRule {
         kind: "evacuate",
         key: "failure_domain",
-        what: "failure domain",
+        object: "failure domain",
         name: domain,
-        emptied: "is evacuated",
+        active_text: "is evacuated",
         is_listed: current.inventory.failure_domains.contains(domain.as_str()),
-        is_emptied: current.inventory.evacuates(domain),
+        is_active: current.inventory.evacuates(domain),
     };
     let (undo, author) = (arguments.undo, &arguments.author);
-    if let Some(version) = switch_emptying(&entries, current.version, &rule, undo, author)? {
-        println!("version {version} is in force; look with `goldcrestway evacuations`");
+    if let Some(version) = set_exclusion(&entry_hosts, current.version, &rule, undo, author)? {
+        println!("version {version} is in force; check with `goldcrestway evacuations`");
     }
     Ok(())
 }
--- a/src/cmd/get.rs
+++ b/src/cmd/get.rs
@@ -1,7 +1,7 @@
-//! `get`: fetch the configuration in force for editing.
+//! `get`: fetches the configuration in force for editing.
 
-use super::shared::in_force;
-use crate::entry::Entries;
+use super::shared::fetch_config;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use crate::files;
 use crate::files::Base;
@@ -9,31 +9,32 @@
 use goldcrestway_inventory::render;
 
 /// Write the configuration in force to a file for editing, and FILE.base beside
-/// it, which remembers the version. An existing file is not overwritten.
+/// it, which records the version. An existing file is not overwritten.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 pub(crate) struct Arguments {
-    /// the file to write
+    /// file to write
     #[argh(positional)]
     file: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Writes both files.
+/// Writes the inventory file and `FILE.base`.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     let file = &arguments.file;
     if std::path::Path::new(file).exists() {
         let detail =
             format!("{file} exists. Name another file, or run `goldcrestway rebase {file}`");
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     }
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     files::write(file, &render(&current.sections))?;
     let base = Base {
         version: current.version,
@@ -41,7 +42,7 @@
     };
     files::write_base(file, &base)?;
     println!(
-        "{file} holds version {} by {}",
+        "{file} contains version {} by {}",
         current.version, current.author
     );
     Ok(())
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,12 +1,12 @@
-//! `submit`: have a job run once.
+//! `submit`: runs a job once.
 
-use crate::entry::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use goldcrestway_daemon::JobRequest;
 
-/// Submit a job that the inventory lists. Giving the same --id again asks for its
-/// state and never runs it twice.
+/// Submit a job that the inventory lists. With an --id that was used before, show the
+/// state of that run and start no other.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submit")]
 pub(crate) struct Arguments {
@@ -16,13 +16,14 @@
     /// identity of this run, unique within its team
     #[argh(option)]
     id: String,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
-    /// print JSON for programs
+    /// print JSON instead of text
     #[argh(switch)]
     json: bool,
 }
@@ -30,24 +31,24 @@
 /// Submits the job and prints its state.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
     const STEP: &str = "submitting the job";
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
     let request = JobRequest {
         job: arguments.job.clone(),
         id: arguments.id.clone(),
     };
-    let answered = entries.post(STEP, "/v1/jobs", &request)?;
-    if answered.status != 200 {
+    let response = entry_hosts.post(STEP, "/v1/jobs", &request)?;
+    if response.status != 200 {
         return Err(Fault::Refused(
             STEP,
-            answered.peer.as_str().into(),
-            answered.detail(),
+            response.address.as_str().into(),
+            response.detail(),
         ));
     }
     if arguments.json {
-        println!("{}", answered.body);
+        println!("{}", response.body);
         return Ok(());
     }
-    let value: serde_json::Value = serde_json::from_str(&answered.body).unwrap_or_default();
+    let value: serde_json::Value = serde_json::from_str(&response.body).unwrap_or_default();
     let state = value
         .get("state")
         .and_then(|state| state.as_str())
--- a/src/files.rs
+++ b/src/files.rs
@@ -1,5 +1,5 @@
-//! The operator's inventory file, and the copy beside it that remembers which
-//! published version it was edited from.
+//! The operator's inventory file, and `FILE.base` beside it: a copy of the published
+//! version that the file was edited from.
 
 use crate::fault::Fault;
 use goldcrestway_inventory::Inventory;
@@ -7,43 +7,60 @@
 use goldcrestway_inventory::load_sections;
 use goldcrestway_inventory::render;
 
-/// First words of a copy, before the version.
-const BASE_LINE: &str = "# base: ";
+/// Start of the first line of `FILE.base`, before the version.
+const BASE_PREFIX: &str = "# base: ";
 
-/// The version that a file was edited from.
+/// The published version that a file was edited from.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Base {
-    /// Its version; 0 if the file was never published.
+    /// Its number; 0 if the file was never published.
     pub(crate) version: u64,
     /// Its sections.
     pub(crate) sections: Sections,
 }
 
-/// Reads a file.
+/// Reads a text file.
+///
+/// # Errors
+///
+/// The file can't be read.
 pub(crate) fn read(file: &str) -> Result<String, Fault> {
     std::fs::read_to_string(file).map_err(|error| Fault::File("reading", file.into(), error))
 }
 
-/// Writes a file in one step, so that nothing is lost if writing fails.
+/// Replaces a file atomically, through `FILE.new`, so that a failure does not destroy the
+/// previous content.
+///
+/// # Errors
+///
+/// Either file can't be written.
 pub(crate) fn write(file: &str, text: &str) -> Result<(), Fault> {
     let fault = |error| Fault::File("writing", file.into(), error);
-    let draft = format!("{file}.new");
-    std::fs::write(&draft, text).map_err(fault)?;
-    std::fs::rename(&draft, file).map_err(fault)
+    let temporary = format!("{file}.new");
+    std::fs::write(&temporary, text).map_err(fault)?;
+    std::fs::rename(&temporary, file).map_err(fault)
 }
 
 /// Reads and checks an inventory.
+///
+/// # Errors
+///
+/// The file can't be read or has faults.
 pub(crate) fn load(file: &str) -> Result<(Sections, Inventory), Fault> {
     Ok(load_sections(file, &read(file)?)?)
 }
 
-fn base_file(file: &str) -> String {
+fn base_path(file: &str) -> String {
     format!("{file}.base")
 }
 
-/// Reads the copy beside `file`; a file without one was never published.
+/// Reads `FILE.base`; returns version 0 if there is none, as the file was never published.
+///
+/// # Errors
+///
+/// `FILE.base` can't be read or has faults.
 pub(crate) fn load_base(file: &str) -> Result<Base, Fault> {
-    let name = base_file(file);
+    let name = base_path(file);
     let text = match std::fs::read_to_string(&name) {
         Ok(text) => text,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(Base::default()),
@@ -52,19 +69,23 @@
     let version = text
         .lines()
         .next()
-        .and_then(|line| line.strip_prefix(BASE_LINE));
+        .and_then(|line| line.strip_prefix(BASE_PREFIX));
     let Some(version) = version.and_then(|version| version.trim().parse().ok()) else {
         let detail = format!(
-            "{name}:1: the line `{BASE_LINE}VERSION` is missing. Remove {name} and run `goldcrestway rebase {file}`"
+            "{name}:1: the line `{BASE_PREFIX}VERSION` is missing. Remove {name} and run `goldcrestway rebase {file}`"
         );
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     };
     let (sections, _) = load_sections(&name, &text)?;
     Ok(Base { version, sections })
 }
 
-/// Remembers beside `file` that it now stands on `base`.
+/// Writes `FILE.base`, which records that `file` is now based on `base`.
+///
+/// # Errors
+///
+/// `FILE.base` can't be written.
 pub(crate) fn write_base(file: &str, base: &Base) -> Result<(), Fault> {
-    let text = format!("{BASE_LINE}{}\n{}", base.version, render(&base.sections));
-    write(&base_file(file), &text)
+    let text = format!("{BASE_PREFIX}{}\n{}", base.version, render(&base.sections));
+    write(&base_path(file), &text)
 }
--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -8,9 +8,9 @@
 use goldcrestway_core::Message;
 use goldcrestway_core::PlatformHost;
 use goldcrestway_core::Seat;
-use goldcrestway_daemon::call_out;
-use goldcrestway_daemon::listing_in;
-use goldcrestway_daemon::part_in;
+use goldcrestway_daemon::listing_of;
+use goldcrestway_daemon::log_part_of;
+use goldcrestway_daemon::worker_request_of;
 use goldcrestway_standin::LogState;
 use goldcrestway_standin::UpstreamState;
 use goldcrestway_standin::WorkerState;
@@ -292,8 +292,8 @@
             _ => 3,
         };
         let is_down = self.log_mode == LogMode::Down || self.log_cuts.contains(&seat);
-        let page =
-            (!is_down).then(|| part_in(from, &self.log.read(&stream.to_string(), from, RECORDS)));
+        let page = (!is_down)
+            .then(|| log_part_of(from, &self.log.read(&stream.to_string(), from, RECORDS)));
         self.schedule(
             now_ms + delay_ms,
             Due::Event(seat, Event::Read { stream, page }),
@@ -391,8 +391,8 @@
             delay_ms = 3;
             report = worker
                 .state
-                .handle_call(now_ms, &call_out(call))
-                .and_then(listing_in);
+                .handle_call(now_ms, &worker_request_of(call))
+                .and_then(listing_of);
             worker.state.record_reported_exits();
         }
         let event = Event::WorkerAnswered {
@@ -412,7 +412,7 @@
         worker.is_paused = false;
         for (_, action) in std::mem::take(&mut worker.delayed_calls) {
             if let Action::CallWorker { call, .. } = action {
-                worker.state.handle_call(now_ms, &call_out(&call));
+                worker.state.handle_call(now_ms, &worker_request_of(&call));
             }
         }
     }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -225,7 +225,7 @@
             *slot.borrow_mut() = Some(look(node));
         });
         let actor = &process.actor;
-        call!([actor], look(look));
+        call!([actor], query(look));
         // The time of the last step, which lets no time pass for a paused process.
         let now = process.stakker.now();
         process.stakker.run(now, false);
