--- a/crates/core/src/node/keys/intents.rs
+++ b/crates/core/src/node/keys/intents.rs
@@ -35,7 +35,7 @@
         fingerprint: u64,
     ) -> Option<IntentVerdict> {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_away();
+        let is_away = self.claims_log.is_unavailable();
         let cell = self.keys.get_mut(&number)?;
         let is_same = cell.intent_askers.get(&identity) == Some(&(from, request));
         match cell.identities.admit(now_ms, identity, fingerprint) {
--- a/crates/core/src/node/keys/jobs.rs
+++ b/crates/core/src/node/keys/jobs.rs
@@ -198,7 +198,7 @@
         spec: &JobSpec,
     ) -> Option<JobVerdict> {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_away();
+        let is_away = self.claims_log.is_unavailable();
         let cell = self.keys.get_mut(&number)?;
         match cell.jobs.submit(now_ms, spec) {
             Submitted::Known(JobState::Accepting) => {
--- a/crates/core/src/node/keys/mod.rs
+++ b/crates/core/src/node/keys/mod.rs
@@ -316,7 +316,7 @@
         self.snapshot_shared_streams();
         let window_ms = self.limits.identity_window_ms;
         for number in self.keys.keys().copied().collect::<Vec<u16>>() {
-            if self.claims_log.is_away() {
+            if self.claims_log.is_unavailable() {
                 self.refuse_unsent(number);
             }
             self.chase_overdue(number);
--- a/crates/core/src/node/keys/room.rs
+++ b/crates/core/src/node/keys/room.rs
@@ -82,7 +82,7 @@
     /// Asks cells of workers for room for the jobs whose turn it is.
     pub(super) fn look_for_room(&mut self, number: u16) {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_away();
+        let is_away = self.claims_log.is_unavailable();
         loop {
             let Some(cell) = self.keys.get_mut(&number) else {
                 return;
--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -20,7 +20,7 @@
     next_ms: u64,
     /// When the end of the stream was last reached.
     at_end_ms: Option<u64>,
-    is_away: bool,
+    is_unavailable: bool,
     /// Records seen while waiting for state that was carried forward, because the
     /// log no longer holds the stream's beginning.
     behind: Option<Vec<(u64, Record)>>,
@@ -37,7 +37,7 @@
             asked_ms: 0,
             next_ms: 0,
             at_end_ms: None,
-            is_away: false,
+            is_unavailable: false,
             behind: None,
             records_since_snapshot: 0,
             last_snapshot_ms: 0,
@@ -67,8 +67,8 @@
 
     /// Tells whether the log has not answered the latest read. A lost answer to an
     /// append alone says little: reading on settles it.
-    pub(super) fn is_away(&self) -> bool {
-        self.is_away
+    pub(super) fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
     /// Tells whether the end of the stream was reached just now.
@@ -168,7 +168,7 @@
         follower.is_reading = false;
         let Some(page) = page else {
             follower.next_ms = now_ms + limits.poll_ms;
-            if !std::mem::replace(&mut follower.is_away, true) {
+            if !std::mem::replace(&mut follower.is_unavailable, true) {
                 self.note(Code::LogAway, stream.to_string(), "reading failed");
             }
             return;
@@ -184,7 +184,7 @@
         if !page.is_end {
             follower.next_ms = now_ms;
         }
-        if std::mem::replace(&mut follower.is_away, false) {
+        if std::mem::replace(&mut follower.is_unavailable, false) {
             self.note(Code::LogBack, stream.to_string(), "");
         }
         for (offset, batch) in &page.batches {
--- a/crates/core/src/node/succession.rs
+++ b/crates/core/src/node/succession.rs
@@ -92,7 +92,7 @@
 
     /// Asks a voter where things stand, if the log has never been read.
     pub(super) fn ask_for_state(&mut self) {
-        if self.claims_log.was_read() || !self.claims_log.is_away() {
+        if self.claims_log.was_read() || !self.claims_log.is_unavailable() {
             return;
         }
         let voters = self.voters().to_vec();
