--- a/crates/core/src/node/claiming.rs
+++ b/crates/core/src/node/claiming.rs
@@ -9,15 +9,15 @@
 use crate::record::Record;
 
 /// Most cells in one claim, so that a record stays small.
-const CLAIM_CELLS: usize = 500;
+const MAX_CLAIM_CELLS: usize = 500;
 /// How long a member has been alive before cells move to it.
-const SETTLED_MS: u64 = 5_000;
+const MIN_ALIVE_MS: u64 = 5_000;
 /// Cells that move to a better owner per heartbeat.
-const MOVES: usize = 1;
+const MAX_MOVES: usize = 1;
 /// How long a stopping host still takes requests, until the balancer has noticed.
-const GRACE_MS: u64 = 3_000;
+const STOP_GRACE_MS: u64 = 3_000;
 /// How long a stopping host tries to pass on its cells through the log.
-const RELEASE_MS: u64 = 10_000;
+const MAX_RELEASE_MS: u64 = 10_000;
 
 impl Node {
     /// Gives the member that should own `cell`.
@@ -28,7 +28,7 @@
 
     /// Claims free cells of which this member is the best owner, and passes on
     /// cells of which another is.
-    pub(super) fn claim_free(&mut self) {
+    pub(super) fn claim_free_cells(&mut self) {
         let is_current = self.claims_log.is_current(self.now_ms, &self.limits);
         if !is_current || self.claims_writer.waiting() > 0 || self.is_stopping {
             return;
@@ -39,7 +39,7 @@
                 continue;
             }
             free.push(*cell);
-            if free.len() == CLAIM_CELLS {
+            if free.len() == MAX_CLAIM_CELLS {
                 break;
             }
         }
@@ -50,24 +50,24 @@
                 .push(self.now_ms, Record::Claim { member, cells });
             return;
         }
-        self.pass_on_misplaced();
+        self.release_misplaced();
     }
 
-    fn pass_on_misplaced(&mut self) {
+    fn release_misplaced(&mut self) {
         let mut moved = 0;
         for cell in self.owned_cells() {
             let Some(best) = self.best_owner(cell).filter(|best| *best != self.me) else {
                 continue;
             };
             let since_ms = self.alive_since_ms(best);
-            let is_settled = since_ms.is_some_and(|since| self.now_ms >= since + SETTLED_MS);
+            let is_stable = since_ms.is_some_and(|since| self.now_ms >= since + MIN_ALIVE_MS);
             let is_inherited = self.acting_member(cell) != self.me;
-            if !is_settled || is_inherited || !self.may_release(cell) {
+            if !is_stable || is_inherited || !self.may_release(cell) {
                 continue;
             }
             self.release_cells(self.me, &[cell], Some(best));
             moved += 1;
-            if moved == MOVES {
+            if moved == MAX_MOVES {
                 return;
             }
         }
@@ -133,12 +133,12 @@
     }
 
     pub(super) fn drop_cell(&mut self, cell: Cell) {
-        let had = match cell {
+        let was_owned = match cell {
             Cell::Keys(number) => self.keys.remove(&number).is_some(),
             Cell::Workers(number) => self.workers.remove(&number).is_some(),
             Cell::Upstreams(number) => self.upstreams.remove(&number).is_some(),
         };
-        if had {
+        if was_owned {
             self.note(Code::CellGone, cell.to_string(), self.me.to_string());
         }
     }
@@ -162,7 +162,7 @@
     /// Goes on with a planned stop: first the requests in flight end, then the
     /// cells go to their heirs, then the process may end.
     pub(super) fn tick_stop(&mut self) {
-        if !self.is_stopping || self.now_ms < self.stop_began_ms + GRACE_MS {
+        if !self.is_stopping || self.now_ms < self.stop_began_ms + STOP_GRACE_MS {
             return;
         }
         if !self.flights.is_empty() || !self.submissions.is_empty() || !self.publishing.is_empty() {
@@ -170,7 +170,7 @@
         }
         let may_write = self.acts_until_ms().is_some()
             && self.claims_log.is_current(self.now_ms, &self.limits)
-            && self.now_ms < self.stop_began_ms + RELEASE_MS;
+            && self.now_ms < self.stop_began_ms + MAX_RELEASE_MS;
         let owned = self.owned_cells();
         if may_write {
             for cell in &owned {
@@ -186,6 +186,6 @@
             // The process lives on for a moment, until the message is on its way.
             return;
         }
-        self.stopped();
+        self.finish_stop();
     }
 }
--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -16,14 +16,14 @@
 pub(super) struct Follower {
     position: u64,
     is_reading: bool,
-    asked_ms: u64,
-    next_ms: u64,
+    read_sent_ms: u64,
+    next_read_ms: u64,
     /// When the end of the stream was last reached.
-    at_end_ms: Option<u64>,
+    end_reached_ms: Option<u64>,
     is_unavailable: bool,
     /// Records seen while waiting for state that was carried forward, because the
     /// log no longer holds the stream's beginning.
-    behind: Option<Vec<(u64, Record)>>,
+    unapplied: Option<Vec<(u64, Record)>>,
     /// Records since state was last carried forward.
     records_since_snapshot: u64,
     last_snapshot_ms: u64,
@@ -34,11 +34,11 @@
         Self {
             position: 0,
             is_reading: false,
-            asked_ms: 0,
-            next_ms: 0,
-            at_end_ms: None,
+            read_sent_ms: 0,
+            next_read_ms: 0,
+            end_reached_ms: None,
             is_unavailable: false,
-            behind: None,
+            unapplied: None,
             records_since_snapshot: 0,
             last_snapshot_ms: 0,
         }
@@ -46,7 +46,7 @@
 
     /// Reads again at the next tick.
     pub(super) fn read_soon(&mut self) {
-        self.next_ms = 0;
+        self.next_read_ms = 0;
     }
 
     /// Gives the offset up to which the stream was read.
@@ -56,13 +56,13 @@
 
     /// Tells whether the end of the stream was ever reached.
     pub(super) fn was_read(&self) -> bool {
-        self.at_end_ms.is_some()
+        self.end_reached_ms.is_some()
     }
 
     /// Goes on from an offset up to which a peer has read.
     pub(super) fn start_at(&mut self, position: u64) {
         self.position = position;
-        self.behind = None;
+        self.unapplied = None;
     }
 
     /// Tells whether the log has not answered the latest read. A lost answer to an
@@ -73,23 +73,23 @@
 
     /// Tells whether the end of the stream was reached just now.
     pub(super) fn is_current(&self, now_ms: u64, limits: &Limits) -> bool {
-        const POLLS: u64 = 4;
-        let patience_ms = limits.poll_ms * POLLS;
-        self.at_end_ms
-            .is_some_and(|at_ms| now_ms < at_ms + patience_ms)
-            && self.behind.is_none()
+        const POLL_INTERVALS: u64 = 4;
+        let max_age_ms = limits.poll_ms * POLL_INTERVALS;
+        self.end_reached_ms
+            .is_some_and(|at_ms| now_ms < at_ms + max_age_ms)
+            && self.unapplied.is_none()
     }
 
     fn is_due(&mut self, now_ms: u64, limits: &Limits) -> bool {
-        if self.is_reading && now_ms < self.asked_ms + limits.append_timeout_ms * 4 {
+        if self.is_reading && now_ms < self.read_sent_ms + limits.append_timeout_ms * 4 {
             return false;
         }
-        if now_ms < self.next_ms {
+        if now_ms < self.next_read_ms {
             return false;
         }
         self.is_reading = true;
-        self.asked_ms = now_ms;
-        self.next_ms = now_ms + limits.poll_ms;
+        self.read_sent_ms = now_ms;
+        self.next_read_ms = now_ms + limits.poll_ms;
         true
     }
 }
@@ -129,18 +129,18 @@
         match writer.step(now_ms, limits, &mut self.appends) {
             None => {}
             Some(Step::Append(batch)) => self.out.push(Action::Append { stream, batch }),
-            Some(Step::ReadOn) => self.read_on(stream),
+            Some(Step::ReadOn) => self.continue_reading(stream),
         }
     }
 
-    fn read_on(&mut self, stream: Stream) {
+    fn continue_reading(&mut self, stream: Stream) {
         match stream {
             Stream::Keys(number) => self.read_keys(number),
             _ => self.follower(stream).2.read_soon(),
         }
     }
 
-    pub(super) fn appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
+    pub(super) fn handle_appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         match stream {
             Stream::Keys(number) => self.keys_appended(number, sequence, offset),
@@ -159,7 +159,7 @@
         self.step_writer(stream);
     }
 
-    pub(super) fn read(&mut self, stream: Stream, page: Option<StreamPage>) {
+    pub(super) fn handle_read(&mut self, stream: Stream, page: Option<StreamPage>) {
         if let Stream::Keys(number) = stream {
             self.keys_read(number, page);
             return;
@@ -167,7 +167,7 @@
         let (now_ms, limits, follower) = self.follower(stream);
         follower.is_reading = false;
         let Some(page) = page else {
-            follower.next_ms = now_ms + limits.poll_ms;
+            follower.next_read_ms = now_ms + limits.poll_ms;
             if !std::mem::replace(&mut follower.is_unavailable, true) {
                 self.note(Code::LogAway, stream.to_string(), "reading failed");
             }
@@ -178,17 +178,17 @@
             return;
         }
         if page.oldest > follower.position {
-            follower.behind = Some(Vec::new());
+            follower.unapplied = Some(Vec::new());
             follower.position = page.oldest;
         }
         if !page.is_end {
-            follower.next_ms = now_ms;
+            follower.next_read_ms = now_ms;
         }
         if std::mem::replace(&mut follower.is_unavailable, false) {
             self.note(Code::LogBack, stream.to_string(), "");
         }
         for (offset, batch) in &page.batches {
-            self.read_batch(stream, *offset, batch.as_ref());
+            self.apply_batch(stream, *offset, batch.as_ref());
         }
         self.finish_page(stream, &page);
     }
@@ -199,12 +199,12 @@
         if !page.is_end {
             return;
         }
-        follower.at_end_ms = Some(now_ms);
-        let is_behind = follower.behind.is_some();
+        follower.end_reached_ms = Some(now_ms);
+        let lacks_snapshot = follower.unapplied.is_some();
         let is_empty = page.oldest == page.next;
-        if is_behind && is_empty {
+        if lacks_snapshot && is_empty {
             // Everything has expired and nothing was carried forward.
-            follower.behind = None;
+            follower.unapplied = None;
             self.note(
                 Code::StateMissing,
                 stream.to_string(),
@@ -221,7 +221,7 @@
         }
     }
 
-    fn read_batch(&mut self, stream: Stream, offset: u64, batch: Option<&Batch>) {
+    fn apply_batch(&mut self, stream: Stream, offset: u64, batch: Option<&Batch>) {
         if offset < self.follower(stream).2.position {
             return;
         }
@@ -233,15 +233,15 @@
             );
             return;
         };
-        self.resolve_shared(stream, batch);
+        self.resolve_own_batch(stream, batch);
         for record in &batch.records {
-            self.read_record(stream, offset, record);
+            self.handle_record(stream, offset, record);
         }
     }
 
     /// In a stream with many writers a batch is this member's if it holds the
     /// very records that are unresolved.
-    fn resolve_shared(&mut self, stream: Stream, batch: &Batch) {
+    fn resolve_own_batch(&mut self, stream: Stream, batch: &Batch) {
         let writer = match stream {
             Stream::Config => &mut self.config_writer,
             _ => &mut self.claims_writer,
@@ -251,7 +251,7 @@
         }
     }
 
-    fn read_record(&mut self, stream: Stream, offset: u64, record: &Record) {
+    fn handle_record(&mut self, stream: Stream, offset: u64, record: &Record) {
         let is_snapshot = matches!(
             record,
             Record::ClaimsSnapshot { .. } | Record::ConfigSnapshot { .. }
@@ -264,8 +264,8 @@
             return;
         }
         follower.records_since_snapshot += 1;
-        if let Some(behind) = &mut follower.behind {
-            behind.push((offset, record.clone()));
+        if let Some(unapplied) = &mut follower.unapplied {
+            unapplied.push((offset, record.clone()));
             return;
         }
         self.apply_record(stream, offset, record);
@@ -275,7 +275,7 @@
     /// that others wrote while it was on its way stand before it, and count.
     fn apply_snapshot(&mut self, stream: Stream, record: &Record) {
         let follower = self.follower(stream).2;
-        let Some(behind) = follower.behind.take() else {
+        let Some(unapplied) = follower.unapplied.take() else {
             return;
         };
         let as_of = match record {
@@ -293,13 +293,13 @@
                 changes,
             } => {
                 if self.config.restore(*version, changes) {
-                    self.config_changed();
+                    self.apply_new_config();
                 }
                 *as_of
             }
             _ => return,
         };
-        for (offset, record) in behind {
+        for (offset, record) in unapplied {
             if offset >= as_of {
                 self.apply_record(stream, offset, &record);
             }
@@ -323,7 +323,7 @@
             return;
         };
         if self.config.apply(offset, record) {
-            self.config_changed();
+            self.apply_new_config();
             return;
         }
         let id = change.id.to_string();
--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -21,30 +21,30 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers {
     /// As a voter: when each member was heard last.
-    heard: HashMap<Seat, Heard>,
+    last_heartbeats: HashMap<Seat, LastHeartbeat>,
     /// As a voter: which lives are carried on by another seat, and when that was
     /// heard last.
     inherited: BTreeMap<Member, (Seat, u64)>,
     /// As a member: who lives, by each voter's account.
-    accounts: HashMap<Seat, Account>,
+    voter_reports: HashMap<Seat, VoterReport>,
     /// Union of the voters' accounts.
     alive: BTreeSet<Member>,
     /// Since when each of them has been alive.
     alive_since_ms: HashMap<Member, u64>,
     next_heartbeat_ms: u64,
     /// Newest configuration that each voter has in force.
-    pub(super) versions: HashMap<Seat, u64>,
+    pub(super) config_versions: HashMap<Seat, u64>,
 }
 
 #[derive(Debug, Clone)]
-struct Heard {
+struct LastHeartbeat {
     incarnation: u64,
     at_ms: u64,
     is_leaving: bool,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Account {
+struct VoterReport {
     at_ms: u64,
     digest: u64,
     members: Box<[Member]>,
@@ -53,15 +53,15 @@
 
 /// An attempt to depose a member.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Deposing {
+pub(super) struct DeposeAttempt {
     /// Consents with the time at which they were asked for.
     consents: HashMap<Member, u64>,
     since_ms: u64,
-    is_written: bool,
+    is_submitted: bool,
 }
 
 /// Gives a digest of who lives and which lives are carried where.
-fn digest_of(members: &[Member], inherited: &[(Member, Seat)]) -> u64 {
+fn membership_digest(members: &[Member], inherited: &[(Member, Seat)]) -> u64 {
     let mut bytes = Vec::with_capacity(members.len() * 10);
     for member in members {
         bytes.extend(member.seat.0.to_le_bytes());
@@ -99,7 +99,7 @@
     pub(super) fn has_majority_in_force(&self, version: u64) -> bool {
         let count = self
             .peers
-            .versions
+            .config_versions
             .values()
             .filter(|voter| **voter >= version)
             .count();
@@ -117,7 +117,7 @@
                     self.out.push(Action::Ready(!self.is_stopping));
                 }
             }
-            LeaseState::Expired => self.begin_new_life(),
+            LeaseState::Expired => self.begin_new_incarnation(),
         }
     }
 
@@ -127,29 +127,29 @@
     /// its predecessor, so its incarnation is lower than one that was deposed. Its
     /// claims have no effect, for ever. One notices by cells that nobody owns while
     /// everybody is alive.
-    fn outlive_deposed(&mut self) {
+    fn replace_deposed_incarnation(&mut self) {
         if !self.claims.is_deposed(self.me) {
             return;
         }
         self.me.incarnation = self.claims.deposed_incarnation(self.me.seat);
-        self.begin_new_life();
+        self.begin_new_incarnation();
     }
 
     /// Starts another life without cells. Requests in flight go on: what is on
     /// its way to an instance still gets its caller the answer.
-    fn begin_new_life(&mut self) {
-        let former = self.me;
+    fn begin_new_incarnation(&mut self) {
+        let previous = self.me;
         self.me.incarnation += 1;
         self.incarnation_began_ms = self.now_ms;
         self.lease = Lease::new(self.voters().len());
         self.was_in_force = false;
         self.drop_all_cells();
         self.drop_all_inherited();
-        self.deposing.clear();
+        self.depose_attempts.clear();
         self.peers.next_heartbeat_ms = self.now_ms;
         self.note(
             Code::LeaseLost,
-            former.to_string(),
+            previous.to_string(),
             "acts for nothing any more",
         );
         self.out.push(Action::Ready(false));
@@ -160,16 +160,16 @@
             return;
         }
         self.peers.next_heartbeat_ms = self.now_ms + self.limits.heartbeat_ms;
-        self.outlive_deposed();
+        self.replace_deposed_incarnation();
         self.send_heartbeat(self.me);
         self.heartbeat_inherited();
-        self.ask_for_state();
-        self.join_accounts();
+        self.request_state();
+        self.merge_voter_reports();
         if self.acts_until_ms().is_none() {
             return;
         }
-        self.depose_dead();
-        self.claim_free();
+        self.depose_dead_owners();
+        self.claim_free_cells();
         self.claim_inherited_cells();
     }
 
@@ -199,8 +199,8 @@
                 config_version,
                 is_leaving,
             } => {
-                self.heard(from, member, is_leaving);
-                self.heartbeat(from, member, sent_ms, config_version);
+                self.record_heartbeat(from, member, is_leaving);
+                self.answer_heartbeat(from, member, sent_ms, config_version);
             }
             Message::LeaseVote {
                 member,
@@ -210,12 +210,12 @@
                 alive,
             } => {
                 self.record_vote(from, member, sent_ms, is_granted);
-                self.told_alive(from, config_version, alive);
+                self.handle_alive_digest(from, config_version, alive);
             }
             Message::AliveRequest => {
                 let (members, inherited) = (self.heard_alive(), self.heard_inherited());
                 let alive = Message::Alive {
-                    digest: digest_of(&members, &inherited),
+                    digest: membership_digest(&members, &inherited),
                     members: members.into(),
                     inherited: inherited.into(),
                 };
@@ -223,31 +223,31 @@
             }
             Message::StateRequest => self.send_state(from.seat),
             Message::State { claims, config } => self.apply_state(&claims, &config),
-            Message::Handover(handover) => self.take_over(handover),
+            Message::Handover(handover) => self.accept_handover(handover),
             Message::Alive {
                 digest,
                 members,
                 inherited,
             } => {
-                let account = Account {
+                let report = VoterReport {
                     at_ms: self.now_ms,
                     digest,
                     members,
                     inherited,
                 };
-                self.peers.accounts.insert(from.seat, account);
-                self.join_accounts();
+                self.peers.voter_reports.insert(from.seat, report);
+                self.merge_voter_reports();
             }
             Message::ConsentRequest { target, asked_ms } => {
-                self.consent_asked(from, target, asked_ms)
+                self.handle_consent_request(from, target, asked_ms)
             }
-            Message::Consent { target, asked_ms } => self.consented(from, target, asked_ms),
+            Message::Consent { target, asked_ms } => self.handle_consent(from, target, asked_ms),
             _ => {}
         }
     }
 
     /// As a voter: somebody wants to depose `target`.
-    fn consent_asked(&mut self, from: Member, target: Member, asked_ms: u64) {
+    fn handle_consent_request(&mut self, from: Member, target: Member, asked_ms: u64) {
         if !self.voter.consent(self.now_ms, target) {
             return;
         }
@@ -256,19 +256,19 @@
     }
 
     /// As a voter: notes who lives, and who carries on another's life.
-    fn heard(&mut self, from: Member, member: Member, is_leaving: bool) {
+    fn record_heartbeat(&mut self, from: Member, member: Member, is_leaving: bool) {
         if member != from {
             self.peers
                 .inherited
                 .insert(member, (from.seat, self.now_ms));
             return;
         }
-        let heard = Heard {
+        let heartbeat = LastHeartbeat {
             incarnation: from.incarnation,
             at_ms: self.now_ms,
             is_leaving,
         };
-        self.peers.heard.insert(from.seat, heard);
+        self.peers.last_heartbeats.insert(from.seat, heartbeat);
     }
 
     /// As a voter: a member asks for a promise to a life.
@@ -276,17 +276,23 @@
     /// A member whose configuration is older than this voter's gets none until it
     /// has caught up. Once a majority of voters has a version in force, a process
     /// that does not have it loses its lease and stops acting under the old one.
-    fn heartbeat(&mut self, from: Member, member: Member, sent_ms: u64, config_version: u64) {
+    fn answer_heartbeat(
+        &mut self,
+        from: Member,
+        member: Member,
+        sent_ms: u64,
+        config_version: u64,
+    ) {
         let is_current = config_version >= self.config.version();
         let is_granted = is_current && self.voter.grant_vote(self.now_ms, member, &self.limits);
-        let promise = Message::LeaseVote {
+        let vote = Message::LeaseVote {
             member,
             sent_ms,
             is_granted,
             config_version: self.config.version(),
-            alive: digest_of(&self.heard_alive(), &self.heard_inherited()),
+            alive: membership_digest(&self.heard_alive(), &self.heard_inherited()),
         };
-        self.send(from.seat, promise);
+        self.send(from.seat, vote);
     }
 
     fn heard_inherited(&self) -> Vec<(Member, Seat)> {
@@ -298,13 +304,13 @@
 
     fn heard_alive(&self) -> Vec<Member> {
         let mut members = Vec::new();
-        for (seat, heard) in &self.peers.heard {
-            if heard.is_leaving || self.now_ms >= heard.at_ms + self.limits.suspect_ms {
+        for (seat, heartbeat) in &self.peers.last_heartbeats {
+            if heartbeat.is_leaving || self.now_ms >= heartbeat.at_ms + self.limits.suspect_ms {
                 continue;
             }
             members.push(Member {
                 seat: *seat,
-                incarnation: heard.incarnation,
+                incarnation: heartbeat.incarnation,
             });
         }
         members.sort_unstable();
@@ -330,29 +336,31 @@
         }
     }
 
-    fn told_alive(&mut self, voter: Member, config_version: u64, alive: u64) {
-        self.peers.versions.insert(voter.seat, config_version);
+    fn handle_alive_digest(&mut self, voter: Member, config_version: u64, alive_digest: u64) {
+        self.peers
+            .config_versions
+            .insert(voter.seat, config_version);
         if config_version > self.config.version() {
             self.config_log.read_soon();
         }
-        let account = self.peers.accounts.entry(voter.seat).or_default();
-        account.at_ms = self.now_ms;
-        if account.digest != alive {
+        let report = self.peers.voter_reports.entry(voter.seat).or_default();
+        report.at_ms = self.now_ms;
+        if report.digest != alive_digest {
             self.send(voter.seat, Message::AliveRequest);
         }
     }
 
     /// Joins what the voters say of who lives. A voter that is silent itself says
     /// nothing.
-    fn join_accounts(&mut self) {
+    fn merge_voter_reports(&mut self) {
         let mut alive = BTreeSet::new();
         self.successors.clear();
-        for account in self.peers.accounts.values() {
-            if self.now_ms >= account.at_ms + self.limits.suspect_ms {
+        for report in self.peers.voter_reports.values() {
+            if self.now_ms >= report.at_ms + self.limits.suspect_ms {
                 continue;
             }
-            alive.extend(account.members.iter().copied());
-            self.successors.extend(account.inherited.iter().copied());
+            alive.extend(report.members.iter().copied());
+            self.successors.extend(report.inherited.iter().copied());
         }
         // Of two lives at one seat only the later one lives.
         let newest: HashMap<Seat, u64> = alive
@@ -371,7 +379,7 @@
 
     /// Asks for consents to depose owners that are not alive. Members take turns
     /// by rank, so that usually only one writes the record.
-    fn depose_dead(&mut self) {
+    fn depose_dead_owners(&mut self) {
         const TURN_MS: u64 = 1_000;
         if self.peers.alive.is_empty() || !self.claims_log.is_current(self.now_ms, &self.limits) {
             return;
@@ -389,19 +397,24 @@
             .owners()
             .map(|(_, owner)| owner.member)
             .collect();
-        self.deposing.retain(|target, _| owners.contains(target));
+        self.depose_attempts
+            .retain(|target, _| owners.contains(target));
         for target in owners {
-            let lives = self.peers.alive.contains(&target) || self.successors.contains_key(&target);
-            if self.is_mine(target) || lives {
-                self.deposing.remove(&target);
+            let is_alive =
+                self.peers.alive.contains(&target) || self.successors.contains_key(&target);
+            if self.is_mine(target) || is_alive {
+                self.depose_attempts.remove(&target);
                 continue;
             }
             let now_ms = self.now_ms;
-            let entry = self.deposing.entry(target).or_insert_with(|| Deposing {
-                since_ms: now_ms,
-                ..Deposing::default()
-            });
-            if entry.is_written || now_ms < entry.since_ms + rank as u64 * TURN_MS {
+            let attempt = self
+                .depose_attempts
+                .entry(target)
+                .or_insert_with(|| DeposeAttempt {
+                    since_ms: now_ms,
+                    ..DeposeAttempt::default()
+                });
+            if attempt.is_submitted || now_ms < attempt.since_ms + rank as u64 * TURN_MS {
                 continue;
             }
             let asked_ms = now_ms;
@@ -411,24 +424,24 @@
         }
     }
 
-    fn consented(&mut self, voter: Member, target: Member, asked_ms: u64) {
+    fn handle_consent(&mut self, voter: Member, target: Member, asked_ms: u64) {
         let now_ms = self.now_ms;
         let quorum = self.voters().len() / 2 + 1;
-        let Some(entry) = self.deposing.get_mut(&target) else {
+        let Some(attempt) = self.depose_attempts.get_mut(&target) else {
             return;
         };
-        entry.consents.insert(voter, asked_ms);
+        attempt.consents.insert(voter, asked_ms);
         // A voter that restarts forgets its consent but abstains for longer than
         // a consent counts, so the majority below held at one moment.
-        entry
+        attempt
             .consents
             .retain(|_, asked_ms| now_ms < *asked_ms + CONSENT_MS);
-        let count = entry.consents.len();
-        if entry.is_written || count < quorum {
+        let count = attempt.consents.len();
+        if attempt.is_submitted || count < quorum {
             return;
         }
-        entry.is_written = true;
-        let mut voters: Vec<Member> = entry.consents.keys().copied().collect();
+        attempt.is_submitted = true;
+        let mut voters: Vec<Member> = attempt.consents.keys().copied().collect();
         voters.sort_unstable();
         let voters = voters.into();
         self.claims_writer
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -71,7 +71,7 @@
     claims_log: Follower,
     claims_writer: Writer,
     appends: Appends,
-    deposing: BTreeMap<Member, members::Deposing>,
+    depose_attempts: BTreeMap<Member, members::DeposeAttempt>,
     inherited: BTreeMap<Member, succession::Inherited>,
     successors: HashMap<Member, Seat>,
 
@@ -80,7 +80,7 @@
     config_writer: Writer,
     layout: Layout,
     runnable: publishing::Runnable,
-    publishing: Vec<publishing::Pending>,
+    publishing: Vec<publishing::PendingChange>,
     platform: HashMap<Box<str>, PlatformHost>,
 
     keys: BTreeMap<u16, KeyCell>,
@@ -95,7 +95,7 @@
 
     is_stopping: bool,
     stop_began_ms: u64,
-    local: VecDeque<Message>,
+    local_messages: VecDeque<Message>,
     out: Vec<Action>,
 }
 
@@ -121,7 +121,7 @@
             claims_log: Follower::new(),
             claims_writer: Writer::new(Term(0), 0),
             appends: Appends::default(),
-            deposing: BTreeMap::new(),
+            depose_attempts: BTreeMap::new(),
             inherited: BTreeMap::new(),
             successors: HashMap::new(),
             config: Config::default(),
@@ -141,7 +141,7 @@
             submissions: BTreeMap::new(),
             is_stopping: false,
             stop_began_ms: 0,
-            local: VecDeque::new(),
+            local_messages: VecDeque::new(),
             out: Vec::new(),
             limits,
         }
@@ -170,7 +170,7 @@
         self.check_lease();
         self.check_inherited();
         self.apply_event(event);
-        while let Some(message) = self.local.pop_front() {
+        while let Some(message) = self.local_messages.pop_front() {
             self.receive(self.me, message);
         }
         std::mem::take(&mut self.out)
@@ -184,20 +184,20 @@
             Event::CallerGone { request } => self.caller_gone(request),
             Event::AttemptEnded { request, outcome } => self.attempt_ended(request, outcome),
             Event::Submit { request, spec } => self.submit(request, spec),
-            Event::Publish { request, change } => self.publish(request, change),
+            Event::Publish { request, change } => self.handle_publish(request, change),
             Event::Appended {
                 stream,
                 sequence,
                 offset,
-            } => self.appended(stream, sequence, offset),
-            Event::Read { stream, page } => self.read(stream, page),
+            } => self.handle_appended(stream, sequence, offset),
+            Event::Read { stream, page } => self.handle_read(stream, page),
             Event::WorkerAnswered {
                 cell,
                 host,
                 token,
                 report,
-            } => self.worker_answered(cell, host, token, report),
-            Event::Hosts(list) => self.platform_listed(&list),
+            } => self.handle_worker_answer(cell, host, token, report),
+            Event::Hosts(list) => self.apply_host_list(&list),
             Event::Stop => self.begin_stop(),
         }
     }
@@ -264,7 +264,7 @@
 
     fn send(&mut self, to: Seat, message: Message) {
         if to == self.me.seat {
-            self.local.push_back(message);
+            self.local_messages.push_back(message);
             return;
         }
         self.out.push(Action::Send { to, message });
--- a/crates/core/src/node/publishing.rs
+++ b/crates/core/src/node/publishing.rs
@@ -13,11 +13,11 @@
 use std::collections::HashMap;
 
 /// How long an operator waits for a verdict.
-const PATIENCE_MS: u64 = 10_000;
+const PUBLISH_TIMEOUT_MS: u64 = 10_000;
 
 /// A change whose operator waits.
 #[derive(Debug, Clone)]
-pub(super) struct Pending {
+pub(super) struct PendingChange {
     request: u64,
     id: Box<str>,
     deadline_ms: u64,
@@ -70,12 +70,12 @@
 }
 
 impl Node {
-    pub(super) fn publish(&mut self, request: u64, change: ConfigChange) {
-        if let Some(fate) = self.config.publish_outcome(&change.id)
-            && !matches!(fate, PublishOutcome::Accepted { .. })
+    pub(super) fn handle_publish(&mut self, request: u64, change: ConfigChange) {
+        if let Some(outcome) = self.config.publish_outcome(&change.id)
+            && !matches!(outcome, PublishOutcome::Accepted { .. })
         {
-            let fate = fate.clone();
-            self.answer(request, Answer::Published(fate));
+            let outcome = outcome.clone();
+            self.answer(request, Answer::Published(outcome));
             return;
         }
         let is_known = self.config.publish_outcome(&change.id).is_some();
@@ -91,10 +91,10 @@
             );
             return;
         }
-        self.publishing.push(Pending {
+        self.publishing.push(PendingChange {
             request,
             id: change.id.clone(),
-            deadline_ms: self.now_ms + PATIENCE_MS,
+            deadline_ms: self.now_ms + PUBLISH_TIMEOUT_MS,
         });
         if !is_known {
             self.config_writer.push(self.now_ms, Record::Config(change));
@@ -105,21 +105,21 @@
     /// current version and a majority of voters has it in force: from then on any
     /// process without it loses its lease within seconds.
     pub(super) fn tick_publishing(&mut self) {
-        let mut waiting = Vec::new();
+        let mut still_pending = Vec::new();
         for pending in std::mem::take(&mut self.publishing) {
-            let is_late = self.now_ms >= pending.deadline_ms;
+            let is_expired = self.now_ms >= pending.deadline_ms;
             let answer = match self.config.publish_outcome(&pending.id) {
                 Some(PublishOutcome::Accepted { version })
                     if !self.has_majority_in_force(*version) =>
                 {
                     None
                 }
-                Some(fate) => Some(Answer::Published(fate.clone())),
+                Some(outcome) => Some(Answer::Published(outcome.clone())),
                 None => None,
             };
             match answer {
                 Some(answer) => self.answer(pending.request, answer),
-                None if is_late => {
+                None if is_expired => {
                     let reason = "no verdict yet; ask again with the same identity";
                     self.answer(
                         pending.request,
@@ -129,20 +129,20 @@
                         },
                     );
                 }
-                None => waiting.push(pending),
+                None => still_pending.push(pending),
             }
         }
-        self.publishing = waiting;
+        self.publishing = still_pending;
     }
 
     /// Puts the new configuration into force in this process.
-    pub(super) fn config_changed(&mut self) {
+    pub(super) fn apply_new_config(&mut self) {
         let version = self.config.version();
         let detail = format!("by {}", self.config.author());
         self.note(Code::ConfigInForce, version.to_string(), detail);
         self.layout = Layout::build(self.config.inventory(), self.limits.key_cells);
         self.runnable = Runnable::build(self.config.inventory());
-        self.list_all();
+        self.update_all_cells();
         for number in self.keys.keys().copied().collect::<Vec<u16>>() {
             self.cancel_unlisted(number);
         }
--- a/crates/core/src/node/succession.rs
+++ b/crates/core/src/node/succession.rs
@@ -28,7 +28,7 @@
 use std::collections::BTreeSet;
 
 /// Calls that the former owner may have made since it counted them last.
-const CALLS_BEYOND: u64 = 1_000;
+const MAX_UNCOUNTED_CALLS: u64 = 1_000;
 
 plain! {
     /// A cell of keys as it is handed over.
@@ -91,7 +91,7 @@
     }
 
     /// Asks a voter where things stand, if the log has never been read.
-    pub(super) fn ask_for_state(&mut self) {
+    pub(super) fn request_state(&mut self) {
         if self.claims_log.was_read() || !self.claims_log.is_unavailable() {
             return;
         }
@@ -135,7 +135,7 @@
         }
         if !self.config_log.was_read() && self.config.restore(*version, changes) {
             self.config_log.start_at(*config_as_of);
-            self.config_changed();
+            self.apply_new_config();
         }
     }
 
@@ -152,7 +152,7 @@
             handovers.push(match &inherited.handover {
                 // It waits for its voters here and can wait there.
                 Some(handover) => handover.clone(),
-                None => self.handover_of(*member, &inherited.cells),
+                None => self.make_handover(*member, &inherited.cells),
             });
         }
         let owned = self.owned_cells();
@@ -160,7 +160,7 @@
             .into_iter()
             .filter(|cell| !inherited_cells.contains(cell))
             .collect();
-        handovers.push(self.handover_of(self.me, &own));
+        handovers.push(self.make_handover(self.me, &own));
         // From here on this process acts for nothing, whatever becomes of the
         // messages.
         self.drop_all_cells();
@@ -188,7 +188,7 @@
     }
 
     /// Gives what a carrier must know of a life with these cells.
-    fn handover_of(&self, member: Member, cells: &[Cell]) -> Handover {
+    fn make_handover(&self, member: Member, cells: &[Cell]) -> Handover {
         let (mut keys, mut workers, mut upstreams) = (Vec::new(), Vec::new(), Vec::new());
         for cell in cells {
             match cell {
@@ -212,7 +212,7 @@
     }
 
     /// Begins to carry a life: first the voters must promise.
-    pub(super) fn take_over(&mut self, handover: Handover) {
+    pub(super) fn accept_handover(&mut self, handover: Handover) {
         let member = handover.member;
         if self.is_stopping || self.is_mine(member) || self.claims.is_deposed(member) {
             return;
@@ -231,7 +231,7 @@
     /// whose lease has lapsed.
     pub(super) fn check_inherited(&mut self) {
         let now_ms = self.now_ms;
-        let patience_ms = self.limits.lease_ms * 2;
+        let timeout_ms = self.limits.lease_ms * 2;
         for member in self.inherited.keys().copied().collect::<Vec<Member>>() {
             let Some(inherited) = self.inherited.get_mut(&member) else {
                 continue;
@@ -239,10 +239,10 @@
             match inherited.lease.state(now_ms) {
                 LeaseState::InForce { .. } => {
                     if let Some(handover) = inherited.handover.take() {
-                        self.open_handed(handover);
+                        self.open_handover(handover);
                     }
                 }
-                LeaseState::Joining if now_ms < inherited.since_ms + patience_ms => {}
+                LeaseState::Joining if now_ms < inherited.since_ms + timeout_ms => {}
                 LeaseState::Joining | LeaseState::Expired => self.drop_inherited(member),
             }
         }
@@ -257,7 +257,7 @@
         }
     }
 
-    fn open_handed(&mut self, handover: Handover) {
+    fn open_handover(&mut self, handover: Handover) {
         let member = handover.member;
         let mut cells = Vec::new();
         for keys in &handover.keys {
@@ -267,7 +267,7 @@
         for (number, term, calls) in &handover.workers {
             self.open_workers(*number, *term);
             if let Some(cell) = self.workers.get_mut(number) {
-                cell.set_calls(calls + CALLS_BEYOND);
+                cell.set_calls(calls + MAX_UNCOUNTED_CALLS);
             }
             cells.push(Cell::Workers(*number));
         }
@@ -297,27 +297,27 @@
                 .get(&member)
                 .map(|inherited| inherited.cells.clone());
             let cells = cells.unwrap_or_default();
-            let may_go: Vec<Cell> = cells
+            let releasable: Vec<Cell> = cells
                 .iter()
                 .copied()
                 .filter(|cell| self.may_release(*cell))
                 .collect();
-            if may_go.is_empty() {
-                if cells.is_empty() && !self.is_waiting(member) {
+            if releasable.is_empty() {
+                if cells.is_empty() && !self.awaits_votes(member) {
                     self.inherited.remove(&member);
                 }
                 continue;
             }
             if let Some(inherited) = self.inherited.get_mut(&member) {
-                inherited.cells.retain(|cell| !may_go.contains(cell));
+                inherited.cells.retain(|cell| !releasable.contains(cell));
             }
-            self.release_cells(member, &may_go, Some(self.me));
+            self.release_cells(member, &releasable, Some(self.me));
             return;
         }
     }
 
     /// Tells whether a carried life still waits for its voters.
-    fn is_waiting(&self, member: Member) -> bool {
+    fn awaits_votes(&self, member: Member) -> bool {
         self.inherited
             .get(&member)
             .is_some_and(|inherited| inherited.handover.is_some())
@@ -336,7 +336,7 @@
     }
 
     /// Says that a planned stop is complete.
-    pub(super) fn stopped(&mut self) {
+    pub(super) fn finish_stop(&mut self) {
         self.note(Code::Stopped, self.me.to_string(), "");
         self.out.push(Action::Stopped);
     }
--- a/crates/core/src/node/upstreams.rs
+++ b/crates/core/src/node/upstreams.rs
@@ -18,7 +18,7 @@
 impl Node {
     /// Starts to own a cell of upstreams. If it had an owner before, nothing is
     /// granted until every attempt under the former owner's grants has ended.
-    pub(super) fn open_upstreams(&mut self, number: u64, is_handed: bool) {
+    pub(super) fn open_upstreams(&mut self, number: u64, is_handover: bool) {
         let Some(group) = self.layout.groups.get(&number) else {
             return;
         };
@@ -31,23 +31,23 @@
             waiting_per_slot: self.limits.waiting_per_slot,
         };
         let cell = Cell::Upstreams(number);
-        let linger_ms = bounds.timeout_ms + bounds.use_ms;
-        let opens_ms = match is_handed || self.claims.had_owner(cell) {
-            true => self.now_ms + linger_ms,
+        let max_attempt_ms = bounds.timeout_ms + bounds.use_ms;
+        let grants_from_ms = match is_handover || self.claims.had_owner(cell) {
+            true => self.now_ms + max_attempt_ms,
             false => self.now_ms,
         };
         self.upstreams
-            .insert(number, UpstreamCell::new(bounds, opens_ms));
+            .insert(number, UpstreamCell::new(bounds, grants_from_ms));
         self.note(
             Code::CellOpened,
             cell.to_string(),
-            format!("grants from {opens_ms} ms"),
+            format!("grants from {grants_from_ms} ms"),
         );
-        self.list_upstreams(number);
+        self.update_instances(number);
     }
 
     /// Brings a cell's instances in line with the inventory and the platform.
-    pub(super) fn list_upstreams(&mut self, number: u64) {
+    pub(super) fn update_instances(&mut self, number: u64) {
         let Some(cell) = self.upstreams.get_mut(&number) else {
             return;
         };
@@ -60,7 +60,7 @@
         let inventory = self.config.inventory();
         let service = inventory.services.get(&group.service);
         for name in &group.upstreams {
-            let Some(listed) = self.platform.get(name) else {
+            let Some(platform_entry) = self.platform.get(name) else {
                 cell.remove_instance(name);
                 continue;
             };
@@ -69,8 +69,8 @@
                 .is_some_and(|host| self.platform.get(host).is_some_and(|host| host.is_leaving));
             let slots = service.map_or(0, |service| service.slots.min(service.connections));
             let is_evacuated = host.is_some_and(|host| inventory.is_evacuated(host));
-            let is_leaving = listed.is_leaving || is_host_leaving || is_evacuated;
-            cell.update_instance(name, &listed.address, slots, is_leaving);
+            let is_leaving = platform_entry.is_leaving || is_host_leaving || is_evacuated;
+            cell.update_instance(name, &platform_entry.address, slots, is_leaving);
         }
     }
 
@@ -88,14 +88,14 @@
                     self.send(from.seat, Message::NotOwner { cell, request });
                     return;
                 };
-                let ask = SlotRequest {
+                let slot_request = SlotRequest {
                     requester: from,
                     request,
                     asked_ms: now_ms,
                     begin_by_ms: now_ms + begin_in_ms,
                 };
-                let verdict = owned.request_slot(now_ms, ask);
-                self.send_verdict(cell, ask, verdict);
+                let verdict = owned.request_slot(now_ms, slot_request);
+                self.send_verdict(cell, slot_request, verdict);
             }
             Message::GrantCancel { cell, request } => {
                 if let Some(owned) = self.owned_upstreams(cell) {
@@ -110,7 +110,7 @@
                 ended,
                 next,
             } => {
-                let released = SlotRelease {
+                let release = SlotRelease {
                     grant: GrantKey::from(KeyData::from_ffi(grant)),
                     requester: from,
                     request,
@@ -118,7 +118,7 @@
                     next,
                 };
                 if let Some(owned) = self.owned_upstreams(cell) {
-                    owned.release(now_ms, released);
+                    owned.release(now_ms, release);
                     self.serve_waiting(cell);
                 }
             }
@@ -135,7 +135,7 @@
 
     /// Answers an ask; without a verdict the request waits, and its asker is told so,
     /// since silence would mean that the owner is dead.
-    fn send_verdict(&mut self, cell: Cell, ask: SlotRequest, verdict: Option<Verdict>) {
+    fn send_verdict(&mut self, cell: Cell, slot_request: SlotRequest, verdict: Option<Verdict>) {
         let now_ms = self.now_ms;
         let free = self
             .owned_upstreams(cell)
@@ -155,11 +155,11 @@
         };
         let answer = Message::GrantResponse {
             cell,
-            request: ask.request,
+            request: slot_request.request,
             verdict,
             free,
         };
-        self.send(ask.requester.seat, answer);
+        self.send(slot_request.requester.seat, answer);
     }
 
     /// Serves requests that wait for slots of `cell`.
@@ -171,8 +171,8 @@
         let Some(owned) = self.owned_upstreams(cell) else {
             return;
         };
-        for (ask, verdict) in owned.tick(now_ms) {
-            self.send_verdict(cell, ask, Some(verdict));
+        for (slot_request, verdict) in owned.tick(now_ms) {
+            self.send_verdict(cell, slot_request, Some(verdict));
         }
     }
 
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -20,7 +20,7 @@
 use crate::placement::WorkerTiming;
 
 /// How long a report of an end waits for its acknowledgement.
-const REPORT_PATIENCE_MS: u64 = 1_000;
+const UPDATE_ACK_TIMEOUT_MS: u64 = 1_000;
 
 /// Gives the team in the identity of a job, `team/name`.
 pub(super) fn team_of(id: &str) -> &str {
@@ -29,24 +29,24 @@
 
 impl Node {
     pub(super) fn open_workers(&mut self, number: u64, term: Term) {
-        let pace = WorkerTiming {
+        let timing = WorkerTiming {
             lease_ms: self.limits.worker_lease_ms,
             poll_ms: self.limits.worker_poll_ms,
             reserve_ms: self.limits.reserve_ms,
             skew_permille: self.limits.skew_permille,
         };
-        self.workers.insert(number, WorkerCell::new(term, pace));
+        self.workers.insert(number, WorkerCell::new(term, timing));
         let cell = Cell::Workers(number);
         self.note(
             Code::CellOpened,
             cell.to_string(),
             format!("term {}", term.0),
         );
-        self.list_workers(number);
+        self.update_hosts(number);
     }
 
     /// Brings a cell's hosts in line with the inventory and the platform.
-    pub(super) fn list_workers(&mut self, number: u64) {
+    pub(super) fn update_hosts(&mut self, number: u64) {
         let now_ms = self.now_ms;
         let Some(cell) = self.workers.get_mut(&number) else {
             return;
@@ -62,14 +62,16 @@
             let Some(host) = inventory.hosts.get(&name) else {
                 continue;
             };
-            let listed = self.platform.get(&name);
-            let is_leaving = listed.is_some_and(|host| host.is_leaving)
+            let platform_entry = self.platform.get(&name);
+            let is_leaving = platform_entry.is_some_and(|host| host.is_leaving)
                 || inventory.drains(&name)
                 || inventory.is_evacuated(&name);
             cell.update_host(
                 now_ms,
                 HostEntry {
-                    address: listed.map(|host| host.address.clone()).unwrap_or_default(),
+                    address: platform_entry
+                        .map(|host| host.address.clone())
+                        .unwrap_or_default(),
                     total: host.need,
                     reserved: inventory.reserved(&name),
                     barred: inventory.barred_on(&name),
@@ -80,20 +82,20 @@
         }
     }
 
-    pub(super) fn platform_listed(&mut self, list: &[PlatformHost]) {
+    pub(super) fn apply_host_list(&mut self, list: &[PlatformHost]) {
         self.platform.clear();
         for host in list {
             self.platform.insert(host.name.clone(), host.clone());
         }
-        self.list_all();
+        self.update_all_cells();
     }
 
-    pub(super) fn list_all(&mut self) {
+    pub(super) fn update_all_cells(&mut self) {
         for number in self.workers.keys().copied().collect::<Vec<u64>>() {
-            self.list_workers(number);
+            self.update_hosts(number);
         }
         for number in self.upstreams.keys().copied().collect::<Vec<u64>>() {
-            self.list_upstreams(number);
+            self.update_instances(number);
         }
     }
 
@@ -109,13 +111,13 @@
             } => {
                 let attempt = order.attempt.clone();
                 let owned = self.owned_workers(cell).filter(|_| may_act);
-                let held = owned.map(|owned| owned.reserve(now_ms, order, is_urgent));
+                let reservation = owned.map(|owned| owned.reserve(now_ms, order, is_urgent));
                 let free = self.owned_workers(cell).map(|owned| owned.free_resources());
                 let answer = Message::Reserved {
                     home,
                     cell,
                     attempt,
-                    is_held: held == Some(Reservation::Held),
+                    is_held: reservation == Some(Reservation::Held),
                     free_millicores: free.unwrap_or_default().millicores,
                 };
                 self.send(from.seat, answer);
@@ -158,7 +160,7 @@
         home: Cell,
         cell: Cell,
         order: TaskOrder,
-        manner: StartOptions,
+        options: StartOptions,
     ) {
         // An order from a member that no longer owns the job's cell is stale: the
         // job may have moved on since.
@@ -172,18 +174,18 @@
         let Some(owned) = self.owned_workers(cell) else {
             return;
         };
-        let end = match owned.start(now_ms, order, manner) {
+        let end = match owned.start(now_ms, order, options) {
             StartAnswer::Starting | StartAnswer::Wait => return,
             StartAnswer::Running => None,
             StartAnswer::Ended(end) => Some(end),
         };
-        let report = Message::TaskUpdate {
+        let update = Message::TaskUpdate {
             home,
             cell,
             attempt,
             end,
         };
-        self.send(from.seat, report);
+        self.send(from.seat, update);
     }
 
     fn owned_workers(&mut self, cell: Cell) -> Option<&mut WorkerCell> {
@@ -193,7 +195,7 @@
         self.workers.get_mut(&number)
     }
 
-    pub(super) fn worker_answered(
+    pub(super) fn handle_worker_answer(
         &mut self,
         number: u64,
         host: HostKey,
@@ -222,7 +224,7 @@
     }
 
     /// Sends what is due to the workers of a cell, and reports to homes.
-    fn call_workers(&mut self, number: u64, reports: bool) {
+    fn call_workers(&mut self, number: u64, sends_updates: bool) {
         let Some(begin_by_ms) = self.acts_until_ms() else {
             return;
         };
@@ -239,19 +241,19 @@
                 begin_by_ms,
             });
         }
-        if !reports {
+        if !sends_updates {
             return;
         }
-        for TaskUpdate { attempt, end } in cell.drain_updates(now_ms, REPORT_PATIENCE_MS) {
+        for TaskUpdate { attempt, end } in cell.drain_updates(now_ms, UPDATE_ACK_TIMEOUT_MS) {
             let home = Cell::keys(team_of(&attempt.id), self.limits.key_cells);
             let cell = Cell::Workers(number);
-            let report = Message::TaskUpdate {
+            let update = Message::TaskUpdate {
                 home,
                 cell,
                 attempt,
                 end,
             };
-            self.send_to_owner(home, report);
+            self.send_to_owner(home, update);
         }
     }
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -73,7 +73,7 @@
     0..SEATS
 }
 
-fn hosts() -> BoxedStrategy<Fault> {
+fn host_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         1 => seat().prop_map(Fault::Kill),
         3 => seat().prop_map(Fault::Restart),
@@ -92,7 +92,7 @@
     .boxed()
 }
 
-fn requests() -> BoxedStrategy<Fault> {
+fn request_faults() -> BoxedStrategy<Fault> {
     let mode = prop_oneof![
         3 => Just(UpstreamMode::Answers),
         1 => Just(UpstreamMode::Fails),
@@ -108,7 +108,7 @@
     .boxed()
 }
 
-fn jobs() -> BoxedStrategy<Fault> {
+fn job_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         6 => (seat(), 0_u8..3, 0_u8..40).prop_map(|(via, kind, name)| Fault::Submit { via, kind, name }),
         1 => (1_u8..=9).prop_map(Fault::WorkerDies),
@@ -122,7 +122,7 @@
     .boxed()
 }
 
-fn operators() -> BoxedStrategy<Fault> {
+fn operator_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         6 => (seat(), 0_u64..6, 0_u8..8).prop_map(|(via, base, id)| Fault::Publish { via, base, id }),
         1 => Just(Fault::Expire),
@@ -131,7 +131,7 @@
 }
 
 /// Planned stops and replacements while the log comes and goes.
-fn replacements() -> BoxedStrategy<Fault> {
+fn replacement_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         3 => seat().prop_map(Fault::Stop),
         3 => seat().prop_map(Fault::Restart),
@@ -149,13 +149,13 @@
 
 /// Runs sequences drawn from two kinds of faults.
 fn run_family(seed: u8, first: BoxedStrategy<Fault>, second: BoxedStrategy<Fault>) {
-    const SEQUENCES: u32 = 1_000;
+    const DEFAULT_SEQUENCES: u32 = 1_000;
     const LENGTH: std::ops::Range<usize> = 4..24;
-    let wanted = std::env::var("FAULT_SEQUENCES")
+    let requested = std::env::var("FAULT_SEQUENCES")
         .ok()
         .and_then(|text| text.parse().ok());
     let config = Config {
-        cases: wanted.unwrap_or(SEQUENCES),
+        cases: requested.unwrap_or(DEFAULT_SEQUENCES),
         failure_persistence: None,
         max_shrink_iters: 400,
         ..Config::default()
@@ -163,40 +163,40 @@
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, random);
     let sequences = vec(prop_oneof![first, second], LENGTH);
-    let verdict = runner.run(&sequences, |faults| {
-        let broken = play(&faults);
-        match broken.is_empty() {
+    let result = runner.run(&sequences, |faults| {
+        let violations = run_sequence(&faults);
+        match violations.is_empty() {
             true => Ok(()),
-            false => Err(TestCaseError::fail(broken.join("; "))),
+            false => Err(TestCaseError::fail(violations.join("; "))),
         }
     });
-    if let Err(failure) = verdict {
+    if let Err(failure) = result {
         panic!("seed {seed}: {failure}");
     }
 }
 
 /// Plays a sequence, lets everything heal, and lists what broke.
-fn play(faults: &[Fault]) -> Vec<String> {
-    const READY_MS: u64 = 4_500;
-    const HEAL_MS: u64 = 14_000;
+fn run_sequence(faults: &[Fault]) -> Vec<String> {
+    const STARTUP_MS: u64 = 4_500;
+    const RECOVERY_MS: u64 = 14_000;
     let limits = Limits {
         carry_records: 20,
         ..Limits::default()
     };
     let mut world = usual_world(SEATS, limits, 1_500, 7);
-    world.run(READY_MS);
+    world.run(STARTUP_MS);
     publish(&mut world, Seat(0), "first", 0, &Sections::new(), SPA);
     world.run(2_000);
     for fault in faults {
-        inflict(&mut world, *fault);
+        inject_fault(&mut world, *fault);
         world.run(50);
     }
-    heal(&mut world);
-    world.run(HEAL_MS);
+    end_all_faults(&mut world);
+    world.run(RECOVERY_MS);
     world.broken()
 }
 
-fn heal(world: &mut World) {
+fn end_all_faults(world: &mut World) {
     world.edges.log_mode = LogMode::Up;
     world.edges.log_cuts.clear();
     world.cuts.clear();
@@ -217,7 +217,7 @@
     }
 }
 
-fn inflict(world: &mut World, fault: Fault) {
+fn inject_fault(world: &mut World, fault: Fault) {
     let now_ms = world.now_ms;
     match fault {
         Fault::Kill(seat) => world.kill(Seat(seat)),
@@ -267,7 +267,7 @@
         }
         Fault::Wait(duration_ms) => world.run(duration_ms),
         Fault::WorkerWakes(number) => world.edges.wake_worker(now_ms, &format!("w{number}")),
-        _ => hurt_worker(world, fault),
+        _ => inject_worker_fault(world, fault),
     }
 }
 
@@ -277,10 +277,10 @@
         .edges
         .upstreams
         .get_mut(&*name)
-        .expect("such an instance")
+        .expect("the instance exists")
 }
 
-fn hurt_worker(world: &mut World, fault: Fault) {
+fn inject_worker_fault(world: &mut World, fault: Fault) {
     let now_ms = world.now_ms;
     let (Fault::WorkerDies(number)
     | Fault::WorkerReturns(number)
@@ -292,7 +292,11 @@
         return;
     };
     let name = format!("w{number}");
-    let worker = world.edges.workers.get_mut(&*name).expect("such a worker");
+    let worker = world
+        .edges
+        .workers
+        .get_mut(&*name)
+        .expect("the worker exists");
     match fault {
         Fault::WorkerDies(_) => {
             worker.state.die(now_ms);
@@ -310,7 +314,7 @@
 }
 
 fn publish_change(world: &mut World, via: u16, base: u64, id: u8) {
-    let (old, _) = load_sections("inventory.ini", SPA).expect("the inventory is sound");
+    let (old, _) = load_sections("inventory.ini", SPA).expect("the inventory is valid");
     let text = format!(
         "{SPA}\n[rule quota-desk]\nkind = quota\nteam = desk\ncores = {}\nmemory_mb = 100000\n",
         40 + u32::from(id)
@@ -322,7 +326,7 @@
 /// and the log in any order. Cause: ownership must outlive and survive them all.
 #[test]
 fn ownership_is_exclusive_under_faults() {
-    run_family(1, hosts(), requests());
+    run_family(1, host_faults(), request_faults());
 }
 
 /// Symptom: a truck is sent twice, or "not run" is told of one that was sent.
@@ -330,28 +334,40 @@
 /// fail. Cause: the fate of an attempt must be told apart from hearsay.
 #[test]
 fn identities_run_at_most_once_under_faults() {
-    run_family(2, requests(), prop_oneof![hosts(), requests()].boxed());
+    run_family(
+        2,
+        request_faults(),
+        prop_oneof![host_faults(), request_faults()].boxed(),
+    );
 }
 
 /// Symptom: a job runs in two places, twice, or never. Sequence: workers and hosts
 /// die, pause, leave and lose links. Cause: each step must be recorded in order.
 #[test]
 fn jobs_resume_once_under_faults() {
-    run_family(3, jobs(), prop_oneof![hosts(), jobs()].boxed());
+    run_family(
+        3,
+        job_faults(),
+        prop_oneof![host_faults(), job_faults()].boxed(),
+    );
 }
 
 /// Symptom: a configuration reverts, or two operators both win. Sequence: changes
 /// race while hosts restart and retention drops records. Cause: one order decides.
 #[test]
 fn configuration_never_reverts_under_faults() {
-    run_family(4, operators(), hosts());
+    run_family(4, operator_faults(), host_faults());
 }
 
 /// Symptom: a life that was handed over acts in two places, or its jobs run twice.
 /// Sequence: hosts stop, are replaced, pause and die while the log comes and goes.
 /// Cause: the one who stops must let go first, and the carrier needs promises.
 #[test]
-fn lives_are_carried_once_under_faults() {
-    let work = prop_oneof![jobs(), requests()].boxed();
-    run_family(5, replacements(), prop_oneof![replacements(), work].boxed());
+fn handed_over_members_act_in_one_place_under_faults() {
+    let work = prop_oneof![job_faults(), request_faults()].boxed();
+    run_family(
+        5,
+        replacement_faults(),
+        prop_oneof![replacement_faults(), work].boxed(),
+    );
 }
