--- a/crates/core/src/node/claiming.rs
+++ b/crates/core/src/node/claiming.rs
@@ -1,4 +1,4 @@
-//! Claiming free cells, giving cells to a better owner, and a planned stop.
+//! Claims of free cells, transfers of cells to a better owner, and the planned stop.
 
 use super::Node;
 use crate::event::Action;
@@ -8,26 +8,28 @@
 use crate::notes::Code;
 use crate::record::Record;
 
-/// Most cells in one claim, so that a record stays small.
+/// Maximum number of cells in one claim, so that the record stays small.
 const MAX_CLAIM_CELLS: usize = 500;
-/// How long a member has been alive before cells move to it.
+/// Time for which a member must have been alive before cells move to it.
 const MIN_ALIVE_MS: u64 = 5_000;
-/// Cells that move to a better owner per heartbeat.
+/// Maximum number of cells that move to a better owner per heartbeat.
 const MAX_MOVES: usize = 1;
-/// How long a stopping host still takes requests, until the balancer has noticed.
+/// Time for which a stopping host still accepts requests, because the load balancer
+/// takes a while to stop sending them.
 const STOP_GRACE_MS: u64 = 3_000;
-/// How long a stopping host tries to pass on its cells through the log.
+/// Time after the start of a planned stop until which a host tries to release its
+/// cells through the log.
 const MAX_RELEASE_MS: u64 = 10_000;
 
 impl Node {
-    /// Gives the member that should own `cell`.
+    /// Returns the live member that should own `cell`.
     fn best_owner(&self, cell: Cell) -> Option<Member> {
         let members = self.alive().iter().copied();
         members.max_by_key(|member| rendezvous_weight(cell, member.seat))
     }
 
-    /// Claims free cells of which this member is the best owner, and passes on
-    /// cells of which another is.
+    /// Claims free cells of which this member is the best owner. If there are none,
+    /// releases cells of which another member is the best owner.
     pub(super) fn claim_free_cells(&mut self) {
         let is_current = self.claims_log.is_current(self.now_ms, &self.limits);
         if !is_current || self.claims_writer.waiting() > 0 || self.is_stopping {
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Lists the cells that this member serves or is about to.
+    /// Returns the cells that this process owns, including those that are not open
+    /// yet and those of inherited members.
     pub(super) fn owned_cells(&self) -> Vec<Cell> {
         let keys = self.keys.keys().map(|number| Cell::Keys(*number));
         let workers = self.workers.keys().map(|number| Cell::Workers(*number));
@@ -81,7 +84,7 @@
         keys.chain(workers).chain(upstreams).collect()
     }
 
-    /// Tells whether nothing of `cell` is half written.
+    /// Returns whether `cell` has no unfinished writes, so that it may be released.
     pub(super) fn may_release(&self, cell: Cell) -> bool {
         match cell {
             Cell::Keys(number) => self
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Stops acting for `cells` and then says so in the log. The order matters:
-    /// the heir may act as soon as the record stands.
+    /// Stops acting for `cells` and then writes their release to the log. The order
+    /// matters: the successor may act as soon as the record is in the log.
     pub(super) fn release_cells(
         &mut self,
         member: Member,
@@ -111,7 +114,7 @@
         self.claims_writer.push(self.now_ms, release);
     }
 
-    /// Begins or ends ownership of cells whose owner has changed in the log.
+    /// Opens or drops cells whose owner has changed in the log.
     pub(super) fn owners_changed(&mut self, cells: &[Cell]) {
         for cell in cells {
             let owner = self.claims.owner(*cell);
@@ -159,8 +162,8 @@
         self.out.push(Action::Ready(false));
     }
 
-    /// Goes on with a planned stop: first the requests in flight end, then the
-    /// cells go to their heirs, then the process may end.
+    /// Continues a planned stop: once the requests in flight have ended, releases
+    /// the cells to their successors, and then reports that the process may exit.
     pub(super) fn tick_stop(&mut self) {
         if !self.is_stopping || self.now_ms < self.stop_began_ms + STOP_GRACE_MS {
             return;
@@ -183,7 +186,8 @@
                 return;
             }
         } else if !owned.is_empty() && self.hand_over() {
-            // The process lives on for a moment, until the message is on its way.
+            // The process must not exit before the handovers are sent. The stop
+            // completes at a later tick.
             return;
         }
         self.finish_stop();
--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -1,4 +1,4 @@
-//! Following the streams `claims` and `config`, and writing to all streams.
+//! Reading of the streams `claims` and `config`, and writing to all streams.
 
 use super::Node;
 use crate::event::Action;
@@ -11,20 +11,21 @@
 use crate::record::Record;
 use crate::writer::Step;
 
-/// Where a followed stream stands.
+/// Position and state of a stream that is read continuously.
 #[derive(Debug, Clone)]
 pub(super) struct Follower {
     position: u64,
+    /// Whether the answer to a read is outstanding.
     is_reading: bool,
     read_sent_ms: u64,
     next_read_ms: u64,
     /// When the end of the stream was last reached.
     end_reached_ms: Option<u64>,
     is_unavailable: bool,
-    /// Records seen while waiting for state that was carried forward, because the
-    /// log no longer holds the stream's beginning.
+    /// Records that were read but can be applied only after the next snapshot,
+    /// because the log no longer has the beginning of the stream.
     unapplied: Option<Vec<(u64, Record)>>,
-    /// Records since state was last carried forward.
+    /// Records read since the last snapshot.
     records_since_snapshot: u64,
     last_snapshot_ms: u64,
 }
@@ -44,34 +45,35 @@
         }
     }
 
-    /// Reads again at the next tick.
+    /// Makes the next read due at the next tick.
     pub(super) fn read_soon(&mut self) {
         self.next_read_ms = 0;
     }
 
-    /// Gives the offset up to which the stream was read.
+    /// Returns the offset up to which the stream was read.
     pub(super) fn position(&self) -> u64 {
         self.position
     }
 
-    /// Tells whether the end of the stream was ever reached.
+    /// Returns whether the end of the stream was ever reached.
     pub(super) fn was_read(&self) -> bool {
         self.end_reached_ms.is_some()
     }
 
-    /// Goes on from an offset up to which a peer has read.
+    /// Continues from the offset up to which a peer has read.
     pub(super) fn start_at(&mut self, position: u64) {
         self.position = position;
         self.unapplied = None;
     }
 
-    /// Tells whether the log has not answered the latest read. A lost answer to an
-    /// append alone says little: reading on settles it.
+    /// Returns whether the latest read of the stream failed. A lost answer to an
+    /// append is no sign of an outage by itself: the next read resolves it.
     pub(super) fn is_unavailable(&self) -> bool {
         self.is_unavailable
     }
 
-    /// Tells whether the end of the stream was reached just now.
+    /// Returns whether the end of the stream was reached within the last
+    /// `POLL_INTERVALS` poll intervals and no records wait for a snapshot.
     pub(super) fn is_current(&self, now_ms: u64, limits: &Limits) -> bool {
         const POLL_INTERVALS: u64 = 4;
         let max_age_ms = limits.poll_ms * POLL_INTERVALS;
@@ -115,7 +117,7 @@
         (self.now_ms, &self.limits, follower)
     }
 
-    /// Lets the writer of `stream` go on.
+    /// Performs the next step of the writer of `stream`.
     pub(super) fn step_writer(&mut self, stream: Stream) {
         let (now_ms, limits) = (self.now_ms, &self.limits);
         let writer = match stream {
@@ -174,7 +176,7 @@
             return;
         };
         if page.next < follower.position {
-            // An answer to an earlier read came late.
+            // This is the late answer to an earlier read.
             return;
         }
         if page.oldest > follower.position {
@@ -203,7 +205,7 @@
         let lacks_snapshot = follower.unapplied.is_some();
         let is_empty = page.oldest == page.next;
         if lacks_snapshot && is_empty {
-            // Everything has expired and nothing was carried forward.
+            // All records have expired and there is no snapshot.
             follower.unapplied = None;
             self.note(
                 Code::StateMissing,
@@ -239,8 +241,9 @@
         }
     }
 
-    /// In a stream with many writers a batch is this member's if it holds the
-    /// very records that are unresolved.
+    /// Resolves an unresolved append if `batch` is the appended one. A stream with
+    /// several writers has no sequence to tell that by, so the batch must contain
+    /// exactly the same records.
     fn resolve_own_batch(&mut self, stream: Stream, batch: &Batch) {
         let writer = match stream {
             Stream::Config => &mut self.config_writer,
@@ -271,8 +274,9 @@
         self.apply_record(stream, offset, record);
     }
 
-    /// Takes over carried state if the stream's beginning was not read. Records
-    /// that others wrote while it was on its way stand before it, and count.
+    /// Restores the state of a snapshot if the beginning of the stream was not read.
+    /// Other writers may have appended records between the offset that the snapshot
+    /// covers and the snapshot itself; these are applied as well.
     fn apply_snapshot(&mut self, stream: Stream, record: &Record) {
         let follower = self.follower(stream).2;
         let Some(unapplied) = follower.unapplied.take() else {
@@ -331,8 +335,9 @@
         self.note(Code::ConfigRefused, id, detail);
     }
 
-    /// Carries state forward in the shared streams before retention passes it.
-    /// The owner of the first cell of keys does it for all.
+    /// Writes snapshots to the shared streams before retention removes the records
+    /// that they stand for. The owner of the first cell of keys writes them for all
+    /// members.
     pub(super) fn snapshot_shared_streams(&mut self) {
         let owner = self.claims.owner(Cell::Keys(0)).map(|owner| owner.member);
         let is_mine = owner.is_some_and(|owner| self.is_mine(owner));
--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -1,4 +1,5 @@
-//! Heartbeats, promises, consents, and who lives.
+//! Cluster membership: heartbeats, lease votes, consents to depose, and the set of
+//! live members.
 
 use super::Node;
 use crate::event::Action;
@@ -14,28 +15,29 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a consent counts, from when it was asked for.
+/// How long a consent is valid, from the time at which it was requested.
 const CONSENT_MS: u64 = 1_000;
 
-/// What a member knows of the others.
+/// What this member knows about the other members.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers {
-    /// As a voter: when each member was heard last.
+    /// As a voter: the latest heartbeat from each seat.
     last_heartbeats: HashMap<Seat, LastHeartbeat>,
-    /// As a voter: which lives are carried on by another seat, and when that was
-    /// heard last.
+    /// As a voter: members that another seat has inherited, with that seat and the
+    /// time of its latest heartbeat for them.
     inherited: BTreeMap<Member, (Seat, u64)>,
-    /// As a member: who lives, by each voter's account.
+    /// As a member: the live members according to each voter.
     voter_reports: HashMap<Seat, VoterReport>,
-    /// Union of the voters' accounts.
+    /// Live members according to the current reports of all voters.
     alive: BTreeSet<Member>,
-    /// Since when each of them has been alive.
+    /// Time since which each of them has been alive.
     alive_since_ms: HashMap<Member, u64>,
     next_heartbeat_ms: u64,
-    /// Newest configuration that each voter has in force.
+    /// Configuration version that each voter had in force at its latest vote.
     pub(super) config_versions: HashMap<Seat, u64>,
 }
 
+/// The latest heartbeat that a voter received from a seat.
 #[derive(Debug, Clone)]
 struct LastHeartbeat {
     incarnation: u64,
@@ -43,6 +45,7 @@
     is_leaving: bool,
 }
 
+/// The live and inherited members as one voter reports them.
 #[derive(Debug, Clone, Default)]
 struct VoterReport {
     at_ms: u64,
@@ -54,13 +57,15 @@
 /// An attempt to depose a member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DeposeAttempt {
-    /// Consents with the time at which they were asked for.
+    /// Voters that consented, with the time at which each consent was requested.
     consents: HashMap<Member, u64>,
+    /// When this member first found the target dead.
     since_ms: u64,
+    /// Whether the record that deposes the target was passed to the writer.
     is_submitted: bool,
 }
 
-/// Gives a digest of who lives and which lives are carried where.
+/// Returns a digest of the live members and of the members inherited by each seat.
 fn membership_digest(members: &[Member], inherited: &[(Member, Seat)]) -> u64 {
     let mut bytes = Vec::with_capacity(members.len() * 10);
     for member in members {
@@ -76,7 +81,7 @@
 }
 
 impl Node {
-    /// Lists the seats that vote.
+    /// Returns the seats that vote.
     pub(super) fn voters(&self) -> &[Seat] {
         &self.seats[..self.seats.len().min(self.limits.voters)]
     }
@@ -85,17 +90,18 @@
         count > self.voters().len() / 2
     }
 
-    /// Lists the members that are taken to live.
+    /// Returns the members that are considered alive.
     pub(super) fn alive(&self) -> &BTreeSet<Member> {
         &self.peers.alive
     }
 
-    /// Since when `member` has been alive in this member's eyes.
+    /// Returns the time since which this member has considered `member` alive.
     pub(super) fn alive_since_ms(&self, member: Member) -> Option<u64> {
         self.peers.alive_since_ms.get(&member).copied()
     }
 
-    /// Counts the voters that have a configuration of at least `version` in force.
+    /// Returns whether a majority of voters has at least configuration `version` in
+    /// force.
     pub(super) fn has_majority_in_force(&self, version: u64) -> bool {
         let count = self
             .peers
@@ -106,7 +112,8 @@
         self.is_quorum(count)
     }
 
-    /// Ends this life if its lease has lapsed, and notes when one is gained.
+    /// Ends this incarnation if its lease has expired, and reports a lease that is
+    /// gained.
     pub(super) fn check_lease(&mut self) {
         match self.lease.state(self.now_ms) {
             LeaseState::Joining => {}
@@ -121,12 +128,12 @@
         }
     }
 
-    /// Starts another life if the log says that this one is deposed.
+    /// Starts a new incarnation if the log says that this one is deposed.
     ///
-    /// What goes wrong without it: a replaced host's wall clock runs behind that of
-    /// its predecessor, so its incarnation is lower than one that was deposed. Its
-    /// claims have no effect, for ever. One notices by cells that nobody owns while
-    /// everybody is alive.
+    /// The wall clock of a replacement host may run behind that of its predecessor.
+    /// Its incarnation is then lower than one that was deposed, and without this
+    /// step none of its claims would ever have an effect. The symptom is cells
+    /// without an owner while all members are alive.
     fn replace_deposed_incarnation(&mut self) {
         if !self.claims.is_deposed(self.me) {
             return;
@@ -135,8 +142,9 @@
         self.begin_new_incarnation();
     }
 
-    /// Starts another life without cells. Requests in flight go on: what is on
-    /// its way to an instance still gets its caller the answer.
+    /// Starts a new incarnation, which owns no cells. Requests in flight continue,
+    /// so that callers still receive the answers to attempts that were already sent
+    /// to an instance.
     fn begin_new_incarnation(&mut self) {
         let previous = self.me;
         self.me.incarnation += 1;
@@ -173,7 +181,7 @@
         self.claim_inherited_cells();
     }
 
-    /// Asks all voters for promises to a life.
+    /// Requests lease votes for `member` from all voters.
     pub(super) fn send_heartbeat(&mut self, member: Member) {
         let heartbeat = Message::Heartbeat {
             member,
@@ -186,7 +194,7 @@
         }
     }
 
-    /// Sends the next heartbeats at once.
+    /// Makes the next heartbeats due at once.
     pub(super) fn send_heartbeat_soon(&mut self) {
         self.peers.next_heartbeat_ms = self.now_ms;
     }
@@ -246,7 +254,7 @@
         }
     }
 
-    /// As a voter: somebody wants to depose `target`.
+    /// As a voter: handles a request to consent to deposing `target`.
     fn handle_consent_request(&mut self, from: Member, target: Member, asked_ms: u64) {
         if !self.voter.consent(self.now_ms, target) {
             return;
@@ -255,7 +263,8 @@
         self.send(from.seat, Message::Consent { target, asked_ms });
     }
 
-    /// As a voter: notes who lives, and who carries on another's life.
+    /// As a voter: records that `from` is alive, or that it acts for the inherited
+    /// `member`.
     fn record_heartbeat(&mut self, from: Member, member: Member, is_leaving: bool) {
         if member != from {
             self.peers
@@ -271,11 +280,12 @@
         self.peers.last_heartbeats.insert(from.seat, heartbeat);
     }
 
-    /// As a voter: a member asks for a promise to a life.
+    /// As a voter: answers a request for a lease vote for `member`.
     ///
-    /// A member whose configuration is older than this voter's gets none until it
-    /// has caught up. Once a majority of voters has a version in force, a process
-    /// that does not have it loses its lease and stops acting under the old one.
+    /// A member whose configuration is older than that of this voter gets no vote
+    /// until it has caught up. Once a majority of voters has a version in force, a
+    /// process without that version therefore loses its lease and stops acting
+    /// under the old configuration.
     fn answer_heartbeat(
         &mut self,
         from: Member,
@@ -323,7 +333,8 @@
             return;
         }
         if member != self.me {
-            // A promise to a former life of this process is worth nothing.
+            // The vote is for an inherited member, or for a previous incarnation
+            // of this process, which no longer counts.
             if let Some(inherited) = self.inherited.get_mut(&member) {
                 inherited.lease.record_vote(voter.seat, sent_ms, lease_ms);
                 self.check_inherited();
@@ -350,8 +361,8 @@
         }
     }
 
-    /// Joins what the voters say of who lives. A voter that is silent itself says
-    /// nothing.
+    /// Merges the voters' reports of live members. Reports of a voter that has been
+    /// silent for too long are ignored.
     fn merge_voter_reports(&mut self) {
         let mut alive = BTreeSet::new();
         self.successors.clear();
@@ -362,7 +373,7 @@
             alive.extend(report.members.iter().copied());
             self.successors.extend(report.inherited.iter().copied());
         }
-        // Of two lives at one seat only the later one lives.
+        // Of two incarnations at one seat only the newest is alive.
         let newest: HashMap<Seat, u64> = alive
             .iter()
             .map(|member| (member.seat, member.incarnation))
@@ -377,8 +388,9 @@
         self.peers.alive = alive;
     }
 
-    /// Asks for consents to depose owners that are not alive. Members take turns
-    /// by rank, so that usually only one writes the record.
+    /// Requests consents to depose owners that are not alive. Members start one
+    /// after the other by rank, `TURN_MS` apart, so that usually only one writes
+    /// the record.
     fn depose_dead_owners(&mut self) {
         const TURN_MS: u64 = 1_000;
         if self.peers.alive.is_empty() || !self.claims_log.is_current(self.now_ms, &self.limits) {
@@ -431,8 +443,9 @@
             return;
         };
         attempt.consents.insert(voter, asked_ms);
-        // A voter that restarts forgets its consent but abstains for longer than
-        // a consent counts, so the majority below held at one moment.
+        // A voter that restarts loses its record of a consent, but then abstains
+        // for longer than a consent is valid. All consents counted below were
+        // therefore in effect at the same time.
         attempt
             .consents
             .retain(|_, asked_ms| now_ms < *asked_ms + CONSENT_MS);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! One entry host: all decisions of one process, driven by events and time.
+//! The decisions of one entry host, as a state machine driven by events and time.
 //!
-//! Every entry host runs the same node. It takes requests and jobs, follows the
-//! log, votes on leases, and owns the cells that the log's order gives it.
+//! Every entry host runs the same node. It accepts requests and jobs, follows the
+//! log, votes on leases if its seat has a vote, and owns the cells that the order
+//! of records in the log assigns to it.
 
 mod claiming;
 mod keys;
@@ -50,10 +51,10 @@
 pub use succession::Handover;
 pub use succession::KeyHandover;
 
-/// How often things that are not urgent are looked at.
+/// Interval between two ticks of work that is not urgent.
 const SLOW_TICK_MS: u64 = 100;
 
-/// The decisions of one entry host.
+/// The state machine of one entry host.
 pub struct Node {
     me: Member,
     seats: Vec<Seat>,
@@ -72,7 +73,9 @@
     claims_writer: Writer,
     appends: Appends,
     depose_attempts: BTreeMap<Member, members::DeposeAttempt>,
+    /// Members of other seats for which this process acts.
     inherited: BTreeMap<Member, succession::Inherited>,
+    /// Seats that act for members that were handed over.
     successors: HashMap<Member, Seat>,
 
     config: Config,
@@ -81,6 +84,7 @@
     layout: Layout,
     runnable: publishing::Runnable,
     publishing: Vec<publishing::PendingChange>,
+    /// The platform's latest list of hosts and instances, by name.
     platform: HashMap<Box<str>, PlatformHost>,
 
     keys: BTreeMap<u16, KeyCell>,
@@ -88,6 +92,7 @@
     upstreams: BTreeMap<u64, UpstreamCell>,
 
     flights: BTreeMap<u64, Flight>,
+    /// Requests of callers at this host that wait for a slot of a cell.
     waiting: HashMap<Cell, VecDeque<u64>>,
     budgets: HashMap<Box<str>, Budget>,
     hints: HashMap<Cell, requests::Hint>,
@@ -95,14 +100,17 @@
 
     is_stopping: bool,
     stop_began_ms: u64,
+    /// Messages of this process to itself.
     local_messages: VecDeque<Message>,
+    /// Actions that the current call of [`Node::handle`] will return.
     out: Vec<Action>,
 }
 
 impl Node {
-    /// Starts the node of `me` among the processes at `seats`.
+    /// Creates the node of member `me` in a cluster with the given `seats`.
     ///
-    /// `now_ms` is any monotonic clock; all later times must come from it.
+    /// `now_ms` is the time of any monotonic clock, in milliseconds. All later
+    /// times must come from the same clock.
     pub fn new(me: Member, seats: &[Seat], limits: Limits, now_ms: u64) -> Self {
         let voters = seats.len().min(limits.voters);
         let seed = u64::from(me.seat.0) ^ me.incarnation;
@@ -147,25 +155,25 @@
         }
     }
 
-    /// Gives the life that this process is in.
+    /// Returns the seat and current incarnation of this process.
     pub fn me(&self) -> Member {
         self.me
     }
 
-    /// Gives the configuration in force here.
+    /// Returns the configuration in force in this process.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Gives the table of claims as far as it was read.
+    /// Returns the table of claims, as of the position up to which the log was read.
     pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// Takes in an event at `now_ms` and gives what is to be done.
+    /// Handles an event at `now_ms` and returns the actions to perform.
     pub fn handle(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
-        // A paused process wakes here: its lease is looked at before anything
-        // else, so that nothing is done on the strength of an old one.
+        // The process may have been paused before this event. The leases are
+        // therefore checked first, so that no action relies on an expired one.
         self.now_ms = self.now_ms.max(now_ms);
         self.check_lease();
         self.check_inherited();
@@ -248,8 +256,8 @@
         }
     }
 
-    /// Gives the end of the lease if this member may act now, for itself and for
-    /// the lives that it carries.
+    /// Returns the time until which this member may act, both for itself and for
+    /// the members that it has inherited, or `None` if it may not act now.
     fn acts_until_ms(&mut self) -> Option<u64> {
         let LeaseState::InForce { mut until_ms } = self.lease.state(self.now_ms) else {
             return None;
@@ -270,7 +278,7 @@
         self.out.push(Action::Send { to, message });
     }
 
-    /// Sends to the owner of `cell`; tells whether one is known.
+    /// Sends `message` to the owner of `cell`. Returns whether an owner is known.
     fn send_to_owner(&mut self, cell: Cell, message: Message) -> bool {
         let Some(owner) = self.claims.owner(cell) else {
             return false;
--- a/crates/core/src/node/publishing.rs
+++ b/crates/core/src/node/publishing.rs
@@ -1,4 +1,4 @@
-//! Publishing configuration, and what follows when one is in force.
+//! Publishing of configuration changes, and putting new versions into force.
 
 use super::Node;
 use crate::config::PublishOutcome;
@@ -12,10 +12,10 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// How long an operator waits for a verdict.
+/// Time after which an operator is told that the outcome is not known yet.
 const PUBLISH_TIMEOUT_MS: u64 = 10_000;
 
-/// A change whose operator waits.
+/// A change whose outcome an operator is waiting for.
 #[derive(Debug, Clone)]
 pub(super) struct PendingChange {
     request: u64,
@@ -23,15 +23,17 @@
     deadline_ms: u64,
 }
 
-/// Where each job of the inventory could run at all.
+/// The cells in which each job of the inventory could run, whatever is in use there.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Runnable {
+    /// Cells of workers by job.
     cells: HashMap<Box<str>, Vec<Cell>>,
+    /// Why a job could never run, by job.
     reasons: HashMap<Box<str>, Box<str>>,
 }
 
 impl Runnable {
-    /// Works out for each job the cells with a host that could hold it.
+    /// Determines for each job the cells that have a host large enough for it.
     fn build(inventory: &Inventory) -> Self {
         let mut runnable = Self::default();
         for (name, job) in &inventory.jobs {
@@ -55,7 +57,7 @@
         runnable
     }
 
-    /// Lists the cells in which `job` could run.
+    /// Returns the cells in which `job` could run.
     pub(super) fn cells(&self, job: &str) -> &[Cell] {
         self.cells
             .get(job)
@@ -63,7 +65,7 @@
             .unwrap_or_default()
     }
 
-    /// Says why `job` could run nowhere.
+    /// Returns the reason why `job` could never run, if there is one.
     pub(super) fn reason(&self, job: &str) -> Option<Box<str>> {
         self.reasons.get(job).cloned()
     }
@@ -101,9 +103,9 @@
         }
     }
 
-    /// Answers operators. A change is accepted once it stands in the log as the
-    /// current version and a majority of voters has it in force: from then on any
-    /// process without it loses its lease within seconds.
+    /// Answers waiting operators. A change is reported as accepted once it has become
+    /// the current version in the log and a majority of voters has that version in
+    /// force. From then on any process without it loses its lease within seconds.
     pub(super) fn tick_publishing(&mut self) {
         let mut still_pending = Vec::new();
         for pending in std::mem::take(&mut self.publishing) {
@@ -135,7 +137,7 @@
         self.publishing = still_pending;
     }
 
-    /// Puts the new configuration into force in this process.
+    /// Puts a new configuration into force in this process.
     pub(super) fn apply_new_config(&mut self) {
         let version = self.config.version();
         let detail = format!("by {}", self.config.author());
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -1,31 +1,32 @@
-//! What a node tells operators about itself and about one object.
+//! Status of a node and explanations of single jobs, services and hosts, for
+//! operators.
 
 use super::Node;
 use crate::ids::Cell;
 use crate::macros::plain;
 
 plain! {
-    /// Where one entry host stands.
+    /// Status of one entry host.
     pub struct Status {
-        /// Its seat and life.
+        /// Seat and incarnation.
         pub member: Box<str>,
-        /// Whether it may act.
+        /// Whether its lease is in force, so that it may act.
         pub acts: bool,
         /// Whether it is stopping.
         pub is_stopping: bool,
         /// Version of the configuration in force.
         pub config_version: u64,
-        /// Members that it takes to live.
+        /// Members that it considers alive.
         pub alive: Vec<Box<str>>,
-        /// Cells that it owns, with a description.
+        /// Cells that it owns, each with a description.
         pub cells: Vec<(Box<str>, Box<str>)>,
-        /// Requests in flight.
+        /// Number of requests in flight.
         pub requests: usize,
     }
 }
 
 impl Node {
-    /// Describes this entry host.
+    /// Returns the status of this entry host.
     pub fn status(&mut self) -> Status {
         let acts = self.acts_until_ms().is_some();
         let cells = self.owned_cells();
@@ -67,7 +68,8 @@
         .into()
     }
 
-    /// Explains a job, service or host, as far as this entry host owns it.
+    /// Returns lines that explain the state of a job, service or host, as far as it
+    /// belongs to a cell of this entry host.
     pub fn explain(&self, name: &str) -> Vec<Box<str>> {
         let mut lines: Vec<Box<str>> = Vec::new();
         for (number, cell) in &self.keys {
--- a/crates/core/src/node/succession.rs
+++ b/crates/core/src/node/succession.rs
@@ -1,15 +1,17 @@
-//! What helps while the log is away: a fresh host learns from a peer where things
-//! stand, and a host that stops hands its life over to another.
+//! Replacement of hosts while the log is unavailable: a new host gets the state of
+//! the log from a peer, and a stopping host hands over its membership to another.
 //!
 //! Ownership can't change without the log. A host that is replaced during an
-//! outage would leave its cells without an owner until the log is back. Instead it
-//! stops acting and hands over its life: another member carries that life on, asks
-//! the voters for promises to it, and acts for its cells under their old terms.
-//! Once the log is back, the carrier takes the cells over in its own name.
+//! outage of the log would leave its cells without an owner until the log is
+//! available again. Instead it stops acting and hands over its membership: the
+//! successor inherits the member, requests lease votes for it from the voters, and
+//! acts for its cells under their existing terms. Once the log is available again,
+//! the successor claims the cells under its own membership.
 //!
-//! The handed life acts in one place at a time: its process lets go before it
-//! sends the message, and the message is sent once. If it is lost, the life's
-//! lease lapses and its cells wait for the log, as after a crash.
+//! An inherited member acts in one place at a time: its process stops acting before
+//! it sends the handover, and sends the handover only once. If that message is
+//! lost, the lease of the member expires and its cells have no owner until the log
+//! is available, as after a crash.
 
 use super::Node;
 use crate::event::Action;
@@ -27,70 +29,74 @@
 use rand::RngExt;
 use std::collections::BTreeSet;
 
-/// Calls that the former owner may have made since it counted them last.
+/// Upper bound for the worker calls that the previous owner made after the count in
+/// its handover.
 const MAX_UNCOUNTED_CALLS: u64 = 1_000;
 
 plain! {
-    /// A cell of keys as it is handed over.
+    /// The state of a cell of keys in a handover.
     pub struct KeyHandover {
-        /// Its number.
+        /// Number of the cell.
         pub number: u16,
-        /// Term of its owner.
+        /// Term under which the cell is owned.
         pub term: Term,
         /// Sequence of the last batch that was sent.
         pub sequence: u64,
-        /// Its identities and jobs, as records that stand for them.
+        /// Records that restore the identities and jobs of the cell.
         pub records: Box<[Record]>,
     }
 
-    /// All that a carrier must know of a life.
+    /// The state that a successor needs to act for a member.
     pub struct Handover {
-        /// The life.
+        /// The member that is handed over.
         pub member: Member,
         /// Its cells of keys.
         pub keys: Box<[KeyHandover]>,
-        /// Its cells of workers, with terms and calls so far.
+        /// Its cells of workers, each with its term and the number of calls made in
+        /// that term.
         pub workers: Box<[(u64, Term, u64)]>,
         /// Its cells of upstreams.
         pub upstreams: Box<[u64]>,
     }
 }
 
-/// A life that this process carries on for another.
+/// A member of another seat for which this process acts.
 #[derive(Debug, Clone)]
 pub(super) struct Inherited {
     pub(super) lease: Lease,
-    /// What is opened once the voters have promised.
+    /// The cells to open once a majority of voters has granted the lease.
     handover: Option<Handover>,
-    /// Its cells, once they are open.
+    /// Cells of the member that are open here.
     cells: Vec<Cell>,
+    /// When the handover arrived.
     since_ms: u64,
 }
 
 impl Node {
-    /// Tells whether this process acts for what `member` owns.
+    /// Returns whether this process acts for the cells of `member`.
     pub(super) fn is_mine(&self, member: Member) -> bool {
         member == self.me || self.inherited.contains_key(&member)
     }
 
-    /// Gives the life under which this process owns `cell`.
+    /// Returns the member under which this process owns `cell`.
     pub(super) fn acting_member(&self, cell: Cell) -> Member {
         let mut inherited = self.inherited.iter();
         let found = inherited.find(|(_, inherited)| inherited.cells.contains(&cell));
         found.map_or(self.me, |(member, _)| *member)
     }
 
-    /// Gives the seat at which a member is reached.
+    /// Returns the seat whose process acts for `member`.
     pub(super) fn seat_of(&self, member: Member) -> Seat {
         self.successors.get(&member).copied().unwrap_or(member.seat)
     }
 
-    /// Tells whether a message from `from` speaks for `member`.
+    /// Returns whether `from` may send messages on behalf of `member`.
     pub(super) fn speaks_for(&self, from: Member, member: Member) -> bool {
         from == member || (from.seat == self.seat_of(member) && from.seat != member.seat)
     }
 
-    /// Asks a voter where things stand, if the log has never been read.
+    /// Requests the state of the log from a random voter, if the log is unavailable
+    /// and was never read to its end.
     pub(super) fn request_state(&mut self) {
         if self.claims_log.was_read() || !self.claims_log.is_unavailable() {
             return;
@@ -102,7 +108,7 @@
         }
     }
 
-    /// Tells a peer where claims and configuration stand, as of an offset of each.
+    /// Sends a peer snapshots of claims and configuration, with the offset of each.
     pub(super) fn send_state(&mut self, to: Seat) {
         if self.config.version() == 0 {
             return;
@@ -112,7 +118,8 @@
         self.send(to, Message::State { claims, config });
     }
 
-    /// Takes over what a peer has read of the log, if this process has read none.
+    /// Restores claims and configuration from the snapshots of a peer, unless this
+    /// process has read the streams itself.
     pub(super) fn apply_state(&mut self, claims: &Record, config: &Record) {
         let (
             Record::ClaimsSnapshot {
@@ -139,8 +146,8 @@
         }
     }
 
-    /// Hands over this life and those that it carries, if there is somebody to take
-    /// them; tells whether it did.
+    /// Hands over this member and the members that it has inherited, if there is
+    /// another live member. Returns whether the handovers were sent.
     pub(super) fn hand_over(&mut self) -> bool {
         if self.acts_until_ms().is_none() || self.alive().iter().all(|member| *member == self.me) {
             return false;
@@ -150,7 +157,8 @@
         for (member, inherited) in &self.inherited {
             inherited_cells.extend(inherited.cells.iter().copied());
             handovers.push(match &inherited.handover {
-                // It waits for its voters here and can wait there.
+                // The voters have not granted its lease yet. The successor can
+                // request the votes instead.
                 Some(handover) => handover.clone(),
                 None => self.make_handover(*member, &inherited.cells),
             });
@@ -161,8 +169,8 @@
             .filter(|cell| !inherited_cells.contains(cell))
             .collect();
         handovers.push(self.make_handover(self.me, &own));
-        // From here on this process acts for nothing, whatever becomes of the
-        // messages.
+        // This process must stop acting before the messages are sent, whether or
+        // not they arrive.
         self.drop_all_cells();
         self.drop_all_inherited();
         for handover in handovers {
@@ -187,7 +195,7 @@
         self.send(successor.seat, Message::Handover(handover));
     }
 
-    /// Gives what a carrier must know of a life with these cells.
+    /// Returns the state that a successor needs to act for `member` with these cells.
     fn make_handover(&self, member: Member, cells: &[Cell]) -> Handover {
         let (mut keys, mut workers, mut upstreams) = (Vec::new(), Vec::new(), Vec::new());
         for cell in cells {
@@ -211,7 +219,8 @@
         }
     }
 
-    /// Begins to carry a life: first the voters must promise.
+    /// Inherits the member of a handover. Its cells are opened once a majority of
+    /// voters has granted its lease.
     pub(super) fn accept_handover(&mut self, handover: Handover) {
         let member = handover.member;
         if self.is_stopping || self.is_mine(member) || self.claims.is_deposed(member) {
@@ -227,8 +236,8 @@
         self.send_heartbeat_soon();
     }
 
-    /// Opens the cells of carried lives once they may be acted for, and drops those
-    /// whose lease has lapsed.
+    /// Opens the cells of inherited members whose lease is in force, and drops
+    /// members whose lease has expired or was not granted in time.
     pub(super) fn check_inherited(&mut self) {
         let now_ms = self.now_ms;
         let timeout_ms = self.limits.lease_ms * 2;
@@ -285,7 +294,7 @@
         }
     }
 
-    /// Takes carried cells over in this member's own name once the log is back.
+    /// Moves inherited cells to this member once the log is available again.
     pub(super) fn claim_inherited_cells(&mut self) {
         let is_current = self.claims_log.is_current(self.now_ms, &self.limits);
         if !is_current || self.claims_writer.waiting() > 0 {
@@ -316,26 +325,27 @@
         }
     }
 
-    /// Tells whether a carried life still waits for its voters.
+    /// Returns whether the voters have not yet granted the lease of an inherited
+    /// member.
     fn awaits_votes(&self, member: Member) -> bool {
         self.inherited
             .get(&member)
             .is_some_and(|inherited| inherited.handover.is_some())
     }
 
-    /// Ends all that this process carries for others.
+    /// Drops all inherited members.
     pub(super) fn drop_all_inherited(&mut self) {
         self.inherited.clear();
     }
 
-    /// Sends heartbeats for carried lives.
+    /// Sends heartbeats for all inherited members.
     pub(super) fn heartbeat_inherited(&mut self) {
         for member in self.inherited.keys().copied().collect::<Vec<Member>>() {
             self.send_heartbeat(member);
         }
     }
 
-    /// Says that a planned stop is complete.
+    /// Reports that a planned stop is complete.
     pub(super) fn finish_stop(&mut self) {
         self.note(Code::Stopped, self.me.to_string(), "");
         self.out.push(Action::Stopped);
--- a/crates/core/src/node/upstreams.rs
+++ b/crates/core/src/node/upstreams.rs
@@ -1,4 +1,4 @@
-//! Owner of cells of upstreams: slots are granted and released here.
+//! Owner's part for cells of upstreams: grants and releases slots of instances.
 
 use super::Node;
 use crate::ids::Cell;
@@ -16,8 +16,8 @@
 use slotmap::KeyData;
 
 impl Node {
-    /// Starts to own a cell of upstreams. If it had an owner before, nothing is
-    /// granted until every attempt under the former owner's grants has ended.
+    /// Opens a cell of upstreams. If it had an owner before, no slots are granted
+    /// until every attempt under the previous owner's grants has ended.
     pub(super) fn open_upstreams(&mut self, number: u64, is_handover: bool) {
         let Some(group) = self.layout.groups.get(&number) else {
             return;
@@ -46,7 +46,7 @@
         self.update_instances(number);
     }
 
-    /// Brings a cell's instances in line with the inventory and the platform.
+    /// Updates the instances of a cell from the inventory and the platform's list.
     pub(super) fn update_instances(&mut self, number: u64) {
         let Some(cell) = self.upstreams.get_mut(&number) else {
             return;
@@ -133,8 +133,8 @@
         self.upstreams.get_mut(&number)
     }
 
-    /// Answers an ask; without a verdict the request waits, and its asker is told so,
-    /// since silence would mean that the owner is dead.
+    /// Answers a request for a slot. Without a verdict the request is queued. This is
+    /// answered too, because the requester takes a silent owner for dead.
     fn send_verdict(&mut self, cell: Cell, slot_request: SlotRequest, verdict: Option<Verdict>) {
         let now_ms = self.now_ms;
         let free = self
@@ -162,7 +162,8 @@
         self.send(slot_request.requester.seat, answer);
     }
 
-    /// Serves requests that wait for slots of `cell`.
+    /// Grants free slots of `cell` to queued requests and refuses those that can't be
+    /// served in time.
     fn serve_waiting(&mut self, cell: Cell) {
         let now_ms = self.now_ms;
         if self.acts_until_ms().is_none() {
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -1,4 +1,4 @@
-//! Owner of cells of workers: room is held and tasks are started here.
+//! Owner's part for cells of workers: reserves resources and starts tasks.
 
 use super::Node;
 use crate::event::Action;
@@ -19,10 +19,10 @@
 use crate::placement::WorkerReport;
 use crate::placement::WorkerTiming;
 
-/// How long a report of an end waits for its acknowledgement.
+/// Time after which an unacknowledged task update is sent again.
 const UPDATE_ACK_TIMEOUT_MS: u64 = 1_000;
 
-/// Gives the team in the identity of a job, `team/name`.
+/// Returns the team in the identity of a job, which has the form `team/name`.
 pub(super) fn team_of(id: &str) -> &str {
     id.split_once('/').map_or(id, |(team, _)| team)
 }
@@ -45,7 +45,7 @@
         self.update_hosts(number);
     }
 
-    /// Brings a cell's hosts in line with the inventory and the platform.
+    /// Updates the hosts of a cell from the inventory and the platform's list.
     pub(super) fn update_hosts(&mut self, number: u64) {
         let now_ms = self.now_ms;
         let Some(cell) = self.workers.get_mut(&number) else {
@@ -162,8 +162,8 @@
         order: TaskOrder,
         options: StartOptions,
     ) {
-        // An order from a member that no longer owns the job's cell is stale: the
-        // job may have moved on since.
+        // An order from a member that does not own the job's cell any more is
+        // stale: the new owner may have changed the state of the job.
         let owner = self.claims.owner(home);
         let is_home = owner.is_some_and(|owner| self.speaks_for(from, owner.member));
         if !is_home || self.acts_until_ms().is_none() {
@@ -223,7 +223,8 @@
         }
     }
 
-    /// Sends what is due to the workers of a cell, and reports to homes.
+    /// Sends the due calls to the workers of a cell, and the due task updates to the
+    /// owners of the jobs.
     fn call_workers(&mut self, number: u64, sends_updates: bool) {
         let Some(begin_by_ms) = self.acts_until_ms() else {
             return;
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,8 +1,8 @@
-//! Random sequences of faults against the real decisions, in virtual time.
+//! Random sequences of faults against real nodes, in virtual time.
 //!
-//! Each family draws at least a thousand sequences from a fixed seed and checks
-//! every promise after each. A failing sequence is shrunk and printed. Set
-//! `FAULT_SEQUENCES` for more.
+//! Each test runs a thousand sequences drawn from a fixed seed and checks all
+//! guarantees after each. A failing sequence is shrunk and printed. The environment
+//! variable `FAULT_SEQUENCES` sets another number of sequences.
 
 use crate::scenarios::SPA;
 use crate::scenarios::publish;
@@ -27,7 +27,7 @@
 use proptest::test_runner::TestRng;
 use proptest::test_runner::TestRunner;
 
-/// One thing that happens, after which some time passes.
+/// One step of a sequence: a fault, a repair, a request or a wait.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     Kill(u16),
@@ -35,8 +35,11 @@
     Stop(u16),
     Pause(u16),
     Resume(u16),
+    /// Drops all messages from the first seat to the second.
     Cut(u16, u16),
+    /// Cuts a seat off from the log.
     CutLog(u16),
+    /// Ends all cuts between seats and to the log.
     JoinAll,
     Log(LogMode),
     Send {
@@ -51,9 +54,12 @@
     },
     WorkerDies(u8),
     WorkerReturns(u8),
+    /// Drops all calls to a worker.
     WorkerCut(u8),
+    /// Ends the cut to a worker.
     WorkerJoined(u8),
     WorkerPauses(u8),
+    /// Resumes a paused worker.
     WorkerWakes(u8),
     WorkerLeaves(u8),
     Upstream(u8, UpstreamMode),
@@ -63,7 +69,9 @@
         base: u64,
         id: u8,
     },
+    /// Removes old records from the shared streams, as retention does.
     Expire,
+    /// Lets the given number of milliseconds pass.
     Wait(u64),
 }
 
@@ -130,7 +138,7 @@
     .boxed()
 }
 
-/// Planned stops and replacements while the log comes and goes.
+/// Planned stops and replacements of hosts while the log fails and recovers.
 fn replacement_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         3 => seat().prop_map(Fault::Stop),
@@ -147,7 +155,7 @@
     .boxed()
 }
 
-/// Runs sequences drawn from two kinds of faults.
+/// Runs sequences of steps drawn from `first` and `second` with a fixed seed.
 fn run_family(seed: u8, first: BoxedStrategy<Fault>, second: BoxedStrategy<Fault>) {
     const DEFAULT_SEQUENCES: u32 = 1_000;
     const LENGTH: std::ops::Range<usize> = 4..24;
@@ -175,7 +183,8 @@
     }
 }
 
-/// Plays a sequence, lets everything heal, and lists what broke.
+/// Runs a sequence, ends all faults, waits for recovery, and returns the violated
+/// guarantees.
 fn run_sequence(faults: &[Fault]) -> Vec<String> {
     const STARTUP_MS: u64 = 4_500;
     const RECOVERY_MS: u64 = 14_000;
@@ -243,8 +252,9 @@
             is_once,
         } => {
             let prefix = if is_once { "once" } else { "free" };
-            // An identity of a non-idempotent request may be repeated; others are
-            // each their own, as callers that may repeat freely need none.
+            // Identities of non-idempotent requests come from a small range, so that
+            // some are repeated. Idempotent requests need no identity and each gets
+            // a name of its own.
             let suffix = if is_once {
                 u64::from(identity)
             } else {
@@ -322,16 +332,18 @@
     publish(world, Seat(via), &format!("change{id}"), base, &old, &text);
 }
 
-/// Symptom: two members act for one cell. Sequence: hosts die, pause, lose links
-/// and the log in any order. Cause: ownership must outlive and survive them all.
+/// Guards against two members that act for one cell. Hosts die, pause and lose their
+/// connections to each other and to the log in any order; ownership must survive all
+/// of these faults and stay exclusive.
 #[test]
 fn ownership_is_exclusive_under_faults() {
     run_family(1, host_faults(), request_faults());
 }
 
-/// Symptom: a truck is sent twice, or "not run" is told of one that was sent.
-/// Sequence: callers repeat identities at other hosts while hosts and instances
-/// fail. Cause: the fate of an attempt must be told apart from hearsay.
+/// Guards against a non-idempotent request that runs twice (a truck is sent twice),
+/// and against the answer "not run" to one that has run. Callers repeat identities at
+/// other hosts while hosts and instances fail; an attempt whose outcome is unknown
+/// must not be treated as one that did not run.
 #[test]
 fn identities_run_at_most_once_under_faults() {
     run_family(
@@ -341,8 +353,9 @@
     );
 }
 
-/// Symptom: a job runs in two places, twice, or never. Sequence: workers and hosts
-/// die, pause, leave and lose links. Cause: each step must be recorded in order.
+/// Guards against a job that runs in two places at once, runs twice or never runs.
+/// Workers and hosts die, pause, leave and lose connections; each step of a job must
+/// be recorded in order.
 #[test]
 fn jobs_resume_once_under_faults() {
     run_family(
@@ -352,16 +365,18 @@
     );
 }
 
-/// Symptom: a configuration reverts, or two operators both win. Sequence: changes
-/// race while hosts restart and retention drops records. Cause: one order decides.
+/// Guards against a configuration that reverts, and against two conflicting changes
+/// that are both accepted. Changes race while hosts restart and retention removes
+/// records; the order of the log alone must decide.
 #[test]
 fn configuration_never_reverts_under_faults() {
     run_family(4, operator_faults(), host_faults());
 }
 
-/// Symptom: a life that was handed over acts in two places, or its jobs run twice.
-/// Sequence: hosts stop, are replaced, pause and die while the log comes and goes.
-/// Cause: the one who stops must let go first, and the carrier needs promises.
+/// Guards against a handed-over member that acts in two places, or whose jobs run
+/// twice. Hosts stop, are replaced, pause and die while the log fails and recovers;
+/// a stopping host must stop acting before it sends the handover, and the successor
+/// needs lease votes before it acts.
 #[test]
 fn handed_over_members_act_in_one_place_under_faults() {
     let work = prop_oneof![job_faults(), request_faults()].boxed();
