--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -1,5 +1,8 @@
 //! Cluster membership: heartbeats, lease votes, consents to depose, and the set of
 //! live members.
+//!
+//! Owners that are not alive are deposed by a record in the log, which is written
+//! only after a majority of voters has consented.
 
 use super::Node;
 use crate::event::Action;
--- a/crates/core/src/node/succession.rs
+++ b/crates/core/src/node/succession.rs
@@ -10,7 +10,7 @@
 //!
 //! An inherited member acts in one place at a time: its process stops acting before
 //! it sends the handover, and sends the handover only once. If that message is
-//! lost, the lease of the member expires and its cells have no owner until the log
+//! lost, the lease of the member expires and nobody acts for its cells until the log
 //! is available, as after a crash.
 
 use super::Node;
