--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -1,4 +1,4 @@
-//! Following the streams `claims` and `config`, and writing to all streams.
+//! Reading of the streams `claims` and `config`, and writing to all streams.
 
 use super::Node;
 use crate::event::Action;
@@ -11,20 +11,21 @@
 use crate::record::Record;
 use crate::writer::Step;
 
-/// Where a followed stream stands.
+/// Position and state of a stream that is read continuously.
 #[derive(Debug, Clone)]
 pub(super) struct Follower {
     position: u64,
+    /// Whether the answer to a read is outstanding.
     is_reading: bool,
-    asked_ms: u64,
-    next_ms: u64,
+    read_sent_ms: u64,
+    next_read_ms: u64,
     /// When the end of the stream was last reached.
-    at_end_ms: Option<u64>,
-    is_away: bool,
-    /// Records seen while waiting for state that was carried forward, because the
-    /// log no longer holds the stream's beginning.
-    behind: Option<Vec<(u64, Record)>>,
-    /// Records since state was last carried forward.
+    end_reached_ms: Option<u64>,
+    is_unavailable: bool,
+    /// Records that were read but can be applied only after the next snapshot,
+    /// because the log no longer has the beginning of the stream.
+    unapplied: Option<Vec<(u64, Record)>>,
+    /// Records read since the last snapshot.
     records_since_snapshot: u64,
     last_snapshot_ms: u64,
 }
@@ -34,62 +35,63 @@
         Self {
             position: 0,
             is_reading: false,
-            asked_ms: 0,
-            next_ms: 0,
-            at_end_ms: None,
-            is_away: false,
-            behind: None,
+            read_sent_ms: 0,
+            next_read_ms: 0,
+            end_reached_ms: None,
+            is_unavailable: false,
+            unapplied: None,
             records_since_snapshot: 0,
             last_snapshot_ms: 0,
         }
     }
 
-    /// Reads again at the next tick.
+    /// Makes the next read due at the next tick.
     pub(super) fn read_soon(&mut self) {
-        self.next_ms = 0;
+        self.next_read_ms = 0;
     }
 
-    /// Gives the offset up to which the stream was read.
+    /// Returns the offset up to which the stream was read.
     pub(super) fn position(&self) -> u64 {
         self.position
     }
 
-    /// Tells whether the end of the stream was ever reached.
+    /// Returns whether the end of the stream was ever reached.
     pub(super) fn was_read(&self) -> bool {
-        self.at_end_ms.is_some()
+        self.end_reached_ms.is_some()
     }
 
-    /// Goes on from an offset up to which a peer has read.
+    /// Continues from the offset up to which a peer has read.
     pub(super) fn start_at(&mut self, position: u64) {
         self.position = position;
-        self.behind = None;
+        self.unapplied = None;
     }
 
-    /// Tells whether the log has not answered the latest read. A lost answer to an
-    /// append alone says little: reading on settles it.
-    pub(super) fn is_away(&self) -> bool {
-        self.is_away
+    /// Returns whether the latest read of the stream failed. A lost answer to an
+    /// append is no sign of an outage by itself: the next read resolves it.
+    pub(super) fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
-    /// Tells whether the end of the stream was reached just now.
+    /// Returns whether the end of the stream was reached within the last
+    /// `POLL_INTERVALS` poll intervals and no records wait for a snapshot.
     pub(super) fn is_current(&self, now_ms: u64, limits: &Limits) -> bool {
-        const POLLS: u64 = 4;
-        let patience_ms = limits.poll_ms * POLLS;
-        self.at_end_ms
-            .is_some_and(|at_ms| now_ms < at_ms + patience_ms)
-            && self.behind.is_none()
+        const POLL_INTERVALS: u64 = 4;
+        let max_age_ms = limits.poll_ms * POLL_INTERVALS;
+        self.end_reached_ms
+            .is_some_and(|at_ms| now_ms < at_ms + max_age_ms)
+            && self.unapplied.is_none()
     }
 
     fn is_due(&mut self, now_ms: u64, limits: &Limits) -> bool {
-        if self.is_reading && now_ms < self.asked_ms + limits.append_timeout_ms * 4 {
+        if self.is_reading && now_ms < self.read_sent_ms + limits.append_timeout_ms * 4 {
             return false;
         }
-        if now_ms < self.next_ms {
+        if now_ms < self.next_read_ms {
             return false;
         }
         self.is_reading = true;
-        self.asked_ms = now_ms;
-        self.next_ms = now_ms + limits.poll_ms;
+        self.read_sent_ms = now_ms;
+        self.next_read_ms = now_ms + limits.poll_ms;
         true
     }
 }
@@ -115,7 +117,7 @@
         (self.now_ms, &self.limits, follower)
     }
 
-    /// Lets the writer of `stream` go on.
+    /// Performs the next step of the writer of `stream`.
     pub(super) fn step_writer(&mut self, stream: Stream) {
         let (now_ms, limits) = (self.now_ms, &self.limits);
         let writer = match stream {
@@ -129,18 +131,18 @@
         match writer.step(now_ms, limits, &mut self.appends) {
             None => {}
             Some(Step::Append(batch)) => self.out.push(Action::Append { stream, batch }),
-            Some(Step::ReadOn) => self.read_on(stream),
+            Some(Step::ReadOn) => self.continue_reading(stream),
         }
     }
 
-    fn read_on(&mut self, stream: Stream) {
+    fn continue_reading(&mut self, stream: Stream) {
         match stream {
             Stream::Keys(number) => self.read_keys(number),
             _ => self.follower(stream).2.read_soon(),
         }
     }
 
-    pub(super) fn appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
+    pub(super) fn handle_appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         match stream {
             Stream::Keys(number) => self.keys_appended(number, sequence, offset),
@@ -159,7 +161,7 @@
         self.step_writer(stream);
     }
 
-    pub(super) fn read(&mut self, stream: Stream, page: Option<StreamPage>) {
+    pub(super) fn handle_read(&mut self, stream: Stream, page: Option<StreamPage>) {
         if let Stream::Keys(number) = stream {
             self.keys_read(number, page);
             return;
@@ -167,28 +169,28 @@
         let (now_ms, limits, follower) = self.follower(stream);
         follower.is_reading = false;
         let Some(page) = page else {
-            follower.next_ms = now_ms + limits.poll_ms;
-            if !std::mem::replace(&mut follower.is_away, true) {
+            follower.next_read_ms = now_ms + limits.poll_ms;
+            if !std::mem::replace(&mut follower.is_unavailable, true) {
                 self.note(Code::LogAway, stream.to_string(), "reading failed");
             }
             return;
         };
         if page.next < follower.position {
-            // An answer to an earlier read came late.
+            // This is the late answer to an earlier read.
             return;
         }
         if page.oldest > follower.position {
-            follower.behind = Some(Vec::new());
+            follower.unapplied = Some(Vec::new());
             follower.position = page.oldest;
         }
         if !page.is_end {
-            follower.next_ms = now_ms;
+            follower.next_read_ms = now_ms;
         }
-        if std::mem::replace(&mut follower.is_away, false) {
+        if std::mem::replace(&mut follower.is_unavailable, false) {
             self.note(Code::LogBack, stream.to_string(), "");
         }
         for (offset, batch) in &page.batches {
-            self.read_batch(stream, *offset, batch.as_ref());
+            self.apply_batch(stream, *offset, batch.as_ref());
         }
         self.finish_page(stream, &page);
     }
@@ -199,12 +201,12 @@
         if !page.is_end {
             return;
         }
-        follower.at_end_ms = Some(now_ms);
-        let is_behind = follower.behind.is_some();
+        follower.end_reached_ms = Some(now_ms);
+        let lacks_snapshot = follower.unapplied.is_some();
         let is_empty = page.oldest == page.next;
-        if is_behind && is_empty {
-            // Everything has expired and nothing was carried forward.
-            follower.behind = None;
+        if lacks_snapshot && is_empty {
+            // All records have expired and there is no snapshot.
+            follower.unapplied = None;
             self.note(
                 Code::StateMissing,
                 stream.to_string(),
@@ -221,7 +223,7 @@
         }
     }
 
-    fn read_batch(&mut self, stream: Stream, offset: u64, batch: Option<&Batch>) {
+    fn apply_batch(&mut self, stream: Stream, offset: u64, batch: Option<&Batch>) {
         if offset < self.follower(stream).2.position {
             return;
         }
@@ -233,15 +235,16 @@
             );
             return;
         };
-        self.resolve_shared(stream, batch);
+        self.resolve_own_batch(stream, batch);
         for record in &batch.records {
-            self.read_record(stream, offset, record);
+            self.handle_record(stream, offset, record);
         }
     }
 
-    /// In a stream with many writers a batch is this member's if it holds the
-    /// very records that are unresolved.
-    fn resolve_shared(&mut self, stream: Stream, batch: &Batch) {
+    /// Resolves an unresolved append if `batch` is the appended one. A stream with
+    /// several writers has no sequence to tell that by, so the batch must contain
+    /// exactly the same records.
+    fn resolve_own_batch(&mut self, stream: Stream, batch: &Batch) {
         let writer = match stream {
             Stream::Config => &mut self.config_writer,
             _ => &mut self.claims_writer,
@@ -251,7 +254,7 @@
         }
     }
 
-    fn read_record(&mut self, stream: Stream, offset: u64, record: &Record) {
+    fn handle_record(&mut self, stream: Stream, offset: u64, record: &Record) {
         let is_snapshot = matches!(
             record,
             Record::ClaimsSnapshot { .. } | Record::ConfigSnapshot { .. }
@@ -264,18 +267,19 @@
             return;
         }
         follower.records_since_snapshot += 1;
-        if let Some(behind) = &mut follower.behind {
-            behind.push((offset, record.clone()));
+        if let Some(unapplied) = &mut follower.unapplied {
+            unapplied.push((offset, record.clone()));
             return;
         }
         self.apply_record(stream, offset, record);
     }
 
-    /// Takes over carried state if the stream's beginning was not read. Records
-    /// that others wrote while it was on its way stand before it, and count.
+    /// Restores the state of a snapshot if the beginning of the stream was not read.
+    /// Other writers may have appended records between the offset that the snapshot
+    /// covers and the snapshot itself; these are applied as well.
     fn apply_snapshot(&mut self, stream: Stream, record: &Record) {
         let follower = self.follower(stream).2;
-        let Some(behind) = follower.behind.take() else {
+        let Some(unapplied) = follower.unapplied.take() else {
             return;
         };
         let as_of = match record {
@@ -293,13 +297,13 @@
                 changes,
             } => {
                 if self.config.restore(*version, changes) {
-                    self.config_changed();
+                    self.apply_new_config();
                 }
                 *as_of
             }
             _ => return,
         };
-        for (offset, record) in behind {
+        for (offset, record) in unapplied {
             if offset >= as_of {
                 self.apply_record(stream, offset, &record);
             }
@@ -323,7 +327,7 @@
             return;
         };
         if self.config.apply(offset, record) {
-            self.config_changed();
+            self.apply_new_config();
             return;
         }
         let id = change.id.to_string();
@@ -331,8 +335,9 @@
         self.note(Code::ConfigRefused, id, detail);
     }
 
-    /// Carries state forward in the shared streams before retention passes it.
-    /// The owner of the first cell of keys does it for all.
+    /// Writes snapshots to the shared streams before retention removes the records
+    /// that they stand for. The owner of the first cell of keys writes them for all
+    /// members.
     pub(super) fn snapshot_shared_streams(&mut self) {
         let owner = self.claims.owner(Cell::Keys(0)).map(|owner| owner.member);
         let is_mine = owner.is_some_and(|owner| self.is_mine(owner));
