--- a/crates/net/src/buffer.rs
+++ b/crates/net/src/buffer.rs
@@ -11,7 +11,7 @@
 
 /// How a read or write left the stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Flow {
+pub(crate) enum StreamState {
     /// The stream is open.
     Open,
     /// The peer will send no more.
@@ -19,18 +19,21 @@
 }
 
 /// Appends all that the stream has to `bytes`.
-pub(crate) fn read_all(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<Flow> {
+pub(crate) fn read_available(
+    stream: &mut TcpStream,
+    bytes: &mut Vec<u8>,
+) -> io::Result<StreamState> {
     loop {
         let length = bytes.len();
         bytes.resize(length + READ_CHUNK_BYTES, 0);
         let outcome = stream.read(&mut bytes[length..]);
         bytes.truncate(length + *outcome.as_ref().unwrap_or(&0));
         match outcome {
-            Ok(0) => return Ok(Flow::Ended),
+            Ok(0) => return Ok(StreamState::Ended),
             // A short read means that the socket is empty; the next event is awaited.
-            Ok(count) if count < READ_CHUNK_BYTES => return Ok(Flow::Open),
+            Ok(count) if count < READ_CHUNK_BYTES => return Ok(StreamState::Open),
             Ok(_) => continue,
-            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(Flow::Open),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(StreamState::Open),
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
             Err(error) => return Err(error),
         }
@@ -56,7 +59,7 @@
     }
 
     /// Gives how many bytes wait.
-    pub(crate) fn waiting(&self) -> usize {
+    pub(crate) fn pending_bytes(&self) -> usize {
         self.bytes.len() - self.written
     }
 
--- a/crates/net/src/callers.rs
+++ b/crates/net/src/callers.rs
@@ -1,8 +1,8 @@
 //! Connections of callers.
 
-use crate::buffer::Flow;
 use crate::buffer::Outbox;
-use crate::buffer::read_all;
+use crate::buffer::StreamState;
+use crate::buffer::read_available;
 use crate::event_loop::Arrival;
 use crate::event_loop::CallerKey;
 use crate::event_loop::Clock;
@@ -21,7 +21,7 @@
 
 /// Callers connected at once; more are closed as they come, so that descriptors stay
 /// free for the calls to peers. A quarter of the 4,100 that an entry host has.
-const CALLERS_MOST: usize = 1_500;
+const MAX_CALLERS: usize = 1_500;
 
 struct Caller {
     stream: TcpStream,
@@ -29,11 +29,11 @@
     inbox: Vec<u8>,
     outbox: Outbox,
     /// A request was passed on and awaits its answer.
-    is_asked: bool,
+    is_answer_pending: bool,
     /// No further request is read.
     is_last: bool,
     /// The caller has sent all that it will.
-    has_ended: bool,
+    is_half_closed: bool,
     /// Since when the present request or silence lasts.
     since_ms: u64,
 }
@@ -57,7 +57,7 @@
         clock: Clock,
         registrar: &Registrar,
     ) {
-        if self.callers.len() >= CALLERS_MOST {
+        if self.callers.len() >= MAX_CALLERS {
             return;
         }
         // The option spares 40 ms on small writes; without it answers are only slower.
@@ -67,9 +67,9 @@
             listener,
             inbox: Vec::new(),
             outbox: Outbox::default(),
-            is_asked: false,
+            is_answer_pending: false,
             is_last: false,
-            has_ended: false,
+            is_half_closed: false,
             since_ms: clock.now_ms,
         });
         let token = TokenKind::Caller.token(key.data().as_ffi());
@@ -87,20 +87,20 @@
     }
 
     /// Handles an event of the connection with the given number.
-    pub(crate) fn handle(&mut self, number: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
-        let key = CallerKey::from(KeyData::from_ffi(number));
+    pub(crate) fn handle(&mut self, raw_key: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
+        let key = CallerKey::from(KeyData::from_ffi(raw_key));
         let Some(caller) = self.callers.get_mut(key) else {
             return;
         };
         let was_empty = caller.inbox.is_empty();
-        let flow = read_all(&mut caller.stream, &mut caller.inbox);
-        if was_empty && !caller.inbox.is_empty() && !caller.is_asked {
+        let state = read_available(&mut caller.stream, &mut caller.inbox);
+        if was_empty && !caller.inbox.is_empty() && !caller.is_answer_pending {
             caller.since_ms = clock.now_ms;
         }
-        match flow {
-            Ok(Flow::Open) => {}
+        match state {
+            Ok(StreamState::Open) => {}
             // A caller that shuts its sending side down may still await its answer.
-            Ok(Flow::Ended) => caller.has_ended = true,
+            Ok(StreamState::Ended) => caller.is_half_closed = true,
             Err(_) => return self.drop_caller(key, arrivals),
         }
         if caller.outbox.flush(&mut caller.stream).is_err() {
@@ -114,10 +114,10 @@
         let Some(caller) = self.callers.get_mut(key) else {
             return;
         };
-        if caller.is_asked {
+        if caller.is_answer_pending {
             return;
         }
-        let is_done = caller.is_last || (caller.has_ended && caller.inbox.is_empty());
+        let is_done = caller.is_last || (caller.is_half_closed && caller.inbox.is_empty());
         if is_done && caller.outbox.is_empty() {
             return self.drop_caller(key, arrivals);
         }
@@ -125,9 +125,9 @@
             return;
         }
         match parse_request(&caller.inbox, &self.bounds) {
-            Parsed::Partial if caller.has_ended => self.drop_caller(key, arrivals),
+            Parsed::Partial if caller.is_half_closed => self.drop_caller(key, arrivals),
             Parsed::Partial => {}
-            Parsed::Faulty(status) => {
+            Parsed::Invalid(status) => {
                 caller.is_last = true;
                 caller.inbox.clear();
                 caller.outbox.add(&write_response(status, &[], b"", true));
@@ -137,7 +137,7 @@
             Parsed::Whole(request, used, is_last) => {
                 caller.inbox.drain(..used);
                 caller.is_last = is_last;
-                caller.is_asked = true;
+                caller.is_answer_pending = true;
                 caller.since_ms = clock.now_ms;
                 arrivals.push(Arrival::Request {
                     caller: key,
@@ -161,11 +161,11 @@
         let Some(caller) = self.callers.get_mut(key) else {
             return;
         };
-        caller.is_last |= self.is_closing || caller.has_ended;
+        caller.is_last |= self.is_closing || caller.is_half_closed;
         caller
             .outbox
             .add(&write_response(status, headers, body, caller.is_last));
-        caller.is_asked = false;
+        caller.is_answer_pending = false;
         caller.since_ms = clock.now_ms;
         if caller.outbox.flush(&mut caller.stream).is_err() {
             return self.drop_caller(key, arrivals);
@@ -175,7 +175,7 @@
 
     fn drop_caller(&mut self, key: CallerKey, arrivals: &mut Vec<Arrival>) {
         if let Some(caller) = self.callers.remove(key)
-            && caller.is_asked
+            && caller.is_answer_pending
         {
             arrivals.push(Arrival::CallerGone { caller: key });
         }
@@ -184,20 +184,20 @@
     /// Closes connections that are silent for too long.
     pub(crate) fn expire(&mut self, clock: Clock, arrivals: &mut Vec<Arrival>) {
         let bounds = self.bounds;
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         for (key, caller) in &self.callers {
-            if caller.is_asked {
+            if caller.is_answer_pending {
                 continue;
             }
-            let most_ms = match caller.inbox.is_empty() {
+            let timeout_ms = match caller.inbox.is_empty() {
                 true => bounds.idle_most_ms,
                 false => bounds.request_most_ms,
             };
-            if clock.now_ms > caller.since_ms + most_ms {
-                late.push((key, !caller.inbox.is_empty()));
+            if clock.now_ms > caller.since_ms + timeout_ms {
+                expired.push((key, !caller.inbox.is_empty()));
             }
         }
-        for (key, is_partial) in late {
+        for (key, is_partial) in expired {
             if is_partial && let Some(caller) = self.callers.get_mut(key) {
                 caller.outbox.add(&write_response(408, &[], b"", true));
                 let _ = caller.outbox.flush(&mut caller.stream);
@@ -209,7 +209,7 @@
     /// Closes what has no request in flight, and tells how many remain.
     pub(crate) fn close_idle(&mut self) -> usize {
         self.callers.retain(|_, caller| {
-            caller.is_asked || !caller.inbox.is_empty() || !caller.outbox.is_empty()
+            caller.is_answer_pending || !caller.inbox.is_empty() || !caller.outbox.is_empty()
         });
         self.callers.len()
     }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -3,7 +3,7 @@
 use crate::callers::Callers;
 use crate::calls::Call;
 use crate::calls::CallFault;
-use crate::links::Links;
+use crate::links::Connections;
 use crate::parse::Bounds;
 use crate::parse::Request;
 use crate::parse::Response;
@@ -36,9 +36,9 @@
 
 /// How often silent callers and connections that are not made are looked for. Their bounds are
 /// seconds, or most of one.
-const CALLERS_LOOK_MS: u64 = 200;
+const EXPIRY_CHECK_INTERVAL_MS: u64 = 200;
 /// Events taken at one look.
-const EVENTS_MOST: usize = 256;
+const MAX_EVENTS: usize = 256;
 
 /// The loop's idea of the time.
 #[derive(Debug, Clone, Copy)]
@@ -52,8 +52,8 @@
 pub(crate) enum TokenKind {
     Listener,
     Caller,
-    Line,
-    Link,
+    Pooled,
+    Framed,
 }
 
 impl TokenKind {
@@ -63,15 +63,15 @@
         Token(((key << 2) | self as u64) as usize)
     }
 
-    fn read(token: Token) -> (Self, u64) {
-        let number = token.0 as u64;
-        let kind = match number & 3 {
+    fn from_token(token: Token) -> (Self, u64) {
+        let bits = token.0 as u64;
+        let kind = match bits & 3 {
             0 => TokenKind::Listener,
             1 => TokenKind::Caller,
-            2 => TokenKind::Line,
-            _ => TokenKind::Link,
+            2 => TokenKind::Pooled,
+            _ => TokenKind::Framed,
         };
-        (kind, number >> 2)
+        (kind, bits >> 2)
     }
 }
 
@@ -124,13 +124,13 @@
     events: Events,
     listeners: SlotMap<ListenerKey, TcpListener>,
     /// Those of them at which our own processes connect.
-    link_listeners: HashSet<ListenerKey>,
+    frame_listeners: HashSet<ListenerKey>,
     callers: Callers,
     pool: Pool,
-    links: Links,
+    connections: Connections,
     arrivals: Vec<Arrival>,
     started: Instant,
-    callers_look_ms: u64,
+    next_expiry_check_ms: u64,
 }
 
 impl Net {
@@ -144,15 +144,15 @@
         Ok(Self {
             poll,
             registrar,
-            events: Events::with_capacity(EVENTS_MOST),
+            events: Events::with_capacity(MAX_EVENTS),
             listeners: SlotMap::with_key(),
-            link_listeners: HashSet::new(),
+            frame_listeners: HashSet::new(),
             callers: Callers::default(),
             pool: Pool::default(),
-            links: Links::default(),
+            connections: Connections::default(),
             arrivals: Vec::new(),
             started: Instant::now(),
-            callers_look_ms: 0,
+            next_expiry_check_ms: 0,
         })
     }
 
@@ -184,24 +184,24 @@
     /// The address is not this host's, or is taken.
     pub fn listen_for_links(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
         let key = self.listen(address)?;
-        self.link_listeners.insert(key);
+        self.frame_listeners.insert(key);
         Ok(key)
     }
 
     /// Opens a connection to another process of ours; `None` if the system has none to give.
     pub fn open_link(&mut self, peer: SocketAddr) -> Option<LinkKey> {
         let clock = self.clock();
-        self.links.open(peer, clock, &self.registrar)
+        self.connections.open(peer, clock, &self.registrar)
     }
 
     /// Sends a frame. A connection that can't take it is closed.
     pub fn send_frame(&mut self, link: LinkKey, frame: &[u8]) {
-        self.links.send(link, frame, &mut self.arrivals);
+        self.connections.send(link, frame, &mut self.arrivals);
     }
 
     /// Closes a connection to another process of ours.
     pub fn close_link(&mut self, link: LinkKey) {
-        self.links.close(link, &mut self.arrivals);
+        self.connections.close(link, &mut self.arrivals);
     }
 
     /// Gives the address that a listener has got.
@@ -250,8 +250,8 @@
 
     /// Allows so many connections to a peer that answers several long polls at once. Without
     /// that the polls would hold all connections, and short calls would wait for seconds.
-    pub fn allow_lines(&mut self, peer: SocketAddr, lines_most: usize) {
-        self.pool.allow_lines(peer, lines_most);
+    pub fn allow_lines(&mut self, peer: SocketAddr, max_connections: usize) {
+        self.pool.allow_lines(peer, max_connections);
     }
 
     /// Makes a call; its end arrives under its number.
@@ -267,8 +267,8 @@
 
     /// Waits until something arrives, or for the given time at most. A signal ends
     /// the wait early.
-    pub fn wait(&mut self, most: Duration) -> Vec<Arrival> {
-        let wait = self.shorten(most);
+    pub fn wait(&mut self, max_wait: Duration) -> Vec<Arrival> {
+        let wait = self.limit_wait(max_wait);
         // An interrupted wait is an early end, which the caller takes as any other.
         let _ = self.poll.poll(&mut self.events, Some(wait));
         let clock = self.clock();
@@ -277,48 +277,48 @@
             tokens.push(event.token());
         }
         for token in tokens {
-            let (kind, number) = TokenKind::read(token);
+            let (kind, raw_key) = TokenKind::from_token(token);
             match kind {
-                TokenKind::Listener => self.accept(number, clock),
-                TokenKind::Caller => self.callers.handle(number, clock, &mut self.arrivals),
-                TokenKind::Link => self.links.handle(number, clock, &mut self.arrivals),
-                TokenKind::Line => {
+                TokenKind::Listener => self.accept(raw_key, clock),
+                TokenKind::Caller => self.callers.handle(raw_key, clock, &mut self.arrivals),
+                TokenKind::Framed => self.connections.handle(raw_key, clock, &mut self.arrivals),
+                TokenKind::Pooled => {
                     self.pool
-                        .handle(number, clock, &self.registrar, &mut self.arrivals);
+                        .handle(raw_key, clock, &self.registrar, &mut self.arrivals);
                 }
             }
         }
         self.pool.expire(clock, &self.registrar, &mut self.arrivals);
-        if clock.now_ms >= self.callers_look_ms {
-            self.callers_look_ms = clock.now_ms + CALLERS_LOOK_MS;
+        if clock.now_ms >= self.next_expiry_check_ms {
+            self.next_expiry_check_ms = clock.now_ms + EXPIRY_CHECK_INTERVAL_MS;
             self.callers.expire(clock, &mut self.arrivals);
-            self.links.expire(clock, &mut self.arrivals);
+            self.connections.expire(clock, &mut self.arrivals);
         }
         std::mem::take(&mut self.arrivals)
     }
 
-    fn shorten(&self, most: Duration) -> Duration {
+    fn limit_wait(&self, max_wait: Duration) -> Duration {
         if !self.arrivals.is_empty() {
             return Duration::ZERO;
         }
         match self.pool.next_expiry_ms() {
-            Some(at_ms) => {
-                let left_ms = at_ms.saturating_sub(self.clock().now_ms);
-                most.min(Duration::from_millis(left_ms))
+            Some(expiry_ms) => {
+                let remaining_ms = expiry_ms.saturating_sub(self.clock().now_ms);
+                max_wait.min(Duration::from_millis(remaining_ms))
             }
-            None => most,
+            None => max_wait,
         }
     }
 
-    fn accept(&mut self, number: u64, clock: Clock) {
-        let key = ListenerKey::from(KeyData::from_ffi(number));
+    fn accept(&mut self, raw_key: u64, clock: Clock) {
+        let key = ListenerKey::from(KeyData::from_ffi(raw_key));
         loop {
             let Some(listener) = self.listeners.get(key) else {
                 return;
             };
             match listener.accept() {
-                Ok((stream, _)) if self.link_listeners.contains(&key) => {
-                    self.links.admit(stream, clock, &self.registrar);
+                Ok((stream, _)) if self.frame_listeners.contains(&key) => {
+                    self.connections.admit(stream, clock, &self.registrar);
                 }
                 Ok((stream, _)) => self.callers.admit(stream, key, clock, &self.registrar),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
--- a/crates/net/src/links.rs
+++ b/crates/net/src/links.rs
@@ -1,8 +1,8 @@
 //! Connections between our own processes: frames with a length, both ways at any time.
 
-use crate::buffer::Flow;
 use crate::buffer::Outbox;
-use crate::buffer::read_all;
+use crate::buffer::StreamState;
+use crate::buffer::read_available;
 use crate::event_loop::Arrival;
 use crate::event_loop::Clock;
 use crate::event_loop::LinkKey;
@@ -21,32 +21,32 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 /// Largest frame: the lists of a thousand workers with forty runs each are 2 MB.
-const FRAME_MOST_BYTES: usize = 4 << 20;
+const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Bytes that may wait for a peer that does not read. It is cut off then: what waits would take
 /// the memory of this host, which is 160 MB in all.
-const WAITING_MOST_BYTES: usize = 8 << 20;
+const MAX_PENDING_BYTES: usize = 8 << 20;
 /// Time in which a connection must be made; peers are milliseconds away.
-const CONNECT_MOST_MS: u64 = 700;
+const CONNECT_TIMEOUT_MS: u64 = 700;
 /// Time after which a connection that came in and says nothing is closed. Whoever opened it may
 /// have lost its power without a word.
-const IDLE_MOST_MS: u64 = 30_000;
+const IDLE_TIMEOUT_MS: u64 = 30_000;
 /// Connections that may come in at once: owners are few, and former ones close theirs.
-const INCOMING_MOST: usize = 64;
+const MAX_INCOMING: usize = 64;
 
-struct Link {
+struct Connection {
     stream: TcpStream,
     is_incoming: bool,
     is_connected: bool,
     opened_ms: u64,
     /// When something last came from the peer.
-    heard_ms: u64,
+    last_received_ms: u64,
     outbox: Outbox,
     inbox: BytesMut,
     /// It keeps the length of a frame of which only a part has come.
     codec: LengthDelimitedCodec,
 }
 
-impl Link {
+impl Connection {
     /// Takes whole frames from what has come, and tells whether it can be trusted.
     fn read_frames(&mut self, key: LinkKey, arrivals: &mut Vec<Arrival>) -> bool {
         loop {
@@ -64,21 +64,21 @@
 
 /// All connections to and from our own processes.
 #[derive(Default)]
-pub(crate) struct Links {
-    links: SlotMap<LinkKey, Link>,
+pub(crate) struct Connections {
+    conns: SlotMap<LinkKey, Connection>,
 }
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_MOST_BYTES)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-impl Links {
+impl Connections {
     /// Takes in a connection.
     pub(crate) fn admit(&mut self, stream: TcpStream, clock: Clock, registrar: &Registrar) {
-        let incoming = self.links.values().filter(|link| link.is_incoming).count();
-        if incoming < INCOMING_MOST {
+        let incoming = self.conns.values().filter(|conn| conn.is_incoming).count();
+        if incoming < MAX_INCOMING {
             self.insert(stream, true, clock, registrar);
         }
     }
@@ -103,21 +103,21 @@
     ) -> Option<LinkKey> {
         // The option spares 40 ms on small writes; without it frames are only slower.
         let _ = stream.set_nodelay(true);
-        let key = self.links.insert(Link {
+        let key = self.conns.insert(Connection {
             stream,
             is_incoming,
             is_connected: is_incoming,
             opened_ms: clock.now_ms,
-            heard_ms: clock.now_ms,
+            last_received_ms: clock.now_ms,
             outbox: Outbox::default(),
             inbox: BytesMut::new(),
             codec: codec(),
         });
-        let token = TokenKind::Link.token(key.data().as_ffi());
+        let token = TokenKind::Framed.token(key.data().as_ffi());
         let interest = Interest::READABLE | Interest::WRITABLE;
-        let stream = &mut self.links[key].stream;
+        let stream = &mut self.conns[key].stream;
         if registrar.register(stream, token, interest).is_err() {
-            self.links.remove(key);
+            self.conns.remove(key);
             return None;
         }
         Some(key)
@@ -125,72 +125,74 @@
 
     /// Sends a frame, as soon as the connection is made.
     pub(crate) fn send(&mut self, key: LinkKey, frame: &[u8], arrivals: &mut Vec<Arrival>) {
-        let Some(link) = self.links.get_mut(key) else {
+        let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
         let mut bytes = BytesMut::new();
-        let is_fit = link
+        let is_encoded = conn
             .codec
             .encode(Bytes::copy_from_slice(frame), &mut bytes)
             .is_ok();
-        if !is_fit || link.outbox.waiting() > WAITING_MOST_BYTES {
+        if !is_encoded || conn.outbox.pending_bytes() > MAX_PENDING_BYTES {
             return self.close(key, arrivals);
         }
-        link.outbox.add(&bytes);
-        if link.is_connected && link.outbox.flush(&mut link.stream).is_err() {
+        conn.outbox.add(&bytes);
+        if conn.is_connected && conn.outbox.flush(&mut conn.stream).is_err() {
             self.close(key, arrivals);
         }
     }
 
     /// Handles an event of the connection with the given number.
-    pub(crate) fn handle(&mut self, number: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
-        let key = LinkKey::from(KeyData::from_ffi(number));
-        let Some(link) = self.links.get_mut(key) else {
+    pub(crate) fn handle(&mut self, raw_key: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
+        let key = LinkKey::from(KeyData::from_ffi(raw_key));
+        let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
-        if !link.is_connected {
-            if link.stream.take_error().ok().flatten().is_some() {
+        if !conn.is_connected {
+            if conn.stream.take_error().ok().flatten().is_some() {
                 return self.close(key, arrivals);
             }
-            if link.stream.peer_addr().is_err() {
+            if conn.stream.peer_addr().is_err() {
                 return;
             }
-            link.is_connected = true;
-            link.heard_ms = clock.now_ms;
+            conn.is_connected = true;
+            conn.last_received_ms = clock.now_ms;
             arrivals.push(Arrival::LinkOpened { link: key });
         }
         let mut bytes = Vec::new();
-        let is_open = link.outbox.flush(&mut link.stream).is_ok()
-            && read_all(&mut link.stream, &mut bytes).is_ok_and(|flow| flow == Flow::Open);
+        let is_open = conn.outbox.flush(&mut conn.stream).is_ok()
+            && read_available(&mut conn.stream, &mut bytes)
+                .is_ok_and(|state| state == StreamState::Open);
         if !bytes.is_empty() {
-            link.heard_ms = clock.now_ms;
-            link.inbox.extend_from_slice(&bytes);
+            conn.last_received_ms = clock.now_ms;
+            conn.inbox.extend_from_slice(&bytes);
         }
-        let is_sound = link.read_frames(key, arrivals);
-        if !is_open || !is_sound {
+        let is_valid = conn.read_frames(key, arrivals);
+        if !is_open || !is_valid {
             self.close(key, arrivals);
         }
     }
 
     /// Closes a connection and tells so.
     pub(crate) fn close(&mut self, key: LinkKey, arrivals: &mut Vec<Arrival>) {
-        if self.links.remove(key).is_some() {
+        if self.conns.remove(key).is_some() {
             arrivals.push(Arrival::LinkLost { link: key });
         }
     }
 
     /// Gives up connections that are not made, and ones that have gone silent.
     pub(crate) fn expire(&mut self, clock: Clock, arrivals: &mut Vec<Arrival>) {
-        let mut late = Vec::new();
-        for (key, link) in &self.links {
-            let connects_late =
-                !link.is_connected && clock.now_ms > link.opened_ms + CONNECT_MOST_MS;
-            let is_idle = link.is_incoming && clock.now_ms > link.heard_ms + IDLE_MOST_MS;
-            if connects_late || is_idle {
-                late.push(key);
+        let mut expired = Vec::new();
+        for (key, conn) in &self.conns {
+            let is_connect_overdue =
+                !conn.is_connected && clock.now_ms > conn.opened_ms + CONNECT_TIMEOUT_MS;
+            let is_idle =
+                conn.is_incoming && clock.now_ms > conn.last_received_ms + IDLE_TIMEOUT_MS;
+            if is_connect_overdue || is_idle {
+                expired.push(key);
             }
         }
-        for key in late {
+        for key in expired {
             self.close(key, arrivals);
         }
     }
--- a/crates/net/src/parse.rs
+++ b/crates/net/src/parse.rs
@@ -2,9 +2,9 @@
 
 use std::fmt::Write as _;
 
-const HEADERS_MOST: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// A head of a peer's answer that is longer is faulty.
-const RESPONSE_HEAD_MOST_BYTES: usize = 16_384;
+const MAX_RESPONSE_HEAD_BYTES: usize = 16_384;
 
 /// Names in lower case, and values.
 pub(crate) type Headers = Box<[(Box<str>, Box<str>)]>;
@@ -50,7 +50,7 @@
 impl Request {
     /// Finds a header by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
@@ -70,11 +70,11 @@
 impl Response {
     /// Finds a header by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
-fn find<'a>(headers: &'a [(Box<str>, Box<str>)], name: &str) -> Option<&'a str> {
+fn find_header<'a>(headers: &'a [(Box<str>, Box<str>)], name: &str) -> Option<&'a str> {
     headers
         .iter()
         .find(|(key, _)| **key == *name)
@@ -89,23 +89,23 @@
     /// One message, which took so many bytes, and whether the stream ends with it.
     Whole(T, usize, bool),
     /// It can't be served; the status says why.
-    Faulty(u16),
+    Invalid(u16),
 }
 
-fn collect(headers: &[httparse::Header<'_>]) -> Option<Headers> {
-    let mut list = Vec::with_capacity(headers.len());
+fn collect_headers(headers: &[httparse::Header<'_>]) -> Option<Headers> {
+    let mut collected = Vec::with_capacity(headers.len());
     for header in headers {
         let value = std::str::from_utf8(header.value).ok()?;
-        list.push((
+        collected.push((
             header.name.to_ascii_lowercase().into_boxed_str(),
             value.trim().into(),
         ));
     }
-    Some(list.into())
+    Some(collected.into())
 }
 
-fn closes(headers: &[(Box<str>, Box<str>)], version: Option<u8>) -> bool {
-    match find(headers, "connection") {
+fn ends_connection(headers: &[(Box<str>, Box<str>)], version: Option<u8>) -> bool {
+    match find_header(headers, "connection") {
         Some(value) if value.eq_ignore_ascii_case("close") => true,
         Some(value) if value.eq_ignore_ascii_case("keep-alive") => false,
         _ => version == Some(0),
@@ -114,29 +114,29 @@
 
 /// Reads one request from the start of `bytes`.
 pub(crate) fn parse_request(bytes: &[u8], bounds: &Bounds) -> Parsed<Request> {
-    let mut fields = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let head_bytes = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) if bytes.len() > bounds.head_most_bytes => {
-            return Parsed::Faulty(431);
+            return Parsed::Invalid(431);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return Parsed::Faulty(431),
-        Err(_) => return Parsed::Faulty(400),
+        Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
+        Err(_) => return Parsed::Invalid(400),
     };
     if head_bytes > bounds.head_most_bytes {
-        return Parsed::Faulty(431);
+        return Parsed::Invalid(431);
     }
-    let Some(headers) = collect(head.headers) else {
-        return Parsed::Faulty(400);
+    let Some(headers) = collect_headers(head.headers) else {
+        return Parsed::Invalid(400);
     };
-    let is_last = closes(&headers, head.version);
+    let is_last = ends_connection(&headers, head.version);
     let (body, used) = match read_body(bytes, head_bytes, &headers, bounds.body_most_bytes, Some(0))
     {
         Parsed::Whole(body, used, _) => (body, used),
         Parsed::Partial => return Parsed::Partial,
-        Parsed::Faulty(status) => return Parsed::Faulty(status),
+        Parsed::Invalid(status) => return Parsed::Invalid(status),
     };
     let request = Request {
         method: head.method.unwrap_or_default().into(),
@@ -147,29 +147,29 @@
     Parsed::Whole(request, used, is_last)
 }
 
-/// Reads one answer from the start of `bytes`. `has_ended` says that no more will come.
-pub(crate) fn parse_response(bytes: &[u8], has_ended: bool) -> Parsed<Response> {
-    let mut fields = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Reads one answer from the start of `bytes`. `is_eof` says that no more will come.
+pub(crate) fn parse_response(bytes: &[u8], is_eof: bool) -> Parsed<Response> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
     let head_bytes = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() > RESPONSE_HEAD_MOST_BYTES => {
-            return Parsed::Faulty(502);
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_RESPONSE_HEAD_BYTES => {
+            return Parsed::Invalid(502);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Faulty(502),
+        Err(_) => return Parsed::Invalid(502),
     };
-    let Some(headers) = collect(head.headers) else {
-        return Parsed::Faulty(502);
+    let Some(headers) = collect_headers(head.headers) else {
+        return Parsed::Invalid(502);
     };
     let status = head.code.unwrap_or(502);
-    let is_last = closes(&headers, head.version);
-    let unlabelled = match status {
+    let is_last = ends_connection(&headers, head.version);
+    let implicit_length = match status {
         204 | 304 => Some(0),
-        _ if has_ended => Some(bytes.len() - head_bytes),
+        _ if is_eof => Some(bytes.len() - head_bytes),
         _ => None,
     };
-    match read_body(bytes, head_bytes, &headers, usize::MAX, unlabelled) {
+    match read_body(bytes, head_bytes, &headers, usize::MAX, implicit_length) {
         Parsed::Whole(body, used, _) => Parsed::Whole(
             Response {
                 status,
@@ -181,33 +181,33 @@
             is_last,
         ),
         Parsed::Partial => Parsed::Partial,
-        Parsed::Faulty(status) => Parsed::Faulty(status),
+        Parsed::Invalid(status) => Parsed::Invalid(status),
     }
 }
 
-/// Reads the body behind a head. A body whose length nothing tells has `unlabelled` bytes.
+/// Reads the body behind a head. A body whose length nothing tells has `implicit_length` bytes.
 fn read_body(
     bytes: &[u8],
     head_bytes: usize,
     headers: &[(Box<str>, Box<str>)],
-    most_bytes: usize,
-    unlabelled: Option<usize>,
+    max_bytes: usize,
+    implicit_length: Option<usize>,
 ) -> Parsed<Box<[u8]>> {
-    if find(headers, "transfer-encoding").is_some_and(|value| value.contains("chunked")) {
-        return read_chunks(bytes, head_bytes, most_bytes);
+    if find_header(headers, "transfer-encoding").is_some_and(|value| value.contains("chunked")) {
+        return read_chunks(bytes, head_bytes, max_bytes);
     }
-    let length = match find(headers, "content-length") {
+    let length = match find_header(headers, "content-length") {
         Some(value) => match value.parse::<usize>() {
             Ok(length) => length,
-            Err(_) => return Parsed::Faulty(400),
+            Err(_) => return Parsed::Invalid(400),
         },
-        None => match unlabelled {
+        None => match implicit_length {
             Some(length) => length,
             None => return Parsed::Partial,
         },
     };
-    if length > most_bytes {
-        return Parsed::Faulty(413);
+    if length > max_bytes {
+        return Parsed::Invalid(413);
     }
     match bytes.get(head_bytes..head_bytes + length) {
         Some(body) => Parsed::Whole(body.into(), head_bytes + length, false),
@@ -215,32 +215,32 @@
     }
 }
 
-fn read_chunks(bytes: &[u8], head_bytes: usize, most_bytes: usize) -> Parsed<Box<[u8]>> {
+fn read_chunks(bytes: &[u8], head_bytes: usize, max_bytes: usize) -> Parsed<Box<[u8]>> {
     let mut body = Vec::new();
-    let mut at = head_bytes;
+    let mut offset = head_bytes;
     loop {
-        let (start, length) = match httparse::parse_chunk_size(&bytes[at..]) {
-            Ok(httparse::Status::Complete((skip, length))) => (at + skip, length as usize),
+        let (start, length) = match httparse::parse_chunk_size(&bytes[offset..]) {
+            Ok(httparse::Status::Complete((skip, length))) => (offset + skip, length as usize),
             Ok(httparse::Status::Partial) => return Parsed::Partial,
-            Err(_) => return Parsed::Faulty(400),
+            Err(_) => return Parsed::Invalid(400),
         };
-        if length > most_bytes - body.len() {
-            return Parsed::Faulty(413);
+        if length > max_bytes - body.len() {
+            return Parsed::Invalid(413);
         }
         let end = start + length;
         if bytes.len() < end + 2 {
             return Parsed::Partial;
         }
         body.extend_from_slice(&bytes[start..end]);
-        at = end + 2;
+        offset = end + 2;
         if length == 0 {
-            return Parsed::Whole(body.into(), at, false);
+            return Parsed::Whole(body.into(), offset, false);
         }
     }
 }
 
 /// Gives the reason phrase that belongs to a status.
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -264,7 +264,7 @@
     body: &[u8],
     is_last: bool,
 ) -> Vec<u8> {
-    let mut head = format!("HTTP/1.1 {status} {}\r\n", phrase(status));
+    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         let _ = write!(head, "{name}: {value}\r\n");
     }
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to peers, kept open between calls.
 
-use crate::buffer::Flow;
 use crate::buffer::Outbox;
-use crate::buffer::read_all;
+use crate::buffer::StreamState;
+use crate::buffer::read_available;
 use crate::calls::Call;
 use crate::calls::CallFault;
 use crate::event_loop::Arrival;
@@ -23,32 +23,32 @@
 use std::net::SocketAddr;
 
 new_key_type! {
-    struct LineKey;
+    struct PooledKey;
 }
 
 /// Connections to one peer at most, where nothing else is said. A long poll holds one of
 /// them for seconds, and the others carry short calls; each new one is dear at the peer.
-const LINES_PER_PEER: usize = 4;
+const DEFAULT_MAX_CONNECTIONS: usize = 4;
 /// Time in which a connection must be made. Peers are milliseconds away; one that
 /// takes longer is cut off, and the call can be told as not sent.
-const CONNECT_MOST_MS: u64 = 700;
+const CONNECT_TIMEOUT_MS: u64 = 700;
 
 /// Time after which a connection that carries no call is closed. Connections that a burst has
 /// opened would otherwise stay for good, and take the descriptors of the next peers.
-const IDLE_MOST_MS: u64 = 60_000;
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 
-struct Pending {
+struct QueuedCall {
     call: Call,
-    give_up_ms: u64,
+    deadline_ms: u64,
 }
 
-struct Line {
+struct PooledConnection {
     stream: TcpStream,
     peer: SocketAddr,
     is_connected: bool,
     opened_ms: u64,
     /// When something last came from the peer.
-    heard_ms: u64,
+    last_received_ms: u64,
     outbox: Outbox,
     inbox: Vec<u8>,
     call: Option<Flight>,
@@ -59,59 +59,59 @@
     number: u64,
     sent_ms: u64,
     /// When it is given up, unless more of its answer comes.
-    give_up_ms: u64,
+    deadline_ms: u64,
     stall_ms: Option<u64>,
 }
 
-impl Line {
+impl PooledConnection {
     /// Notes that bytes came, and awaits the rest of an answer that comes in pieces.
-    fn note_progress(&mut self, clock: Clock) {
-        self.heard_ms = clock.now_ms;
+    fn record_progress(&mut self, clock: Clock) {
+        self.last_received_ms = clock.now_ms;
         if let Some(call) = &mut self.call
             && let Some(stall_ms) = call.stall_ms
         {
-            call.give_up_ms = clock.now_ms + stall_ms;
+            call.deadline_ms = clock.now_ms + stall_ms;
         }
     }
 }
 
 #[derive(Default)]
 struct Peer {
-    idle: Vec<LineKey>,
-    lines: usize,
-    queue: VecDeque<Pending>,
+    idle: Vec<PooledKey>,
+    open_count: usize,
+    queue: VecDeque<QueuedCall>,
 }
 
 /// All connections to peers.
 #[derive(Default)]
 pub(crate) struct Pool {
-    lines: SlotMap<LineKey, Line>,
+    conns: SlotMap<PooledKey, PooledConnection>,
     peers: HashMap<SocketAddr, Peer>,
     /// Peers that may have another number of connections. Kept apart from what is known of
     /// a peer, which goes with its last connection: when all of them had been reset, the
     /// store was back at four, and reads waited for seconds behind long polls.
-    lines_most: HashMap<SocketAddr, usize>,
+    max_connections: HashMap<SocketAddr, usize>,
 }
 
 impl Pool {
     /// Allows more connections to a peer that answers several long polls at once.
-    pub(crate) fn allow_lines(&mut self, peer: SocketAddr, lines_most: usize) {
-        self.lines_most.insert(peer, lines_most);
+    pub(crate) fn allow_lines(&mut self, peer: SocketAddr, max_connections: usize) {
+        self.max_connections.insert(peer, max_connections);
     }
 
     /// Sends a call as soon as a connection is free.
     pub(crate) fn call(&mut self, call: Call, clock: Clock, registrar: &Registrar) {
-        let give_up_ms = clock.now_ms + call.timeout_ms;
+        let deadline_ms = clock.now_ms + call.timeout_ms;
         let peer = call.peer;
         let entry = self.peers.entry(peer).or_default();
-        entry.queue.push_back(Pending { call, give_up_ms });
-        self.serve(peer, clock, registrar);
+        entry.queue.push_back(QueuedCall { call, deadline_ms });
+        self.send_queued(peer, clock, registrar);
     }
 
-    /// Puts waiting calls on free or new connections.
-    fn serve(&mut self, peer: SocketAddr, clock: Clock, registrar: &Registrar) {
-        let lines_most = self.lines_most.get(&peer).copied();
-        let lines_most = lines_most.unwrap_or(LINES_PER_PEER);
+    /// Puts queued calls on free or new connections.
+    fn send_queued(&mut self, peer: SocketAddr, clock: Clock, registrar: &Registrar) {
+        let max_conns = self.max_connections.get(&peer).copied();
+        let max_conns = max_conns.unwrap_or(DEFAULT_MAX_CONNECTIONS);
         loop {
             let Some(entry) = self.peers.get_mut(&peer) else {
                 return;
@@ -121,7 +121,7 @@
             }
             let key = match entry.idle.pop() {
                 Some(key) => key,
-                None if entry.lines < lines_most => match self.open(peer, clock, registrar) {
+                None if entry.open_count < max_conns => match self.open(peer, clock, registrar) {
                     Some(key) => key,
                     None => return,
                 },
@@ -130,115 +130,116 @@
             let Some(entry) = self.peers.get_mut(&peer) else {
                 return;
             };
-            let Some(pending) = entry.queue.pop_front() else {
+            let Some(queued) = entry.queue.pop_front() else {
                 return;
             };
-            let line = &mut self.lines[key];
-            line.call = Some(Flight {
-                number: pending.call.number,
+            let conn = &mut self.conns[key];
+            conn.call = Some(Flight {
+                number: queued.call.number,
                 sent_ms: clock.now_ms,
-                give_up_ms: pending.give_up_ms,
-                stall_ms: pending.call.stall_ms,
+                deadline_ms: queued.deadline_ms,
+                stall_ms: queued.call.stall_ms,
             });
-            line.outbox.add(&pending.call.bytes);
-            if line.is_connected {
+            conn.outbox.add(&queued.call.bytes);
+            if conn.is_connected {
                 // A failed write shows as an end of the stream at the next event.
-                let _ = line.outbox.flush(&mut line.stream);
+                let _ = conn.outbox.flush(&mut conn.stream);
             }
         }
     }
 
-    fn open(&mut self, peer: SocketAddr, clock: Clock, registrar: &Registrar) -> Option<LineKey> {
+    fn open(&mut self, peer: SocketAddr, clock: Clock, registrar: &Registrar) -> Option<PooledKey> {
         // Running out of descriptors leaves the call queued until its time-out.
         let stream = TcpStream::connect(peer).ok()?;
         // The option spares 40 ms on small writes; without it calls are only slower.
         let _ = stream.set_nodelay(true);
-        let key = self.lines.insert(Line {
+        let key = self.conns.insert(PooledConnection {
             stream,
             peer,
             is_connected: false,
             opened_ms: clock.now_ms,
-            heard_ms: clock.now_ms,
+            last_received_ms: clock.now_ms,
             outbox: Outbox::default(),
             inbox: Vec::new(),
             call: None,
         });
-        let token = TokenKind::Line.token(key.data().as_ffi());
-        let line = &mut self.lines[key];
+        let token = TokenKind::Pooled.token(key.data().as_ffi());
+        let conn = &mut self.conns[key];
         if registrar
             .register(
-                &mut line.stream,
+                &mut conn.stream,
                 token,
                 Interest::READABLE | Interest::WRITABLE,
             )
             .is_err()
         {
-            self.lines.remove(key);
+            self.conns.remove(key);
             return None;
         }
-        self.peers.entry(peer).or_default().lines += 1;
+        self.peers.entry(peer).or_default().open_count += 1;
         Some(key)
     }
 
     /// Handles an event of the connection with the given number.
     pub(crate) fn handle(
         &mut self,
-        number: u64,
+        raw_key: u64,
         clock: Clock,
         registrar: &Registrar,
         arrivals: &mut Vec<Arrival>,
     ) {
-        let key = LineKey::from(KeyData::from_ffi(number));
-        let Some(line) = self.lines.get_mut(key) else {
+        let key = PooledKey::from(KeyData::from_ffi(raw_key));
+        let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
-        if !line.is_connected {
-            if line.stream.take_error().ok().flatten().is_some() {
+        if !conn.is_connected {
+            if conn.stream.take_error().ok().flatten().is_some() {
                 self.close(key, arrivals);
                 return;
             }
-            if line.stream.peer_addr().is_err() {
+            if conn.stream.peer_addr().is_err() {
                 return;
             }
-            line.is_connected = true;
-            line.heard_ms = clock.now_ms;
+            conn.is_connected = true;
+            conn.last_received_ms = clock.now_ms;
         }
-        let received = line.inbox.len();
-        let is_open = line.outbox.flush(&mut line.stream).is_ok()
-            && read_all(&mut line.stream, &mut line.inbox).is_ok_and(|flow| flow == Flow::Open);
-        if line.inbox.len() > received {
-            line.note_progress(clock);
+        let previous_length = conn.inbox.len();
+        let is_open = conn.outbox.flush(&mut conn.stream).is_ok()
+            && read_available(&mut conn.stream, &mut conn.inbox)
+                .is_ok_and(|state| state == StreamState::Open);
+        if conn.inbox.len() > previous_length {
+            conn.record_progress(clock);
         }
-        match parse_response(&line.inbox, !is_open) {
-            Parsed::Whole(response, used, is_last) if line.call.is_some() => {
-                line.inbox.drain(..used);
+        match parse_response(&conn.inbox, !is_open) {
+            Parsed::Whole(response, used, is_last) if conn.call.is_some() => {
+                conn.inbox.drain(..used);
                 self.finish(key, response, is_open && !is_last, arrivals);
             }
             Parsed::Partial if is_open => {}
             _ => self.close(key, arrivals),
         }
-        let peer = self.lines.get(key).map(|line| line.peer);
+        let peer = self.conns.get(key).map(|conn| conn.peer);
         if let Some(peer) = peer {
-            self.serve(peer, clock, registrar);
+            self.send_queued(peer, clock, registrar);
         }
     }
 
     fn finish(
         &mut self,
-        key: LineKey,
+        key: PooledKey,
         response: Response,
-        stays: bool,
+        is_reusable: bool,
         arrivals: &mut Vec<Arrival>,
     ) {
-        let line = &mut self.lines[key];
-        let peer = line.peer;
-        if let Some(call) = line.call.take() {
+        let conn = &mut self.conns[key];
+        let peer = conn.peer;
+        if let Some(call) = conn.call.take() {
             arrivals.push(Arrival::Answer {
                 number: call.number,
                 answer: Ok(response),
             });
         }
-        if stays {
+        if is_reusable {
             self.peers.entry(peer).or_default().idle.push(key);
         } else {
             self.close(key, arrivals);
@@ -246,18 +247,18 @@
     }
 
     /// Drops a connection; a call on it has no answer.
-    fn close(&mut self, key: LineKey, arrivals: &mut Vec<Arrival>) {
-        let Some(line) = self.lines.remove(key) else {
+    fn close(&mut self, key: PooledKey, arrivals: &mut Vec<Arrival>) {
+        let Some(conn) = self.conns.remove(key) else {
             return;
         };
-        if let Some(entry) = self.peers.get_mut(&line.peer) {
-            entry.lines -= 1;
+        if let Some(entry) = self.peers.get_mut(&conn.peer) {
+            entry.open_count -= 1;
             entry.idle.retain(|other| *other != key);
         }
-        if let Some(call) = line.call {
-            let fault = match line.is_connected {
-                true => CallFault::Unknown(line.peer),
-                false => CallFault::NotSent(line.peer),
+        if let Some(call) = conn.call {
+            let fault = match conn.is_connected {
+                true => CallFault::Unknown(conn.peer),
+                false => CallFault::NotSent(conn.peer),
             };
             arrivals.push(Arrival::Answer {
                 number: call.number,
@@ -270,21 +271,21 @@
     /// call, it may have gone silent without a reset, and others with it: idle connections
     /// that were not heard of since go, too, so that the next call does not wait in vain on
     /// one of them.
-    fn close_with_idle(&mut self, key: LineKey, arrivals: &mut Vec<Arrival>) {
-        let Some(line) = self.lines.get(key) else {
+    fn close_overdue(&mut self, key: PooledKey, arrivals: &mut Vec<Arrival>) {
+        let Some(conn) = self.conns.get(key) else {
             return;
         };
-        let call = line.call.as_ref();
+        let call = conn.call.as_ref();
         let silent_since_ms = call.map(|call| call.sent_ms);
-        let is_silent = silent_since_ms.is_some_and(|since_ms| line.heard_ms <= since_ms);
-        let peer = line.peer;
+        let is_silent = silent_since_ms.is_some_and(|since_ms| conn.last_received_ms <= since_ms);
+        let peer = conn.peer;
         self.close(key, arrivals);
         let (Some(since_ms), true) = (silent_since_ms, is_silent) else {
             return;
         };
         let idle = self.peers.get(&peer).map(|entry| entry.idle.clone());
         for key in idle.unwrap_or_default() {
-            if self.lines[key].heard_ms <= since_ms {
+            if self.conns[key].last_received_ms <= since_ms {
                 self.close(key, arrivals);
             }
         }
@@ -299,15 +300,15 @@
     ) {
         let mut overdue = Vec::new();
         let mut idle = Vec::new();
-        for (key, line) in &self.lines {
-            let connects_late =
-                !line.is_connected && clock.now_ms > line.opened_ms + CONNECT_MOST_MS;
-            let call = line.call.as_ref();
-            let is_late = call.is_some_and(|call| clock.now_ms >= call.give_up_ms);
-            if connects_late || is_late {
+        for (key, conn) in &self.conns {
+            let is_connect_overdue =
+                !conn.is_connected && clock.now_ms > conn.opened_ms + CONNECT_TIMEOUT_MS;
+            let call = conn.call.as_ref();
+            let is_call_overdue = call.is_some_and(|call| clock.now_ms >= call.deadline_ms);
+            if is_connect_overdue || is_call_overdue {
                 overdue.push(key);
             }
-            if call.is_none() && clock.now_ms > line.heard_ms + IDLE_MOST_MS {
+            if call.is_none() && clock.now_ms > conn.last_received_ms + IDLE_TIMEOUT_MS {
                 idle.push(key);
             }
         }
@@ -315,36 +316,36 @@
             self.close(key, arrivals);
         }
         for key in overdue {
-            self.close_with_idle(key, arrivals);
+            self.close_overdue(key, arrivals);
         }
-        let mut waiting = Vec::new();
+        let mut peers_with_queue = Vec::new();
         for (peer, entry) in &mut self.peers {
-            entry.queue.retain(|pending| {
-                let stays = clock.now_ms < pending.give_up_ms;
-                if !stays {
+            entry.queue.retain(|queued| {
+                let is_within_deadline = clock.now_ms < queued.deadline_ms;
+                if !is_within_deadline {
                     arrivals.push(Arrival::Answer {
-                        number: pending.call.number,
+                        number: queued.call.number,
                         answer: Err(CallFault::NotSent(*peer)),
                     });
                 }
-                stays
+                is_within_deadline
             });
             if !entry.queue.is_empty() {
-                waiting.push(*peer);
+                peers_with_queue.push(*peer);
             }
         }
-        for peer in waiting {
-            self.serve(peer, clock, registrar);
+        for peer in peers_with_queue {
+            self.send_queued(peer, clock, registrar);
         }
         self.peers
-            .retain(|_, entry| entry.lines > 0 || !entry.queue.is_empty());
+            .retain(|_, entry| entry.open_count > 0 || !entry.queue.is_empty());
     }
 
     /// Closes the connections to a peer that is gone and gives up calls to it.
     pub(crate) fn forget(&mut self, peer: SocketAddr, arrivals: &mut Vec<Arrival>) {
         let mut keys = Vec::new();
-        for (key, line) in &self.lines {
-            if line.peer == peer {
+        for (key, conn) in &self.conns {
+            if conn.peer == peer {
                 keys.push(key);
             }
         }
@@ -355,14 +356,14 @@
 
     /// Gives the time by which something may be overdue.
     pub(crate) fn next_expiry_ms(&self) -> Option<u64> {
-        let lines = self.lines.values().filter_map(|line| {
-            let call = line.call.as_ref().map(|call| call.give_up_ms);
-            let connect = (!line.is_connected).then_some(line.opened_ms + CONNECT_MOST_MS + 1);
+        let expiries = self.conns.values().filter_map(|conn| {
+            let call = conn.call.as_ref().map(|call| call.deadline_ms);
+            let connect = (!conn.is_connected).then_some(conn.opened_ms + CONNECT_TIMEOUT_MS + 1);
             match (call, connect) {
                 (Some(call), Some(connect)) => Some(call.min(connect)),
                 (call, connect) => call.or(connect),
             }
         });
-        lines.min()
+        expiries.min()
     }
 }
