--- a/crates/net/src/callers.rs
+++ b/crates/net/src/callers.rs
@@ -9,7 +9,7 @@
 use crate::event_loop::ListenerKey;
 use crate::event_loop::Registrar;
 use crate::event_loop::TokenKind;
-use crate::parse::Bounds;
+use crate::parse::CallerLimits;
 use crate::parse::Parsed;
 use crate::parse::parse_request;
 use crate::parse::write_response;
@@ -43,7 +43,7 @@
 pub(crate) struct Callers {
     callers: SlotMap<CallerKey, Caller>,
     /// What callers may send.
-    pub(crate) bounds: Bounds,
+    pub(crate) limits: CallerLimits,
     /// Answers end the connection.
     pub(crate) is_closing: bool,
 }
@@ -124,7 +124,7 @@
         if caller.is_last || caller.inbox.is_empty() {
             return;
         }
-        match parse_request(&caller.inbox, &self.bounds) {
+        match parse_request(&caller.inbox, &self.limits) {
             Parsed::Partial if caller.is_half_closed => self.drop_caller(key, arrivals),
             Parsed::Partial => {}
             Parsed::Invalid(status) => {
@@ -177,21 +177,21 @@
         if let Some(caller) = self.callers.remove(key)
             && caller.is_answer_pending
         {
-            arrivals.push(Arrival::CallerGone { caller: key });
+            arrivals.push(Arrival::CallerDisconnected { caller: key });
         }
     }
 
     /// Closes connections that are silent for too long.
     pub(crate) fn expire(&mut self, clock: Clock, arrivals: &mut Vec<Arrival>) {
-        let bounds = self.bounds;
+        let limits = self.limits;
         let mut expired = Vec::new();
         for (key, caller) in &self.callers {
             if caller.is_answer_pending {
                 continue;
             }
             let timeout_ms = match caller.inbox.is_empty() {
-                true => bounds.idle_most_ms,
-                false => bounds.request_most_ms,
+                true => limits.max_idle_ms,
+                false => limits.max_request_ms,
             };
             if clock.now_ms > caller.since_ms + timeout_ms {
                 expired.push((key, !caller.inbox.is_empty()));
--- a/crates/net/src/calls.rs
+++ b/crates/net/src/calls.rs
@@ -108,7 +108,7 @@
 
 impl CallFault {
     /// Tells whether the peer certainly did nothing.
-    pub fn is_undone(self) -> bool {
+    pub fn had_no_effect(self) -> bool {
         matches!(self, CallFault::NotSent(_))
     }
 }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::calls::Call;
 use crate::calls::CallFault;
 use crate::links::Connections;
-use crate::parse::Bounds;
+use crate::parse::CallerLimits;
 use crate::parse::Request;
 use crate::parse::Response;
 use crate::pool::Pool;
@@ -31,7 +31,7 @@
     /// A port that is listened on.
     pub struct ListenerKey;
     /// A connection to another process of ours.
-    pub struct LinkKey;
+    pub struct ConnectionKey;
 }
 
 /// How often silent callers and connections that are not made are looked for. Their bounds are
@@ -103,18 +103,21 @@
         request: Request,
     },
     /// A caller has gone without awaiting its answer.
-    CallerGone { caller: CallerKey },
+    CallerDisconnected { caller: CallerKey },
     /// A call has ended.
     Answer {
         number: u64,
         answer: Result<Response, CallFault>,
     },
     /// A connection to another process of ours was made.
-    LinkOpened { link: LinkKey },
+    ConnectionOpened { conn: ConnectionKey },
     /// Another process of ours has sent a frame.
-    Frame { link: LinkKey, bytes: Box<[u8]> },
+    Frame {
+        conn: ConnectionKey,
+        bytes: Box<[u8]>,
+    },
     /// A connection to another process of ours has ended, or could not be made.
-    LinkLost { link: LinkKey },
+    ConnectionLost { conn: ConnectionKey },
 }
 
 /// The event loop.
@@ -182,26 +185,26 @@
     ///
     /// # Errors
     /// The address is not this host's, or is taken.
-    pub fn listen_for_links(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
+    pub fn listen_for_frames(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
         let key = self.listen(address)?;
         self.frame_listeners.insert(key);
         Ok(key)
     }
 
     /// Opens a connection to another process of ours; `None` if the system has none to give.
-    pub fn open_link(&mut self, peer: SocketAddr) -> Option<LinkKey> {
+    pub fn open_connection(&mut self, peer: SocketAddr) -> Option<ConnectionKey> {
         let clock = self.clock();
         self.connections.open(peer, clock, &self.registrar)
     }
 
     /// Sends a frame. A connection that can't take it is closed.
-    pub fn send_frame(&mut self, link: LinkKey, frame: &[u8]) {
-        self.connections.send(link, frame, &mut self.arrivals);
+    pub fn send_frame(&mut self, conn: ConnectionKey, frame: &[u8]) {
+        self.connections.send(conn, frame, &mut self.arrivals);
     }
 
     /// Closes a connection to another process of ours.
-    pub fn close_link(&mut self, link: LinkKey) {
-        self.connections.close(link, &mut self.arrivals);
+    pub fn close_connection(&mut self, conn: ConnectionKey) {
+        self.connections.close(conn, &mut self.arrivals);
     }
 
     /// Gives the address that a listener has got.
@@ -221,8 +224,8 @@
     }
 
     /// Sets what callers may send.
-    pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.callers.bounds = bounds;
+    pub fn set_caller_limits(&mut self, limits: CallerLimits) {
+        self.callers.limits = limits;
     }
 
     /// Ends each connection with the next answer on it.
@@ -250,8 +253,8 @@
 
     /// Allows so many connections to a peer that answers several long polls at once. Without
     /// that the polls would hold all connections, and short calls would wait for seconds.
-    pub fn allow_lines(&mut self, peer: SocketAddr, max_connections: usize) {
-        self.pool.allow_lines(peer, max_connections);
+    pub fn set_max_connections(&mut self, peer: SocketAddr, max_connections: usize) {
+        self.pool.set_max_connections(peer, max_connections);
     }
 
     /// Makes a call; its end arrives under its number.
@@ -261,8 +264,8 @@
     }
 
     /// Closes the connections to a peer that is gone.
-    pub fn forget(&mut self, peer: SocketAddr) {
-        self.pool.forget(peer, &mut self.arrivals);
+    pub fn disconnect(&mut self, peer: SocketAddr) {
+        self.pool.disconnect(peer, &mut self.arrivals);
     }
 
     /// Waits until something arrives, or for the given time at most. A signal ends
--- a/crates/net/src/links.rs
+++ b/crates/net/src/links.rs
@@ -5,7 +5,7 @@
 use crate::buffer::read_available;
 use crate::event_loop::Arrival;
 use crate::event_loop::Clock;
-use crate::event_loop::LinkKey;
+use crate::event_loop::ConnectionKey;
 use crate::event_loop::Registrar;
 use crate::event_loop::TokenKind;
 use bytes::Bytes;
@@ -48,11 +48,11 @@
 
 impl Connection {
     /// Takes whole frames from what has come, and tells whether it can be trusted.
-    fn read_frames(&mut self, key: LinkKey, arrivals: &mut Vec<Arrival>) -> bool {
+    fn read_frames(&mut self, key: ConnectionKey, arrivals: &mut Vec<Arrival>) -> bool {
         loop {
             match self.codec.decode(&mut self.inbox) {
                 Ok(Some(frame)) => arrivals.push(Arrival::Frame {
-                    link: key,
+                    conn: key,
                     bytes: frame.to_vec().into(),
                 }),
                 Ok(None) => return true,
@@ -65,7 +65,7 @@
 /// All connections to and from our own processes.
 #[derive(Default)]
 pub(crate) struct Connections {
-    conns: SlotMap<LinkKey, Connection>,
+    conns: SlotMap<ConnectionKey, Connection>,
 }
 
 fn codec() -> LengthDelimitedCodec {
@@ -89,7 +89,7 @@
         peer: SocketAddr,
         clock: Clock,
         registrar: &Registrar,
-    ) -> Option<LinkKey> {
+    ) -> Option<ConnectionKey> {
         let stream = TcpStream::connect(peer).ok()?;
         self.insert(stream, false, clock, registrar)
     }
@@ -100,7 +100,7 @@
         is_incoming: bool,
         clock: Clock,
         registrar: &Registrar,
-    ) -> Option<LinkKey> {
+    ) -> Option<ConnectionKey> {
         // The option spares 40 ms on small writes; without it frames are only slower.
         let _ = stream.set_nodelay(true);
         let key = self.conns.insert(Connection {
@@ -124,7 +124,7 @@
     }
 
     /// Sends a frame, as soon as the connection is made.
-    pub(crate) fn send(&mut self, key: LinkKey, frame: &[u8], arrivals: &mut Vec<Arrival>) {
+    pub(crate) fn send(&mut self, key: ConnectionKey, frame: &[u8], arrivals: &mut Vec<Arrival>) {
         let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
@@ -144,7 +144,7 @@
 
     /// Handles an event of the connection with the given number.
     pub(crate) fn handle(&mut self, raw_key: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
-        let key = LinkKey::from(KeyData::from_ffi(raw_key));
+        let key = ConnectionKey::from(KeyData::from_ffi(raw_key));
         let Some(conn) = self.conns.get_mut(key) else {
             return;
         };
@@ -157,7 +157,7 @@
             }
             conn.is_connected = true;
             conn.last_received_ms = clock.now_ms;
-            arrivals.push(Arrival::LinkOpened { link: key });
+            arrivals.push(Arrival::ConnectionOpened { conn: key });
         }
         let mut bytes = Vec::new();
         let is_open = conn.outbox.flush(&mut conn.stream).is_ok()
@@ -174,9 +174,9 @@
     }
 
     /// Closes a connection and tells so.
-    pub(crate) fn close(&mut self, key: LinkKey, arrivals: &mut Vec<Arrival>) {
+    pub(crate) fn close(&mut self, key: ConnectionKey, arrivals: &mut Vec<Arrival>) {
         if self.conns.remove(key).is_some() {
-            arrivals.push(Arrival::LinkLost { link: key });
+            arrivals.push(Arrival::ConnectionLost { conn: key });
         }
     }
 
--- a/crates/net/src/parse.rs
+++ b/crates/net/src/parse.rs
@@ -11,25 +11,25 @@
 
 /// What a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct CallerLimits {
     /// Longest head.
-    pub head_most_bytes: usize,
+    pub max_head_bytes: usize,
     /// Longest body.
-    pub body_most_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time from the first byte of a request to its last.
-    pub request_most_ms: u64,
+    pub max_request_ms: u64,
     /// Longest silence between requests.
-    pub idle_most_ms: u64,
+    pub max_idle_ms: u64,
 }
 
-impl Default for Bounds {
+impl Default for CallerLimits {
     /// Generous values for use before a configuration is known.
     fn default() -> Self {
         Self {
-            head_most_bytes: 16_384,
-            body_most_bytes: 1 << 20,
-            request_most_ms: 5_000,
-            idle_most_ms: 30_000,
+            max_head_bytes: 16_384,
+            max_body_bytes: 1 << 20,
+            max_request_ms: 5_000,
+            max_idle_ms: 30_000,
         }
     }
 }
@@ -113,26 +113,26 @@
 }
 
 /// Reads one request from the start of `bytes`.
-pub(crate) fn parse_request(bytes: &[u8], bounds: &Bounds) -> Parsed<Request> {
+pub(crate) fn parse_request(bytes: &[u8], limits: &CallerLimits) -> Parsed<Request> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let head_bytes = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() > bounds.head_most_bytes => {
+        Ok(httparse::Status::Partial) if bytes.len() > limits.max_head_bytes => {
             return Parsed::Invalid(431);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
         Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
         Err(_) => return Parsed::Invalid(400),
     };
-    if head_bytes > bounds.head_most_bytes {
+    if head_bytes > limits.max_head_bytes {
         return Parsed::Invalid(431);
     }
     let Some(headers) = collect_headers(head.headers) else {
         return Parsed::Invalid(400);
     };
     let is_last = ends_connection(&headers, head.version);
-    let (body, used) = match read_body(bytes, head_bytes, &headers, bounds.body_most_bytes, Some(0))
+    let (body, used) = match read_body(bytes, head_bytes, &headers, limits.max_body_bytes, Some(0))
     {
         Parsed::Whole(body, used, _) => (body, used),
         Parsed::Partial => return Parsed::Partial,
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -95,7 +95,7 @@
 
 impl Pool {
     /// Allows more connections to a peer that answers several long polls at once.
-    pub(crate) fn allow_lines(&mut self, peer: SocketAddr, max_connections: usize) {
+    pub(crate) fn set_max_connections(&mut self, peer: SocketAddr, max_connections: usize) {
         self.max_connections.insert(peer, max_connections);
     }
 
@@ -342,7 +342,7 @@
     }
 
     /// Closes the connections to a peer that is gone and gives up calls to it.
-    pub(crate) fn forget(&mut self, peer: SocketAddr, arrivals: &mut Vec<Arrival>) {
+    pub(crate) fn disconnect(&mut self, peer: SocketAddr, arrivals: &mut Vec<Arrival>) {
         let mut keys = Vec::new();
         for (key, conn) in &self.conns {
             if conn.peer == peer {
--- a/crates/net/tests/lines.rs
+++ b/crates/net/tests/lines.rs
@@ -27,7 +27,7 @@
     listener.set_nonblocking(true).unwrap();
     let peer = listener.local_addr().unwrap();
     let mut net = Net::new().unwrap();
-    net.allow_lines(peer, 7);
+    net.set_max_connections(peer, 7);
     let call = |number| Call::new(number, peer, TIMEOUT_MS, &Message::get("/".into()));
     net.call(call(1));
     let mut has_ended = false;
--- a/crates/net/tests/links.rs
+++ b/crates/net/tests/links.rs
@@ -1,7 +1,7 @@
 //! Frames between our own processes, as they come over a slow link.
 
 use goldcrestway_net::Arrival;
-use goldcrestway_net::LinkKey;
+use goldcrestway_net::ConnectionKey;
 use goldcrestway_net::Net;
 use googletest::prelude::*;
 use std::io::Write;
@@ -24,15 +24,15 @@
     None
 }
 
-fn frame(arrival: Arrival) -> Option<(LinkKey, Box<[u8]>)> {
+fn frame(arrival: Arrival) -> Option<(ConnectionKey, Box<[u8]>)> {
     match arrival {
-        Arrival::Frame { link, bytes } => Some((link, bytes)),
+        Arrival::Frame { conn, bytes } => Some((conn, bytes)),
         _ => None,
     }
 }
 
 fn lost(arrival: Arrival) -> Option<()> {
-    matches!(arrival, Arrival::LinkLost { .. }).then_some(())
+    matches!(arrival, Arrival::ConnectionLost { .. }).then_some(())
 }
 
 /// Symptom: connections between hosts on thin links end several times a second. Sequence: the
@@ -42,7 +42,7 @@
 fn a_frame_that_comes_in_parts_is_one_frame() {
     let mut net = Net::new().unwrap();
     let listener = net
-        .listen_for_links("127.0.0.1:0".parse().unwrap())
+        .listen_for_frames("127.0.0.1:0".parse().unwrap())
         .unwrap();
     let mut peer = TcpStream::connect(net.address(listener).unwrap()).unwrap();
     peer.set_nodelay(true).unwrap();
@@ -66,21 +66,21 @@
     let mut one = Net::new().unwrap();
     let mut two = Net::new().unwrap();
     let listener = two
-        .listen_for_links("127.0.0.1:0".parse().unwrap())
+        .listen_for_frames("127.0.0.1:0".parse().unwrap())
         .unwrap();
-    let link = one.open_link(two.address(listener).unwrap()).unwrap();
-    one.send_frame(link, b"orders");
+    let conn = one.open_connection(two.address(listener).unwrap()).unwrap();
+    one.send_frame(conn, b"orders");
     let opened = await_arrival(&mut one, |arrival| match arrival {
-        Arrival::LinkOpened { link } => Some(link),
+        Arrival::ConnectionOpened { conn } => Some(conn),
         _ => None,
     });
-    expect_that!(opened, some(eq(link)));
+    expect_that!(opened, some(eq(conn)));
     let (back, bytes) = await_arrival(&mut two, frame).unwrap();
     expect_that!(&*bytes, eq(b"orders"));
     two.send_frame(back, b"ends");
     let (_, bytes) = await_arrival(&mut one, frame).unwrap();
     expect_that!(&*bytes, eq(b"ends"));
-    two.close_link(back);
+    two.close_connection(back);
     expect_that!(await_arrival(&mut one, lost), some(anything()));
 }
 
@@ -89,7 +89,7 @@
 fn a_frame_that_is_too_long_ends_the_connection() {
     let mut net = Net::new().unwrap();
     let listener = net
-        .listen_for_links("127.0.0.1:0".parse().unwrap())
+        .listen_for_frames("127.0.0.1:0".parse().unwrap())
         .unwrap();
     let mut peer = TcpStream::connect(net.address(listener).unwrap()).unwrap();
     peer.write_all(&[255, 255, 255, 255]).unwrap();
