--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -3,7 +3,7 @@
 use crate::callers::Callers;
 use crate::calls::Call;
 use crate::calls::CallFault;
-use crate::links::Connections;
+use crate::frames::Connections;
 use crate::parse::CallerLimits;
 use crate::parse::Request;
 use crate::parse::Response;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -24,7 +24,7 @@
 mod callers;
 mod calls;
 mod event_loop;
-mod links;
+mod frames;
 mod parse;
 mod pool;
 
