--- a/crates/net/tests/pool.rs
+++ b/crates/net/tests/pool.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 /// Turns of the event loop in which a connection must come; they only bound a failure.
-const TURNS: usize = 100;
-const TURN: Duration = Duration::from_millis(10);
+const MAX_WAITS: usize = 100;
+const WAIT: Duration = Duration::from_millis(10);
 /// Time after which calls are given up, longer than the test takes.
 const TIMEOUT_MS: u64 = 60_000;
 
@@ -22,7 +22,7 @@
 /// of connections that it may have was forgotten with the last of them, so that long polls
 /// held the few that were left.
 #[gtest]
-fn a_peer_keeps_its_number_of_connections_when_all_are_reset() {
+fn a_peer_keeps_its_connection_limit_when_all_are_reset() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     listener.set_nonblocking(true).unwrap();
     let peer = listener.local_addr().unwrap();
@@ -31,27 +31,27 @@
     let call = |number| Call::new(number, peer, TIMEOUT_MS, &Message::get("/".into()));
     net.call(call(1));
     let mut has_ended = false;
-    for _ in 0..TURNS {
+    for _ in 0..MAX_WAITS {
         // Dropping it resets the connection.
         drop(listener.accept());
-        has_ended |= !net.wait(TURN).is_empty();
+        has_ended |= !net.wait(WAIT).is_empty();
         if has_ended {
             break;
         }
     }
     expect_true!(has_ended);
     for _ in 0..3 {
-        net.wait(TURN);
+        net.wait(WAIT);
     }
     for number in 2..12 {
         net.call(call(number));
     }
     let mut accepted = Vec::new();
-    for _ in 0..TURNS {
+    for _ in 0..MAX_WAITS {
         if accepted.len() == 7 {
             break;
         }
-        net.wait(TURN);
+        net.wait(WAIT);
         accepted.extend(listener.accept().ok());
     }
     expect_that!(accepted.len(), eq(7));
@@ -66,8 +66,8 @@
 /// Answers one call with a body in pieces, `sent` of them.
 fn answer_in_pieces(listener: TcpListener, sent: usize) -> TcpStream {
     let (mut stream, _) = listener.accept().unwrap();
-    let mut asked = [0; 1_024];
-    let _ = stream.read(&mut asked).unwrap();
+    let mut request = [0; 1_024];
+    let _ = stream.read(&mut request).unwrap();
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {PIECES}\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
     for _ in 0..sent {
@@ -82,7 +82,7 @@
 /// however many bytes of it had come, and the same page was asked for again. An answer that
 /// stops coming is still given up.
 #[gtest]
-fn a_long_answer_is_awaited_while_it_comes() {
+fn a_slow_answer_is_awaited_while_bytes_arrive() {
     let cases = [(PIECES, true), (PIECES / 2, false)];
     for (sent, is_whole) in cases {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
@@ -91,11 +91,11 @@
         let mut net = Net::new().unwrap();
         let call = Call::new(1, peer, STALL_MS, &Message::get("/".into()));
         net.call(call.with_stall_ms(STALL_MS));
-        let mut ends = Vec::new();
-        while ends.is_empty() {
-            ends.extend(net.wait(TURN));
+        let mut answers = Vec::new();
+        while answers.is_empty() {
+            answers.extend(net.wait(WAIT));
         }
-        let Arrival::Answer { answer, .. } = &ends[0] else {
+        let Arrival::Answer { answer, .. } = &answers[0] else {
             panic!("only the answer to the call can arrive");
         };
         expect_that!(answer.is_ok(), eq(is_whole), "{sent} pieces");
@@ -104,19 +104,23 @@
 }
 
 /// Accepts connections and answers the first call on each of them; later calls on the first
-/// `silent` connections get no answer.
-fn answer_once(listener: &TcpListener, streams: &mut Vec<(TcpStream, u32)>, silent: usize) {
+/// `silent_count` connections get no answer.
+fn answer_first_calls(
+    listener: &TcpListener,
+    streams: &mut Vec<(TcpStream, u32)>,
+    silent_count: usize,
+) {
     if let Ok((stream, _)) = listener.accept() {
         stream.set_nonblocking(true).unwrap();
         streams.push((stream, 0));
     }
     for (number, (stream, calls)) in streams.iter_mut().enumerate() {
-        let mut asked = [0; 1_024];
-        if !stream.read(&mut asked).is_ok_and(|length| length > 0) {
+        let mut request = [0; 1_024];
+        if !stream.read(&mut request).is_ok_and(|length| length > 0) {
             continue;
         }
         *calls += 1;
-        if *calls == 1 || number >= silent {
+        if *calls == 1 || number >= silent_count {
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                 .unwrap();
@@ -125,13 +129,13 @@
 }
 
 /// Time after which a call without an answer is given up; others take milliseconds.
-const SILENT_MS: u64 = 3_000;
+const CALL_TIMEOUT_MS: u64 = 3_000;
 
 /// Symptom: after connections went silent without a reset, one call after the other is awaited
 /// in vain, though new connections work. Cause: each call was sent on another connection that
 /// had gone silent at the same time.
 #[gtest]
-fn a_silent_connection_takes_idle_ones_of_its_age_with_it() {
+fn a_silent_connection_closes_idle_ones_of_its_age() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     listener.set_nonblocking(true).unwrap();
     let peer = listener.local_addr().unwrap();
@@ -140,18 +144,18 @@
     let mut call = |net: &mut Net, numbers: &[u64]| {
         for number in numbers {
             let message = Message::get("/".into());
-            net.call(Call::new(*number, peer, SILENT_MS, &message));
+            net.call(Call::new(*number, peer, CALL_TIMEOUT_MS, &message));
         }
-        let mut ends = Vec::new();
-        while ends.len() < numbers.len() {
-            answer_once(&listener, &mut streams, 3);
+        let mut answers = Vec::new();
+        while answers.len() < numbers.len() {
+            answer_first_calls(&listener, &mut streams, 3);
             for arrival in net.wait(Duration::from_millis(1)) {
                 if let Arrival::Answer { answer, .. } = arrival {
-                    ends.push(answer.is_ok());
+                    answers.push(answer.is_ok());
                 }
             }
         }
-        (ends, streams.len())
+        (answers, streams.len())
     };
     // Three connections, all of which then go silent.
     expect_that!(call(&mut net, &[1, 2, 3]), eq(&(vec![true; 3], 3)));
