--- a/crates/net/src/buffer.rs
+++ b/crates/net/src/buffer.rs
@@ -1,4 +1,4 @@
-//! Bytes on their way in and out of one nonblocking stream.
+//! Buffered reading from and writing to a nonblocking stream.
 
 use mio::net::TcpStream;
 use std::io;
@@ -6,19 +6,19 @@
 use std::io::Read;
 use std::io::Write;
 
-/// Bytes that one read asks for; a list of a few dozen workers fits in two.
+/// Bytes requested by one read. A list of a few dozen workers fits in two reads.
 const READ_CHUNK_BYTES: usize = 16_384;
 
-/// How a read or write left the stream.
+/// State of a stream after a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StreamState {
-    /// The stream is open.
+    /// The peer may send more.
     Open,
-    /// The peer will send no more.
+    /// The peer has closed its sending side.
     Ended,
 }
 
-/// Appends all that the stream has to `bytes`.
+/// Appends all bytes that can be read without blocking to `bytes`.
 pub(crate) fn read_available(
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
@@ -30,7 +30,8 @@
         bytes.truncate(length + *outcome.as_ref().unwrap_or(&0));
         match outcome {
             Ok(0) => return Ok(StreamState::Ended),
-            // A short read means that the socket is empty; the next event is awaited.
+            // A short read means that the socket buffer is empty; the next event follows
+            // when more arrives.
             Ok(count) if count < READ_CHUNK_BYTES => return Ok(StreamState::Open),
             Ok(_) => continue,
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(StreamState::Open),
@@ -40,7 +41,7 @@
     }
 }
 
-/// Bytes that wait to be written.
+/// Bytes queued for writing.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     bytes: Vec<u8>,
@@ -48,22 +49,22 @@
 }
 
 impl Outbox {
-    /// Adds bytes at the end.
+    /// Appends bytes to the queue.
     pub(crate) fn add(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether all bytes have been written.
     pub(crate) fn is_empty(&self) -> bool {
         self.written == self.bytes.len()
     }
 
-    /// Gives how many bytes wait.
+    /// Returns the number of bytes not yet written.
     pub(crate) fn pending_bytes(&self) -> usize {
         self.bytes.len() - self.written
     }
 
-    /// Writes as much as the stream takes.
+    /// Writes as much as the stream accepts without blocking.
     pub(crate) fn flush(&mut self, stream: &mut TcpStream) -> io::Result<()> {
         while !self.is_empty() {
             match stream.write(&self.bytes[self.written..]) {
--- a/crates/net/src/callers.rs
+++ b/crates/net/src/callers.rs
@@ -1,4 +1,5 @@
-//! Connections of callers.
+//! Connections from callers: reads HTTP/1.1 requests, writes answers, and closes connections
+//! that exceed the [`CallerLimits`].
 
 use crate::buffer::Outbox;
 use crate::buffer::StreamState;
@@ -19,8 +20,8 @@
 use slotmap::KeyData;
 use slotmap::SlotMap;
 
-/// Callers connected at once; more are closed as they come, so that descriptors stay
-/// free for the calls to peers. A quarter of the 4,100 that an entry host has.
+/// Maximum number of connected callers. Further connections are closed on arrival, which
+/// leaves more than half of the 4,100 descriptors of an entry host for calls to peers.
 const MAX_CALLERS: usize = 1_500;
 
 struct Caller {
@@ -28,28 +29,28 @@
     listener: ListenerKey,
     inbox: Vec<u8>,
     outbox: Outbox,
-    /// A request was passed on and awaits its answer.
+    /// Whether a request was passed on and has not been answered yet.
     is_answer_pending: bool,
-    /// No further request is read.
+    /// Whether the connection closes after the present answer; no further request is read.
     is_last: bool,
-    /// The caller has sent all that it will.
+    /// Whether the caller has closed its sending side.
     is_half_closed: bool,
-    /// Since when the present request or silence lasts.
+    /// Start of the present request, or of the present idle time.
     since_ms: u64,
 }
 
-/// All connections of callers.
+/// All connections from callers.
 #[derive(Default)]
 pub(crate) struct Callers {
     callers: SlotMap<CallerKey, Caller>,
-    /// What callers may send.
+    /// Limits on requests and idle times.
     pub(crate) limits: CallerLimits,
-    /// Answers end the connection.
+    /// Whether each connection closes after its next answer.
     pub(crate) is_closing: bool,
 }
 
 impl Callers {
-    /// Takes in a new connection.
+    /// Registers an accepted connection, or drops it if [`MAX_CALLERS`] are connected.
     pub(crate) fn admit(
         &mut self,
         stream: TcpStream,
@@ -60,7 +61,8 @@
         if self.callers.len() >= MAX_CALLERS {
             return;
         }
-        // The option spares 40 ms on small writes; without it answers are only slower.
+        // Without this option small writes are delayed by up to 40 ms; a failure to set it
+        // only makes answers slower.
         let _ = stream.set_nodelay(true);
         let key = self.callers.insert(Caller {
             stream,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Handles an event of the connection with the given number.
+    /// Handles a readiness event of the connection whose key has the bits `raw_key`.
     pub(crate) fn handle(&mut self, raw_key: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
         let key = CallerKey::from(KeyData::from_ffi(raw_key));
         let Some(caller) = self.callers.get_mut(key) else {
@@ -99,7 +101,7 @@
         }
         match state {
             Ok(StreamState::Open) => {}
-            // A caller that shuts its sending side down may still await its answer.
+            // A caller that has closed its sending side may still await its answer.
             Ok(StreamState::Ended) => caller.is_half_closed = true,
             Err(_) => return self.drop_caller(key, arrivals),
         }
@@ -109,7 +111,7 @@
         self.advance(key, clock, arrivals);
     }
 
-    /// Passes on the next whole request, or closes what is done.
+    /// Passes on the next complete request, or closes a connection that has no more to serve.
     fn advance(&mut self, key: CallerKey, clock: Clock, arrivals: &mut Vec<Arrival>) {
         let Some(caller) = self.callers.get_mut(key) else {
             return;
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Sends the answer to the request that a caller has made.
+    /// Sends the answer to the pending request of a caller.
     pub(crate) fn answer(
         &mut self,
         key: CallerKey,
@@ -173,6 +175,7 @@
         self.advance(key, clock, arrivals);
     }
 
+    /// Closes a connection, and reports the loss of a caller whose request is unanswered.
     fn drop_caller(&mut self, key: CallerKey, arrivals: &mut Vec<Arrival>) {
         if let Some(caller) = self.callers.remove(key)
             && caller.is_answer_pending
@@ -181,7 +184,9 @@
         }
     }
 
-    /// Closes connections that are silent for too long.
+    /// Closes idle connections and incomplete requests that exceed their time limit.
+    ///
+    /// An incomplete request is answered with status 408.
     pub(crate) fn expire(&mut self, clock: Clock, arrivals: &mut Vec<Arrival>) {
         let limits = self.limits;
         let mut expired = Vec::new();
@@ -206,7 +211,8 @@
         }
     }
 
-    /// Closes what has no request in flight, and tells how many remain.
+    /// Closes connections without a request or answer in progress, and returns the number of
+    /// those that remain.
     pub(crate) fn close_idle(&mut self) -> usize {
         self.callers.retain(|_, caller| {
             caller.is_answer_pending || !caller.inbox.is_empty() || !caller.outbox.is_empty()
--- a/crates/net/src/calls.rs
+++ b/crates/net/src/calls.rs
@@ -1,42 +1,42 @@
-//! Calls to peers.
+//! HTTP/1.1 calls to peers, and the faults they can end with.
 
 use quick_error::quick_error;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// One call.
+/// A call to a peer, encoded as it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Number by which its end is reported.
+    /// Number under which the outcome is reported.
     pub number: u64,
-    /// Where it goes.
+    /// Address of the peer.
     pub peer: SocketAddr,
-    /// Head and body.
+    /// Encoded head and body of the request.
     pub bytes: Box<[u8]>,
-    /// Time after which the answer is no longer awaited.
+    /// Time in milliseconds after which the answer is no longer awaited.
     pub timeout_ms: u64,
-    /// If given, an answer that has begun within the time-out is awaited as long as no pause
-    /// between its bytes is longer than this.
+    /// If set, an answer that has begun within the timeout is awaited as long as no gap
+    /// between its bytes exceeds this time in milliseconds.
     pub stall_ms: Option<u64>,
 }
 
-/// What a call says.
+/// Content of a call, before it is encoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Its method.
+    /// HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
-    /// Headers beside those of the connection and body.
+    /// Headers in addition to `Host`, `Content-Type` and `Content-Length`.
     pub headers: Vec<(&'static str, Box<str>)>,
-    /// Type of the body.
+    /// Media type of the body.
     pub content_type: &'static str,
-    /// The body; a GET has none.
+    /// Body; a GET has none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Makes a GET.
+    /// Creates a GET request without further headers.
     pub fn get(target: String) -> Self {
         Self {
             method: "GET",
@@ -49,7 +49,7 @@
 }
 
 impl Call {
-    /// Puts a call together.
+    /// Encodes `message` as a call to `peer`.
     pub fn new(number: u64, peer: SocketAddr, timeout_ms: u64, message: &Message) -> Self {
         let Message {
             method,
@@ -59,7 +59,7 @@
             body,
         } = message;
         let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {peer}\r\n");
-        // Writing to a string can't fail.
+        // Writing to a `String` is infallible.
         for (name, value) in headers {
             let _ = write!(head, "{name}: {value}\r\n");
         }
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Awaits a long answer for as long as bytes of it come.
+    /// Extends the wait for an answer that has begun while gaps between its bytes stay within
+    /// `stall_ms` milliseconds.
     pub fn with_stall_ms(self, stall_ms: u64) -> Self {
         Self {
             stall_ms: Some(stall_ms),
@@ -92,14 +93,14 @@
 }
 
 quick_error! {
-    /// Why a call has no answer.
+    /// Reason why a call has no answer.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum CallFault {
-        /// Nothing of it was written, so the peer did nothing.
+        /// No byte of the call was written, so it had no effect at the peer.
         NotSent(peer: SocketAddr) {
             display("connecting to {peer}: no connection; the call was not sent")
         }
-        /// It may have reached the peer, which may act on it now or later.
+        /// The call may have reached the peer, which may execute it now or later.
         Unknown(peer: SocketAddr) {
             display("calling {peer}: no answer; it may have been carried out")
         }
@@ -107,7 +108,7 @@
 }
 
 impl CallFault {
-    /// Tells whether the peer certainly did nothing.
+    /// Returns whether the call certainly had no effect at the peer.
     pub fn had_no_effect(self) -> bool {
         matches!(self, CallFault::NotSent(_))
     }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop itself: sockets in, arrivals out.
+//! The event loop: polls all sockets and returns what arrived on them.
 
 use crate::callers::Callers;
 use crate::calls::Call;
@@ -26,28 +26,28 @@
 use std::time::Instant;
 
 new_key_type! {
-    /// A caller's connection.
+    /// Key of a connection from a caller.
     pub struct CallerKey;
-    /// A port that is listened on.
+    /// Key of a listening socket.
     pub struct ListenerKey;
-    /// A connection to another process of ours.
+    /// Key of a frame connection with another process of this system.
     pub struct ConnectionKey;
 }
 
-/// How often silent callers and connections that are not made are looked for. Their bounds are
-/// seconds, or most of one.
+/// Interval between checks for callers and frame connections that have exceeded a timeout. The
+/// timeouts are seconds, or 700 ms for a connection attempt.
 const EXPIRY_CHECK_INTERVAL_MS: u64 = 200;
-/// Events taken at one look.
+/// Maximum number of events returned by one poll.
 const MAX_EVENTS: usize = 256;
 
-/// The loop's idea of the time.
+/// A reading of the loop's clock.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
-    /// Milliseconds since the loop was made.
+    /// Milliseconds since the loop was created.
     pub(crate) now_ms: u64,
 }
 
-/// What a token stands for; the kind is kept in its two lowest bits.
+/// Kind of socket that a token refers to, stored in the two lowest bits of the token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TokenKind {
     Listener,
@@ -57,12 +57,15 @@
 }
 
 impl TokenKind {
-    /// Makes the token of a key. Keys count in 32 bits of index and 32 of version, of
-    /// which 30 are kept; a version comes again after a billion connections.
+    /// Returns the token of a key.
+    ///
+    /// A key has 32 bits of index and 32 bits of version, of which 30 are kept. A version
+    /// repeats only after a billion connections.
     pub(crate) fn token(self, key: u64) -> Token {
         Token(((key << 2) | self as u64) as usize)
     }
 
+    /// Returns the kind of socket and the bits of its key.
     fn from_token(token: Token) -> (Self, u64) {
         let bits = token.0 as u64;
         let kind = match bits & 3 {
@@ -89,44 +92,44 @@
     }
 }
 
-/// Something that came in.
+/// An event that [`Net::wait`] returns.
 #[derive(Debug)]
 #[expect(
     missing_docs,
     reason = "The comment of each variant covers its fields."
 )]
 pub enum Arrival {
-    /// A caller has sent a whole request, and awaits one answer.
+    /// A caller has sent a complete request and awaits one answer.
     Request {
         caller: CallerKey,
         listener: ListenerKey,
         request: Request,
     },
-    /// A caller has gone without awaiting its answer.
+    /// A caller has disconnected before its request was answered.
     CallerDisconnected { caller: CallerKey },
-    /// A call has ended.
+    /// A call was answered or has failed.
     Answer {
         number: u64,
         answer: Result<Response, CallFault>,
     },
-    /// A connection to another process of ours was made.
+    /// A frame connection opened by this process is established.
     ConnectionOpened { conn: ConnectionKey },
-    /// Another process of ours has sent a frame.
+    /// A complete frame was received.
     Frame {
         conn: ConnectionKey,
         bytes: Box<[u8]>,
     },
-    /// A connection to another process of ours has ended, or could not be made.
+    /// A frame connection was closed, or could not be established.
     ConnectionLost { conn: ConnectionKey },
 }
 
-/// The event loop.
+/// An event loop that owns all sockets of the process.
 pub struct Net {
     poll: Poll,
     registrar: Registrar,
     events: Events,
     listeners: SlotMap<ListenerKey, TcpListener>,
-    /// Those of them at which our own processes connect.
+    /// Listeners that accept frame connections instead of callers.
     frame_listeners: HashSet<ListenerKey>,
     callers: Callers,
     pool: Pool,
@@ -137,10 +140,11 @@
 }
 
 impl Net {
-    /// Makes a loop without sockets.
+    /// Creates a loop without sockets.
     ///
     /// # Errors
-    /// The system has no event queue to give.
+    ///
+    /// Returns an error if the system cannot provide an event queue.
     pub fn new() -> io::Result<Self> {
         let poll = Poll::new()?;
         let registrar = Registrar(poll.registry().try_clone()?);
@@ -165,10 +169,11 @@
         }
     }
 
-    /// Listens for callers at an address.
+    /// Listens for HTTP/1.1 callers at `address`.
     ///
     /// # Errors
-    /// The address is not this host's, or is taken.
+    ///
+    /// Returns an error if the address does not belong to this host or is in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
         let mut listener = TcpListener::bind(address)?;
         let mut result = Ok(());
@@ -181,36 +186,44 @@
         result.map(|()| key)
     }
 
-    /// Listens for other processes of ours at an address.
+    /// Listens for frame connections of other processes of this system at `address`.
     ///
     /// # Errors
-    /// The address is not this host's, or is taken.
+    ///
+    /// Returns an error if the address does not belong to this host or is in use.
     pub fn listen_for_frames(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
         let key = self.listen(address)?;
         self.frame_listeners.insert(key);
         Ok(key)
     }
 
-    /// Opens a connection to another process of ours; `None` if the system has none to give.
+    /// Opens a frame connection to another process of this system.
+    ///
+    /// Returns `None` if the system refuses a socket. Otherwise the outcome arrives as
+    /// [`Arrival::ConnectionOpened`] or [`Arrival::ConnectionLost`].
     pub fn open_connection(&mut self, peer: SocketAddr) -> Option<ConnectionKey> {
         let clock = self.clock();
         self.connections.open(peer, clock, &self.registrar)
     }
 
-    /// Sends a frame. A connection that can't take it is closed.
+    /// Sends a frame, once the connection is established.
+    ///
+    /// Closes the connection if the frame exceeds 4 MiB, if the peer has left more than 8 MiB
+    /// unread, or if writing fails.
     pub fn send_frame(&mut self, conn: ConnectionKey, frame: &[u8]) {
         self.connections.send(conn, frame, &mut self.arrivals);
     }
 
-    /// Closes a connection to another process of ours.
+    /// Closes a frame connection; [`Arrival::ConnectionLost`] follows.
     pub fn close_connection(&mut self, conn: ConnectionKey) {
         self.connections.close(conn, &mut self.arrivals);
     }
 
-    /// Gives the address that a listener has got.
+    /// Returns the local address of a listener.
     ///
     /// # Errors
-    /// The system does not tell it.
+    ///
+    /// Returns an error if the listener is closed or the system cannot report its address.
     pub fn address(&self, listener: ListenerKey) -> io::Result<SocketAddr> {
         match self.listeners.get(listener) {
             Some(listener) => listener.local_addr(),
@@ -218,27 +231,28 @@
         }
     }
 
-    /// Takes no further connections.
+    /// Closes all listeners, so that no further connection is accepted.
     pub fn close_listeners(&mut self) {
         self.listeners.clear();
     }
 
-    /// Sets what callers may send.
+    /// Sets the limits on requests and idle times of callers.
     pub fn set_caller_limits(&mut self, limits: CallerLimits) {
         self.callers.limits = limits;
     }
 
-    /// Ends each connection with the next answer on it.
+    /// Closes the connection of each caller after the next answer on it.
     pub fn close_after_answers(&mut self) {
         self.callers.is_closing = true;
     }
 
-    /// Closes callers that await nothing, and tells how many are left.
+    /// Closes callers without a request or answer in progress, and returns the number of those
+    /// that remain.
     pub fn close_idle_callers(&mut self) -> usize {
         self.callers.close_idle()
     }
 
-    /// Answers a caller.
+    /// Answers the pending request of a caller. Does nothing if the caller has disconnected.
     pub fn answer(
         &mut self,
         caller: CallerKey,
@@ -251,28 +265,33 @@
             .answer(caller, status, headers, body, clock, &mut self.arrivals);
     }
 
-    /// Allows so many connections to a peer that answers several long polls at once. Without
-    /// that the polls would hold all connections, and short calls would wait for seconds.
+    /// Sets the maximum number of connections to a peer; the default is 4.
+    ///
+    /// A peer that answers several long polls at once needs more. Otherwise the polls would
+    /// occupy all connections, and short calls would wait for seconds.
     pub fn set_max_connections(&mut self, peer: SocketAddr, max_connections: usize) {
         self.pool.set_max_connections(peer, max_connections);
     }
 
-    /// Makes a call; its end arrives under its number.
+    /// Starts a call; its outcome arrives as [`Arrival::Answer`] with the number of the call.
     pub fn call(&mut self, call: Call) {
         let clock = self.clock();
         self.pool.call(call, clock, &self.registrar);
     }
 
-    /// Closes the connections to a peer that is gone.
+    /// Closes all connections to a peer, for example one that was removed.
+    ///
+    /// Calls in flight on them end with a [`CallFault`].
     pub fn disconnect(&mut self, peer: SocketAddr) {
         self.pool.disconnect(peer, &mut self.arrivals);
     }
 
-    /// Waits until something arrives, or for the given time at most. A signal ends
-    /// the wait early.
+    /// Waits until something arrives, but no longer than `max_wait`, and returns all arrivals.
+    ///
+    /// A signal or an expired call ends the wait early, possibly with no arrivals.
     pub fn wait(&mut self, max_wait: Duration) -> Vec<Arrival> {
         let wait = self.limit_wait(max_wait);
-        // An interrupted wait is an early end, which the caller takes as any other.
+        // An interrupted poll is handled like one that ended early without events.
         let _ = self.poll.poll(&mut self.events, Some(wait));
         let clock = self.clock();
         let mut tokens = Vec::new();
@@ -300,6 +319,7 @@
         std::mem::take(&mut self.arrivals)
     }
 
+    /// Shortens a wait to the next deadline of a call or connection attempt.
     fn limit_wait(&self, max_wait: Duration) -> Duration {
         if !self.arrivals.is_empty() {
             return Duration::ZERO;
@@ -313,6 +333,7 @@
         }
     }
 
+    /// Accepts all waiting connections of the listener whose key has the bits `raw_key`.
     fn accept(&mut self, raw_key: u64, clock: Clock) {
         let key = ListenerKey::from(KeyData::from_ffi(raw_key));
         loop {
@@ -325,7 +346,8 @@
                 }
                 Ok((stream, _)) => self.callers.admit(stream, key, clock, &self.registrar),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                // Nothing waits, or descriptors are short; the next connection shows.
+                // No connection waits, or descriptors have run out. The next connection
+                // raises another event.
                 Err(_) => return,
             }
         }
--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -1,4 +1,5 @@
-//! Connections between our own processes: frames with a length, both ways at any time.
+//! Connections between processes of this system, over which both sides send length-prefixed
+//! frames at any time.
 
 use crate::buffer::Outbox;
 use crate::buffer::StreamState;
@@ -20,34 +21,38 @@
 use tokio_util::codec::Encoder;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Largest frame: the lists of a thousand workers with forty runs each are 2 MB.
+/// Maximum size of a frame. The lists of a thousand workers with forty runs each take 2 MB.
 const MAX_FRAME_BYTES: usize = 4 << 20;
-/// Bytes that may wait for a peer that does not read. It is cut off then: what waits would take
-/// the memory of this host, which is 160 MB in all.
+/// Bytes that may be queued for a peer that does not read. Beyond that the connection is closed,
+/// since the queue would exhaust the memory of this host, which is 160 MB in total.
 const MAX_PENDING_BYTES: usize = 8 << 20;
-/// Time in which a connection must be made; peers are milliseconds away.
+/// Time within which a connection must be established. Peers answer within milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 700;
-/// Time after which a connection that came in and says nothing is closed. Whoever opened it may
-/// have lost its power without a word.
+/// Time without a received byte after which an incoming connection is closed. Its peer may have
+/// lost power without closing the connection.
 const IDLE_TIMEOUT_MS: u64 = 30_000;
-/// Connections that may come in at once: owners are few, and former ones close theirs.
+/// Maximum number of open incoming connections. Owners, which open them, are few, and previous
+/// owners close theirs.
 const MAX_INCOMING: usize = 64;
 
+/// One frame connection.
 struct Connection {
     stream: TcpStream,
     is_incoming: bool,
     is_connected: bool,
     opened_ms: u64,
-    /// When something last came from the peer.
+    /// Time at which bytes were last received, or the connection was established.
     last_received_ms: u64,
     outbox: Outbox,
     inbox: BytesMut,
-    /// It keeps the length of a frame of which only a part has come.
+    /// Decoder and encoder of frames. Retains the length of a partially received frame between
+    /// reads.
     codec: LengthDelimitedCodec,
 }
 
 impl Connection {
-    /// Takes whole frames from what has come, and tells whether it can be trusted.
+    /// Reports all complete frames received. Returns `false` if the bytes are not valid frames,
+    /// after which nothing on the connection can be trusted.
     fn read_frames(&mut self, key: ConnectionKey, arrivals: &mut Vec<Arrival>) -> bool {
         loop {
             match self.codec.decode(&mut self.inbox) {
@@ -62,7 +67,7 @@
     }
 }
 
-/// All connections to and from our own processes.
+/// All frame connections, incoming and outgoing.
 #[derive(Default)]
 pub(crate) struct Connections {
     conns: SlotMap<ConnectionKey, Connection>,
@@ -75,7 +80,7 @@
 }
 
 impl Connections {
-    /// Takes in a connection.
+    /// Registers an accepted connection, or drops it if [`MAX_INCOMING`] are open.
     pub(crate) fn admit(&mut self, stream: TcpStream, clock: Clock, registrar: &Registrar) {
         let incoming = self.conns.values().filter(|conn| conn.is_incoming).count();
         if incoming < MAX_INCOMING {
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Opens a connection; `None` if the system has none to give.
+    /// Starts to open a connection. Returns `None` if the system refuses a socket.
     pub(crate) fn open(
         &mut self,
         peer: SocketAddr,
@@ -101,7 +106,8 @@
         clock: Clock,
         registrar: &Registrar,
     ) -> Option<ConnectionKey> {
-        // The option spares 40 ms on small writes; without it frames are only slower.
+        // Without this option small writes are delayed by up to 40 ms; a failure to set it
+        // only makes frames slower.
         let _ = stream.set_nodelay(true);
         let key = self.conns.insert(Connection {
             stream,
@@ -123,7 +129,8 @@
         Some(key)
     }
 
-    /// Sends a frame, as soon as the connection is made.
+    /// Sends a frame, once the connection is established. Closes the connection if the frame is
+    /// too large, too much is queued, or writing fails.
     pub(crate) fn send(&mut self, key: ConnectionKey, frame: &[u8], arrivals: &mut Vec<Arrival>) {
         let Some(conn) = self.conns.get_mut(key) else {
             return;
@@ -142,7 +149,7 @@
         }
     }
 
-    /// Handles an event of the connection with the given number.
+    /// Handles a readiness event of the connection whose key has the bits `raw_key`.
     pub(crate) fn handle(&mut self, raw_key: u64, clock: Clock, arrivals: &mut Vec<Arrival>) {
         let key = ConnectionKey::from(KeyData::from_ffi(raw_key));
         let Some(conn) = self.conns.get_mut(key) else {
@@ -173,14 +180,14 @@
         }
     }
 
-    /// Closes a connection and tells so.
+    /// Closes a connection and reports its loss.
     pub(crate) fn close(&mut self, key: ConnectionKey, arrivals: &mut Vec<Arrival>) {
         if self.conns.remove(key).is_some() {
             arrivals.push(Arrival::ConnectionLost { conn: key });
         }
     }
 
-    /// Gives up connections that are not made, and ones that have gone silent.
+    /// Closes connections that were not established in time, and incoming ones that are silent.
     pub(crate) fn expire(&mut self, clock: Clock, arrivals: &mut Vec<Arrival>) {
         let mut expired = Vec::new();
         for (key, conn) in &self.conns {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,9 +1,9 @@
 //! An event loop that serves HTTP/1.1 callers, calls HTTP/1.1 peers, and exchanges frames with
-//! other processes of ours, on one thread.
+//! other processes of this system, on one thread.
 //!
-//! An entry host has a tenth of a core and waits on dozens of long calls at once. A
-//! thread for each would cost a stack and two context switches an answer; here one
-//! thread carries all sockets, and parsing is left to `httparse`.
+//! An entry host has a tenth of a core and awaits dozens of long calls at once. A thread
+//! per call would cost a stack each and two context switches per answer. Instead, one
+//! thread serves all sockets, and `httparse` parses the heads.
 //!
 //! ```no_run
 //! use goldcrestway_net::Arrival;
--- a/crates/net/src/parse.rs
+++ b/crates/net/src/parse.rs
@@ -1,29 +1,31 @@
-//! HTTP/1.1 heads and bodies, by `httparse`.
+//! Parsing of HTTP/1.1 requests and responses, with `httparse` for the heads, and encoding of
+//! responses.
 
 use std::fmt::Write as _;
 
+/// Maximum number of headers in a request or response.
 const MAX_HEADERS: usize = 64;
-/// A head of a peer's answer that is longer is faulty.
+/// Maximum size of the head of a peer's response, in bytes.
 const MAX_RESPONSE_HEAD_BYTES: usize = 16_384;
 
-/// Names in lower case, and values.
+/// Headers as pairs of a name in lower case and a value.
 pub(crate) type Headers = Box<[(Box<str>, Box<str>)]>;
 
-/// What a caller may send.
+/// Limits on the requests of a caller and on its idle time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head.
+    /// Maximum size of a request head.
     pub max_head_bytes: usize,
-    /// Longest body.
+    /// Maximum size of a request body.
     pub max_body_bytes: usize,
-    /// Longest time from the first byte of a request to its last.
+    /// Maximum time between the first and the last byte of a request.
     pub max_request_ms: u64,
-    /// Longest silence between requests.
+    /// Maximum idle time between requests.
     pub max_idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Generous values for use before a configuration is known.
+    /// Returns generous limits for use before the configuration is read.
     fn default() -> Self {
         Self {
             max_head_bytes: 16_384,
@@ -34,46 +36,47 @@
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Its method, as sent.
+    /// HTTP method, as sent.
     pub method: Box<str>,
     /// Path and query, as sent.
     pub target: Box<str>,
-    /// Its headers, with names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Box<[(Box<str>, Box<str>)]>,
-    /// Its body.
+    /// Body, without any chunked encoding.
     pub body: Box<[u8]>,
 }
 
 impl Request {
-    /// Finds a header by its name in lower case.
+    /// Returns the value of the first header called `name`, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 }
 
-/// A whole answer of a peer.
+/// A complete response of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its headers, with names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Box<[(Box<str>, Box<str>)]>,
-    /// Its body.
+    /// Body, without any chunked encoding.
     pub body: Box<[u8]>,
-    /// Bytes that it took on the wire, head and body.
+    /// Size on the wire, head and body, in bytes.
     pub wire_bytes: usize,
 }
 
 impl Response {
-    /// Finds a header by its name in lower case.
+    /// Returns the value of the first header called `name`, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 }
 
+/// Returns the value of the first header called `name`, which is in lower case.
 fn find_header<'a>(headers: &'a [(Box<str>, Box<str>)], name: &str) -> Option<&'a str> {
     headers
         .iter()
@@ -81,17 +84,18 @@
         .map(|(_, value)| &**value)
 }
 
-/// What the bytes read so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Parsed<T> {
     /// More bytes are needed.
     Partial,
-    /// One message, which took so many bytes, and whether the stream ends with it.
+    /// A complete message, its size in bytes, and whether it is the last on the connection.
     Whole(T, usize, bool),
-    /// It can't be served; the status says why.
+    /// The message is invalid; carries the HTTP status that says why.
     Invalid(u16),
 }
 
+/// Copies the headers, with names in lower case. Returns `None` if a value is not UTF-8.
 fn collect_headers(headers: &[httparse::Header<'_>]) -> Option<Headers> {
     let mut collected = Vec::with_capacity(headers.len());
     for header in headers {
@@ -104,6 +108,8 @@
     Some(collected.into())
 }
 
+/// Returns whether the sender closes the connection after the message. HTTP/1.0 does so by
+/// default.
 fn ends_connection(headers: &[(Box<str>, Box<str>)], version: Option<u8>) -> bool {
     match find_header(headers, "connection") {
         Some(value) if value.eq_ignore_ascii_case("close") => true,
@@ -112,7 +118,7 @@
     }
 }
 
-/// Reads one request from the start of `bytes`.
+/// Parses one request from the start of `bytes`.
 pub(crate) fn parse_request(bytes: &[u8], limits: &CallerLimits) -> Parsed<Request> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
@@ -147,7 +153,8 @@
     Parsed::Whole(request, used, is_last)
 }
 
-/// Reads one answer from the start of `bytes`. `is_eof` says that no more will come.
+/// Parses one response from the start of `bytes`. `is_eof` states that no more bytes will
+/// follow, which ends a body without a length.
 pub(crate) fn parse_response(bytes: &[u8], is_eof: bool) -> Parsed<Response> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
@@ -185,7 +192,10 @@
     }
 }
 
-/// Reads the body behind a head. A body whose length nothing tells has `implicit_length` bytes.
+/// Reads the body that follows a head of `head_bytes` bytes.
+///
+/// A body without a `Content-Length` and a chunked encoding has `implicit_length` bytes; `None`
+/// means that its length is not known yet.
 fn read_body(
     bytes: &[u8],
     head_bytes: usize,
@@ -215,6 +225,7 @@
     }
 }
 
+/// Reads a body in chunked encoding.
 fn read_chunks(bytes: &[u8], head_bytes: usize, max_bytes: usize) -> Parsed<Box<[u8]>> {
     let mut body = Vec::new();
     let mut offset = head_bytes;
@@ -239,7 +250,7 @@
     }
 }
 
-/// Gives the reason phrase that belongs to a status.
+/// Returns the reason phrase of a status.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -257,7 +268,7 @@
     }
 }
 
-/// Writes a whole answer.
+/// Encodes a complete response. If `is_last` is set, it announces that the connection closes.
 pub(crate) fn write_response(
     status: u16,
     headers: &[(&str, &str)],
--- a/crates/net/src/pool.rs
+++ b/crates/net/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, kept open between calls.
+//! A pool of HTTP/1.1 connections to peers, kept open between calls.
 
 use crate::buffer::Outbox;
 use crate::buffer::StreamState;
@@ -23,31 +23,34 @@
 use std::net::SocketAddr;
 
 new_key_type! {
+    /// Key of a pooled connection.
     struct PooledKey;
 }
 
-/// Connections to one peer at most, where nothing else is said. A long poll holds one of
-/// them for seconds, and the others carry short calls; each new one is dear at the peer.
+/// Default maximum number of connections to one peer. A long poll occupies one of them for
+/// seconds, and the others carry short calls. Each further connection is costly for the peer.
 const DEFAULT_MAX_CONNECTIONS: usize = 4;
-/// Time in which a connection must be made. Peers are milliseconds away; one that
-/// takes longer is cut off, and the call can be told as not sent.
+/// Time within which a connection must be established. Peers answer within milliseconds; after
+/// a slower attempt the call is reported as not sent.
 const CONNECT_TIMEOUT_MS: u64 = 700;
 
-/// Time after which a connection that carries no call is closed. Connections that a burst has
-/// opened would otherwise stay for good, and take the descriptors of the next peers.
+/// Time after which an idle connection is closed. Connections opened for a burst of calls would
+/// otherwise stay open indefinitely and occupy descriptors that other peers need.
 const IDLE_TIMEOUT_MS: u64 = 60_000;
 
+/// A call that waits for a connection.
 struct QueuedCall {
     call: Call,
     deadline_ms: u64,
 }
 
+/// One connection to a peer, with at most one call in flight.
 struct PooledConnection {
     stream: TcpStream,
     peer: SocketAddr,
     is_connected: bool,
     opened_ms: u64,
-    /// When something last came from the peer.
+    /// Time at which bytes were last received, or the connection was established.
     last_received_ms: u64,
     outbox: Outbox,
     inbox: Vec<u8>,
@@ -58,13 +61,13 @@
 struct Flight {
     number: u64,
     sent_ms: u64,
-    /// When it is given up, unless more of its answer comes.
+    /// Time at which the call is abandoned. Moves with each received byte if `stall_ms` is set.
     deadline_ms: u64,
     stall_ms: Option<u64>,
 }
 
 impl PooledConnection {
-    /// Notes that bytes came, and awaits the rest of an answer that comes in pieces.
+    /// Records that bytes were received, and extends the deadline of a call with a stall limit.
     fn record_progress(&mut self, clock: Clock) {
         self.last_received_ms = clock.now_ms;
         if let Some(call) = &mut self.call
@@ -75,6 +78,7 @@
     }
 }
 
+/// Connections and queued calls of one peer.
 #[derive(Default)]
 struct Peer {
     idle: Vec<PooledKey>,
@@ -87,19 +91,19 @@
 pub(crate) struct Pool {
     conns: SlotMap<PooledKey, PooledConnection>,
     peers: HashMap<SocketAddr, Peer>,
-    /// Peers that may have another number of connections. Kept apart from what is known of
-    /// a peer, which goes with its last connection: when all of them had been reset, the
-    /// store was back at four, and reads waited for seconds behind long polls.
+    /// Limits that differ from [`DEFAULT_MAX_CONNECTIONS`]. They are not part of [`Peer`], which
+    /// is removed with its last connection: a reset of all connections to the store would bring
+    /// its limit back to four, and reads would wait for seconds behind long polls.
     max_connections: HashMap<SocketAddr, usize>,
 }
 
 impl Pool {
-    /// Allows more connections to a peer that answers several long polls at once.
+    /// Sets the maximum number of connections to a peer.
     pub(crate) fn set_max_connections(&mut self, peer: SocketAddr, max_connections: usize) {
         self.max_connections.insert(peer, max_connections);
     }
 
-    /// Sends a call as soon as a connection is free.
+    /// Sends a call as soon as a connection is available.
     pub(crate) fn call(&mut self, call: Call, clock: Clock, registrar: &Registrar) {
         let deadline_ms = clock.now_ms + call.timeout_ms;
         let peer = call.peer;
@@ -108,7 +112,7 @@
         self.send_queued(peer, clock, registrar);
     }
 
-    /// Puts queued calls on free or new connections.
+    /// Assigns queued calls to idle or new connections.
     fn send_queued(&mut self, peer: SocketAddr, clock: Clock, registrar: &Registrar) {
         let max_conns = self.max_connections.get(&peer).copied();
         let max_conns = max_conns.unwrap_or(DEFAULT_MAX_CONNECTIONS);
@@ -142,16 +146,18 @@
             });
             conn.outbox.add(&queued.call.bytes);
             if conn.is_connected {
-                // A failed write shows as an end of the stream at the next event.
+                // A failed write is detected as a closed stream at the next event.
                 let _ = conn.outbox.flush(&mut conn.stream);
             }
         }
     }
 
+    /// Starts to open a connection. Returns `None` if the system refuses a socket.
     fn open(&mut self, peer: SocketAddr, clock: Clock, registrar: &Registrar) -> Option<PooledKey> {
-        // Running out of descriptors leaves the call queued until its time-out.
+        // Without a free descriptor the call stays queued until its timeout.
         let stream = TcpStream::connect(peer).ok()?;
-        // The option spares 40 ms on small writes; without it calls are only slower.
+        // Without this option small writes are delayed by up to 40 ms; a failure to set it
+        // only makes calls slower.
         let _ = stream.set_nodelay(true);
         let key = self.conns.insert(PooledConnection {
             stream,
@@ -180,7 +186,7 @@
         Some(key)
     }
 
-    /// Handles an event of the connection with the given number.
+    /// Handles a readiness event of the connection whose key has the bits `raw_key`.
     pub(crate) fn handle(
         &mut self,
         raw_key: u64,
@@ -224,6 +230,8 @@
         }
     }
 
+    /// Reports the answer to the call in flight, and returns the connection to the pool or closes
+    /// it.
     fn finish(
         &mut self,
         key: PooledKey,
@@ -246,7 +254,7 @@
         }
     }
 
-    /// Drops a connection; a call on it has no answer.
+    /// Closes a connection. A call in flight on it ends with a fault.
     fn close(&mut self, key: PooledKey, arrivals: &mut Vec<Arrival>) {
         let Some(conn) = self.conns.remove(key) else {
             return;
@@ -267,10 +275,12 @@
         }
     }
 
-    /// Drops a connection whose call is overdue. If the peer has said nothing on it since the
-    /// call, it may have gone silent without a reset, and others with it: idle connections
-    /// that were not heard of since go, too, so that the next call does not wait in vain on
-    /// one of them.
+    /// Closes a connection whose call or connection attempt is overdue.
+    ///
+    /// If nothing was received on it since the call was sent, the path to the peer may have
+    /// failed without a reset. Other connections may be affected: idle ones that have not
+    /// received anything since then are closed as well, so that the next call does not time out
+    /// on one of them.
     fn close_overdue(&mut self, key: PooledKey, arrivals: &mut Vec<Arrival>) {
         let Some(conn) = self.conns.get(key) else {
             return;
@@ -291,7 +301,8 @@
         }
     }
 
-    /// Gives up what is overdue and sends what waits for a connection.
+    /// Closes overdue and idle connections, drops queued calls past their deadline, and sends
+    /// queued calls for which a connection is available.
     pub(crate) fn expire(
         &mut self,
         clock: Clock,
@@ -341,7 +352,7 @@
             .retain(|_, entry| entry.open_count > 0 || !entry.queue.is_empty());
     }
 
-    /// Closes the connections to a peer that is gone and gives up calls to it.
+    /// Closes the connections to a peer. Calls in flight on them end with a fault.
     pub(crate) fn disconnect(&mut self, peer: SocketAddr, arrivals: &mut Vec<Arrival>) {
         let mut keys = Vec::new();
         for (key, conn) in &self.conns {
@@ -354,7 +365,7 @@
         }
     }
 
-    /// Gives the time by which something may be overdue.
+    /// Returns the earliest time at which a call or connection attempt is overdue.
     pub(crate) fn next_expiry_ms(&self) -> Option<u64> {
         let expiries = self.conns.values().filter_map(|conn| {
             let call = conn.call.as_ref().map(|call| call.deadline_ms);
--- a/crates/net/tests/frames.rs
+++ b/crates/net/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between our own processes, as they come over a slow link.
+//! Tests of frame connections over real sockets on the loopback interface.
 
 use goldcrestway_net::Arrival;
 use goldcrestway_net::ConnectionKey;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 const WAIT: Duration = Duration::from_millis(5);
-/// Turns that are awaited; it only bounds a failure.
+/// Maximum number of waits for an arrival, which bounds the time of a failing test.
 const MAX_WAITS: usize = 400;
 
-/// Gives the next arrival of this kind.
+/// Waits for the next arrival that `find` accepts, and returns what `find` made of it.
 fn await_arrival<T>(net: &mut Net, find: impl Fn(Arrival) -> Option<T>) -> Option<T> {
     for _ in 0..MAX_WAITS {
         for arrival in net.wait(WAIT) {
@@ -35,9 +35,9 @@
     matches!(arrival, Arrival::ConnectionLost { .. }).then_some(())
 }
 
-/// Symptom: connections between hosts on thin links end several times a second. Sequence: the
-/// length of a frame comes in one read, the rest of it in the next. Cause: what was known of the
-/// length was dropped between the two, and the rest was read as a length.
+/// Guards against losing the length of a frame between two reads. On slow links the length of a
+/// frame arrived in one read and the rest in the next. The rest was then decoded as a length, and
+/// connections between hosts closed several times a second.
 #[gtest]
 fn a_frame_from_several_reads_is_decoded_as_one() {
     let mut net = Net::new().unwrap();
@@ -48,7 +48,7 @@
     peer.set_nodelay(true).unwrap();
     for part in [&[0, 0][..], &[0, 5], b"ab", b"cde", &[0, 0, 0, 1, b'f']] {
         peer.write_all(part).unwrap();
-        // Each part is read by itself.
+        // Each part is read before the next is sent.
         net.wait(WAIT).into_iter().for_each(|arrival| {
             expect_that!(as_lost(arrival), none());
         });
@@ -60,7 +60,7 @@
     expect_that!(last, some(anything()));
 }
 
-/// Frames go both ways, and the end of one side is told to the other.
+/// Frames travel in both directions, and closing one side is reported to the other.
 #[gtest]
 fn frames_travel_both_ways_until_one_side_closes() {
     let mut client = Net::new().unwrap();
@@ -86,7 +86,7 @@
     expect_that!(await_arrival(&mut client, as_lost), some(anything()));
 }
 
-/// What no frame of ours can be ends the connection: nothing after it can be trusted.
+/// A length above the maximum closes the connection, since nothing after it can be trusted.
 #[gtest]
 fn an_oversized_frame_closes_the_connection() {
     let mut net = Net::new().unwrap();
--- a/crates/net/tests/pool.rs
+++ b/crates/net/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, over real sockets on loopback.
+//! Tests of the connection pool over real sockets on the loopback interface.
 
 use goldcrestway_net::Arrival;
 use goldcrestway_net::Call;
@@ -11,16 +11,15 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Turns of the event loop in which a connection must come; they only bound a failure.
+/// Maximum number of waits for a connection, which bounds the time of a failing test.
 const MAX_WAITS: usize = 100;
 const WAIT: Duration = Duration::from_millis(10);
-/// Time after which calls are given up, longer than the test takes.
+/// Timeout of calls, longer than the test takes.
 const TIMEOUT_MS: u64 = 60_000;
 
-/// Symptom: reads of the store take two seconds, and one host after the other claims to own
-/// and loses that again. Sequence: all connections to the store are reset. Cause: the number
-/// of connections that it may have was forgotten with the last of them, so that long polls
-/// held the few that were left.
+/// Guards against a connection limit that is lost when all connections to a peer are reset. Long
+/// polls then occupied the few default connections to the store: reads took two seconds, and
+/// one host after another claimed ownership and lost it again.
 #[gtest]
 fn a_peer_keeps_its_connection_limit_when_all_are_reset() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
@@ -32,7 +31,7 @@
     net.call(call(1));
     let mut has_ended = false;
     for _ in 0..MAX_WAITS {
-        // Dropping it resets the connection.
+        // Dropping the accepted stream resets the connection.
         drop(listener.accept());
         has_ended |= !net.wait(WAIT).is_empty();
         if has_ended {
@@ -57,13 +56,13 @@
     expect_that!(accepted.len(), eq(7));
 }
 
-/// Time without a byte after which a long answer counts as dead, and the pause between its
-/// pieces, which come for longer than that together.
+/// Time without a byte after which an answer that has begun is abandoned. All pieces of an answer
+/// together take longer, at [`PIECE_PAUSE`] each.
 const STALL_MS: u64 = 1_000;
 const PIECE_PAUSE: Duration = Duration::from_millis(60);
 const PIECES: usize = 20;
 
-/// Answers one call with a body in pieces, `sent` of them.
+/// Answers one call with the first `sent` of [`PIECES`] pieces of a body.
 fn answer_in_pieces(listener: TcpListener, sent: usize) -> TcpStream {
     let (mut stream, _) = listener.accept().unwrap();
     let mut request = [0; 1_024];
@@ -77,10 +76,9 @@
     stream
 }
 
-/// Symptom: a host on a thin link never finishes reading what the store holds. Sequence: its
-/// link needs longer for a page than the time-out of a read. Cause: the read was given up
-/// however many bytes of it had come, and the same page was asked for again. An answer that
-/// stops coming is still given up.
+/// Guards against abandoning an answer while it is being received. A host whose slow link needed
+/// longer for a page than the timeout of a read requested the same page again and again, and
+/// never finished reading the store. An answer that stalls is still abandoned.
 #[gtest]
 fn a_slow_answer_is_awaited_while_bytes_arrive() {
     let cases = [(PIECES, true), (PIECES / 2, false)];
@@ -103,8 +101,8 @@
     }
 }
 
-/// Accepts connections and answers the first call on each of them; later calls on the first
-/// `silent_count` connections get no answer.
+/// Accepts a waiting connection and answers new calls. Only the first call is answered on each of
+/// the first `silent_count` connections.
 fn answer_first_calls(
     listener: &TcpListener,
     streams: &mut Vec<(TcpStream, u32)>,
@@ -128,12 +126,12 @@
     }
 }
 
-/// Time after which a call without an answer is given up; others take milliseconds.
+/// Timeout of calls that get no answer. Other calls take milliseconds.
 const CALL_TIMEOUT_MS: u64 = 3_000;
 
-/// Symptom: after connections went silent without a reset, one call after the other is awaited
-/// in vain, though new connections work. Cause: each call was sent on another connection that
-/// had gone silent at the same time.
+/// Guards against repeated timeouts after connections went silent without a reset. Each call was
+/// sent on another idle connection that had gone silent at the same time, although new
+/// connections worked.
 #[gtest]
 fn a_silent_connection_closes_idle_ones_of_its_age() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
@@ -157,7 +155,7 @@
         }
         (answers, streams.len())
     };
-    // Three connections, all of which then go silent.
+    // Opens three connections, all of which are silent after their first answer.
     expect_that!(call(&mut net, &[1, 2, 3]), eq(&(vec![true; 3], 3)));
     expect_that!(call(&mut net, &[4]), eq(&(vec![false], 3)));
     expect_that!(call(&mut net, &[5]), eq(&(vec![true], 4)));
