--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -3,9 +3,9 @@
 use crate::fault::WireFault;
 use crate::message::decode_message;
 use crate::message::encode_message;
-use crate::parts::member_in;
-use crate::parts::member_out;
-use crate::parts::need;
+use crate::parts::decode_member;
+use crate::parts::encode_member;
+use crate::parts::require;
 use crate::proto;
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -82,9 +82,9 @@
         if *frame.cluster != *self.cluster {
             return Err(WireFault::OtherCluster(frame.cluster.into()));
         }
-        let message = decode_message(need(frame.kind.as_ref(), "kind of message")?)?;
+        let message = decode_message(require(frame.kind.as_ref(), "kind of message")?)?;
         Ok(Some(Envelope {
-            from: member_in(need(frame.from.as_ref(), "sender")?)?,
+            from: decode_member(require(frame.from.as_ref(), "sender")?)?,
             clock: frame.clock,
             message,
         }))
@@ -98,7 +98,7 @@
         let frame = proto::Frame {
             version: VERSION,
             cluster: self.cluster.to_string(),
-            from: Some(member_out(envelope.from)),
+            from: Some(encode_member(envelope.from)),
             clock: envelope.clock,
             kind: Some(encode_message(&envelope.message)),
         };
--- a/crates/wire/src/message/decode.rs
+++ b/crates/wire/src/message/decode.rs
@@ -1,23 +1,23 @@
 //! Messages from kinds of frames.
 
 use crate::fault::WireFault;
-use crate::parts::Read;
-use crate::parts::attempt_in;
-use crate::parts::cell_in;
-use crate::parts::identity_in;
-use crate::parts::job_end_in;
-use crate::parts::member_in;
-use crate::parts::members_in;
+use crate::parts::DecodeResult;
+use crate::parts::decode_attempt;
+use crate::parts::decode_cell;
+use crate::parts::decode_identity;
+use crate::parts::decode_job_end;
+use crate::parts::decode_member;
+use crate::parts::decode_members;
+use crate::parts::decode_order;
+use crate::parts::decode_outcome;
+use crate::parts::decode_spec;
+use crate::parts::decode_status;
 use crate::parts::missing;
-use crate::parts::need;
-use crate::parts::order_in;
-use crate::parts::outcome_in;
-use crate::parts::spec_in;
-use crate::parts::status_in;
+use crate::parts::require;
 use crate::proto;
 use crate::proto::Kind;
 use crate::proto::Tagged;
-use crate::record::record_in;
+use crate::record::decode_record;
 use goldcrestway_core::Cell;
 use goldcrestway_core::Ended;
 use goldcrestway_core::GrantVerdict;
@@ -40,13 +40,13 @@
 pub fn decode_message(kind: &Kind) -> Result<Message, WireFault> {
     let message = match kind {
         Kind::Heartbeat(heartbeat) => Message::Heartbeat {
-            life: member_in(need(heartbeat.life.as_ref(), "life")?)?,
+            life: decode_member(require(heartbeat.life.as_ref(), "life")?)?,
             sent_ms: heartbeat.sent_ms,
             config_version: heartbeat.config_version,
             is_leaving: heartbeat.flag,
         },
         Kind::Promise(promise) => Message::Promise {
-            life: member_in(need(promise.life.as_ref(), "life")?)?,
+            life: decode_member(require(promise.life.as_ref(), "life")?)?,
             sent_ms: promise.sent_ms,
             is_granted: promise.flag,
             config_version: promise.config_version,
@@ -55,8 +55,12 @@
         Kind::AliveAsk(_) => Message::AliveAsk,
         Kind::Alive(alive) => Message::Alive {
             digest: alive.digest,
-            members: members_in(&alive.members)?,
-            carried: alive.carried.iter().map(carried_in).collect::<Read<_>>()?,
+            members: decode_members(&alive.members)?,
+            carried: alive
+                .carried
+                .iter()
+                .map(decode_carried_life)
+                .collect::<DecodeResult<_>>()?,
         },
         Kind::StateAsk(_) => Message::StateAsk,
         Kind::State(batch) => {
@@ -64,30 +68,30 @@
                 return Err(missing("claims and configuration"));
             };
             Message::State {
-                claims: record_in(claims)?,
-                config: record_in(config)?,
+                claims: decode_record(claims)?,
+                config: decode_record(config)?,
             }
         }
-        Kind::Handover(handover) => Message::Handover(handover_in(handover)?),
+        Kind::Handover(handover) => Message::Handover(decode_handover(handover)?),
         Kind::ConsentAsk(consent) => Message::ConsentAsk {
-            target: member_in(need(consent.target.as_ref(), "target")?)?,
+            target: decode_member(require(consent.target.as_ref(), "target")?)?,
             asked_ms: consent.asked_ms,
         },
         Kind::Consent(consent) => Message::Consent {
-            target: member_in(need(consent.target.as_ref(), "target")?)?,
+            target: decode_member(require(consent.target.as_ref(), "target")?)?,
             asked_ms: consent.asked_ms,
         },
         Kind::NotOwner(slot) => Message::NotOwner {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             request: slot.request,
         },
         Kind::GrantAsk(slot) => Message::GrantAsk {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             request: slot.request,
             begin_in_ms: slot.value,
         },
         Kind::Granted(slot) => Message::GrantAnswer {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             request: slot.request,
             free: slot.free,
             verdict: GrantVerdict::Granted {
@@ -97,7 +101,7 @@
             },
         },
         Kind::Refused(slot) => Message::GrantAnswer {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             request: slot.request,
             free: slot.free,
             verdict: GrantVerdict::Refused {
@@ -105,122 +109,126 @@
             },
         },
         Kind::Queued(slot) => Message::GrantAnswer {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             request: slot.request,
             free: slot.free,
             verdict: GrantVerdict::Queued,
         },
         Kind::GrantCancel(slot) => Message::GrantCancel {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             request: slot.request,
         },
         Kind::Release(slot) => Message::Release {
-            cell: cell_in(&slot.cell)?,
+            cell: decode_cell(&slot.cell)?,
             grant: slot.grant,
             request: slot.request,
             next: slot.next,
-            ended: ended_in(need(slot.ended.as_ref(), "end of an attempt")?)?,
+            ended: decode_ended(require(slot.ended.as_ref(), "end of an attempt")?)?,
         },
-        Kind::IntentAsk(talk) => {
-            let intent = need(talk.intent.as_ref(), "intent")?;
+        Kind::IntentAsk(body) => {
+            let intent = require(body.intent.as_ref(), "intent")?;
             Message::IntentAsk {
-                cell: cell_in(&talk.cell)?,
-                request: talk.request,
-                identity: identity_in(intent)?,
+                cell: decode_cell(&body.cell)?,
+                request: body.request,
+                identity: decode_identity(intent)?,
                 fingerprint: intent.fingerprint,
             }
         }
-        Kind::IntentAnswer(talk) => Message::IntentAnswer {
-            request: talk.request,
-            verdict: intent_verdict_in(need(talk.verdict.as_ref(), "verdict")?)?,
+        Kind::IntentAnswer(body) => Message::IntentAnswer {
+            request: body.request,
+            verdict: decode_intent_verdict(require(body.verdict.as_ref(), "verdict")?)?,
         },
-        Kind::IntentEnd(talk) => {
-            let intent = need(talk.intent.as_ref(), "intent")?;
+        Kind::IntentEnd(body) => {
+            let intent = require(body.intent.as_ref(), "intent")?;
             Message::IntentEnd {
-                cell: cell_in(&talk.cell)?,
-                request: talk.request,
-                was_let_go: talk.was_let_go,
-                identity: identity_in(intent)?,
-                outcome: outcome_in(intent.outcome)?,
-                status: status_in(intent.status)?,
+                cell: decode_cell(&body.cell)?,
+                request: body.request,
+                was_let_go: body.was_let_go,
+                identity: decode_identity(intent)?,
+                outcome: decode_outcome(intent.outcome)?,
+                status: decode_status(intent.status)?,
             }
         }
-        Kind::JobAsk(talk) => Message::JobAsk {
-            cell: cell_in(&talk.cell)?,
-            request: talk.request,
-            spec: spec_in(need(talk.spec.as_ref(), "job")?),
+        Kind::JobAsk(body) => Message::JobAsk {
+            cell: decode_cell(&body.cell)?,
+            request: body.request,
+            spec: decode_spec(require(body.spec.as_ref(), "job")?),
         },
-        Kind::JobAnswer(talk) => Message::JobAnswer {
-            request: talk.request,
-            verdict: job_verdict_in(need(talk.verdict.as_ref(), "verdict")?)?,
+        Kind::JobAnswer(body) => Message::JobAnswer {
+            request: body.request,
+            verdict: decode_job_verdict(require(body.verdict.as_ref(), "verdict")?)?,
         },
         Kind::Reserve(task) => Message::Reserve {
-            home: cell_in(&task.home)?,
-            cell: cell_in(&task.cell)?,
-            order: order_in(&task.order)?,
+            home: decode_cell(&task.home)?,
+            cell: decode_cell(&task.cell)?,
+            order: decode_order(&task.order)?,
             is_urgent: task.flag,
         },
         Kind::Start(task) => Message::Start {
-            home: cell_in(&task.home)?,
-            cell: cell_in(&task.cell)?,
-            order: order_in(&task.order)?,
+            home: decode_cell(&task.home)?,
+            cell: decode_cell(&task.cell)?,
+            order: decode_order(&task.order)?,
             is_urgent: task.flag,
             is_repeat: task.is_repeat,
         },
         Kind::Reserved(task) => Message::Reserved {
-            home: cell_in(&task.home)?,
-            cell: cell_in(&task.cell)?,
-            attempt: attempt_in(&task.attempt)?,
+            home: decode_cell(&task.home)?,
+            cell: decode_cell(&task.cell)?,
+            attempt: decode_attempt(&task.attempt)?,
             is_held: task.flag,
             free_millicores: task.free,
         },
         Kind::Unreserve(task) => Message::Unreserve {
-            cell: cell_in(&task.cell)?,
-            attempt: attempt_in(&task.attempt)?,
+            cell: decode_cell(&task.cell)?,
+            attempt: decode_attempt(&task.attempt)?,
         },
         Kind::ReportNoted(task) => Message::ReportNoted {
-            cell: cell_in(&task.cell)?,
-            attempt: attempt_in(&task.attempt)?,
+            cell: decode_cell(&task.cell)?,
+            attempt: decode_attempt(&task.attempt)?,
         },
         Kind::Report(task) => Message::Report {
-            home: cell_in(&task.home)?,
-            cell: cell_in(&task.cell)?,
-            attempt: attempt_in(&task.attempt)?,
-            end: task.end.as_ref().map(task_end_in).transpose()?,
+            home: decode_cell(&task.home)?,
+            cell: decode_cell(&task.cell)?,
+            attempt: decode_attempt(&task.attempt)?,
+            end: task.end.as_ref().map(decode_task_end).transpose()?,
         },
     };
     Ok(message)
 }
 
-fn carried_in(carried: &proto::CarriedLife) -> Read<(Member, Seat)> {
-    let life = member_in(need(carried.life.as_ref(), "life")?)?;
+fn decode_carried_life(carried: &proto::CarriedLife) -> DecodeResult<(Member, Seat)> {
+    let life = decode_member(require(carried.life.as_ref(), "life")?)?;
     let seat = u16::try_from(carried.seat).map_err(|_| missing("seat"))?;
     Ok((life, Seat(seat)))
 }
 
-fn handover_in(handover: &proto::Handover) -> Read<Handover> {
+fn decode_handover(handover: &proto::Handover) -> DecodeResult<Handover> {
     let (mut keys, mut workers, mut upstreams) = (Vec::new(), Vec::new(), Vec::new());
     for handed in &handover.cells {
-        match cell_in(&handed.cell)? {
+        match decode_cell(&handed.cell)? {
             Cell::Keys(number) => keys.push(HandedKeys {
                 number,
                 term: Term(handed.term),
                 sequence: handed.count,
-                records: handed.records.iter().map(record_in).collect::<Read<_>>()?,
+                records: handed
+                    .records
+                    .iter()
+                    .map(decode_record)
+                    .collect::<DecodeResult<_>>()?,
             }),
             Cell::Workers(number) => workers.push((number, Term(handed.term), handed.count)),
             Cell::Upstreams(number) => upstreams.push(number),
         }
     }
     Ok(Handover {
-        life: member_in(need(handover.life.as_ref(), "life")?)?,
+        life: decode_member(require(handover.life.as_ref(), "life")?)?,
         keys: keys.into(),
         workers: workers.into(),
         upstreams: upstreams.into(),
     })
 }
 
-fn ended_in(ended: &Tagged) -> Read<Ended> {
+fn decode_ended(ended: &Tagged) -> DecodeResult<Ended> {
     match ended.kind {
         1 => Ok(Ended::Answered {
             latency_ms: ended.value,
@@ -235,7 +243,7 @@
     }
 }
 
-fn task_end_in(end: &Tagged) -> Read<TaskEnd> {
+fn decode_task_end(end: &Tagged) -> DecodeResult<TaskEnd> {
     match end.kind {
         1 => Ok(TaskEnd::Finished),
         2 => Ok(TaskEnd::Failed),
@@ -249,13 +257,13 @@
     }
 }
 
-fn intent_verdict_in(verdict: &Tagged) -> Read<IntentVerdict> {
+fn decode_intent_verdict(verdict: &Tagged) -> DecodeResult<IntentVerdict> {
     const STATUS_BITS: u32 = 16;
     match verdict.kind {
         1 => Ok(IntentVerdict::Go),
         2 => Ok(IntentVerdict::Begun),
         3 => Ok(IntentVerdict::Ended {
-            outcome: outcome_in((verdict.value >> STATUS_BITS) as u32)?,
+            outcome: decode_outcome((verdict.value >> STATUS_BITS) as u32)?,
             status: (verdict.value & 0xffff) as u16,
         }),
         4 => Ok(IntentVerdict::Conflict),
@@ -266,14 +274,14 @@
     }
 }
 
-fn job_verdict_in(verdict: &Tagged) -> Read<JobVerdict> {
+fn decode_job_verdict(verdict: &Tagged) -> DecodeResult<JobVerdict> {
     match verdict.kind {
         1 => Ok(JobVerdict::Refused {
             retry_after_ms: verdict.value,
         }),
         2 => Ok(JobVerdict::Accepted(JobState::Queued)),
         3 => Ok(JobVerdict::Accepted(JobState::Ended {
-            end: job_end_in(verdict.value)?,
+            end: decode_job_end(verdict.value)?,
             since_ms: 0,
         })),
         4 => Ok(JobVerdict::Accepted(JobState::Running {
--- a/crates/wire/src/message/encode.rs
+++ b/crates/wire/src/message/encode.rs
@@ -1,19 +1,19 @@
 //! Messages as kinds of frames.
 
-use crate::parts::attempt_out;
-use crate::parts::cell_out;
-use crate::parts::intent_out;
-use crate::parts::job_end_out;
-use crate::parts::member_out;
-use crate::parts::members_out;
-use crate::parts::order_out;
-use crate::parts::outcome_out;
-use crate::parts::spec_out;
+use crate::parts::encode_attempt;
+use crate::parts::encode_cell;
+use crate::parts::encode_intent;
+use crate::parts::encode_job_end;
+use crate::parts::encode_member;
+use crate::parts::encode_members;
+use crate::parts::encode_order;
+use crate::parts::encode_outcome;
+use crate::parts::encode_spec;
 use crate::parts::tagged;
 use crate::proto;
 use crate::proto::Kind;
 use crate::proto::Tagged;
-use crate::record::record_out;
+use crate::record::encode_record;
 use goldcrestway_core::Cell;
 use goldcrestway_core::Ended;
 use goldcrestway_core::GrantVerdict;
@@ -33,7 +33,7 @@
             config_version,
             is_leaving,
         } => Kind::Heartbeat(proto::Heartbeat {
-            life: Some(member_out(*life)),
+            life: Some(encode_member(*life)),
             ..heartbeat(*sent_ms, *config_version, *is_leaving, 0)
         }),
         Message::Promise {
@@ -43,7 +43,7 @@
             config_version,
             alive,
         } => Kind::Promise(proto::Heartbeat {
-            life: Some(member_out(*life)),
+            life: Some(encode_member(*life)),
             ..heartbeat(*sent_ms, *config_version, *is_granted, *alive)
         }),
         Message::AliveAsk => Kind::AliveAsk(proto::Empty {}),
@@ -53,27 +53,27 @@
             carried,
         } => Kind::Alive(proto::Alive {
             digest: *digest,
-            members: members_out(members),
+            members: encode_members(members),
             carried: carried
                 .iter()
                 .map(|(life, seat)| proto::CarriedLife {
-                    life: Some(member_out(*life)),
+                    life: Some(encode_member(*life)),
                     seat: u32::from(seat.0),
                 })
                 .collect(),
         }),
         Message::StateAsk => Kind::StateAsk(proto::Empty {}),
         Message::State { claims, config } => Kind::State(proto::Batch {
-            records: vec![record_out(claims), record_out(config)],
+            records: vec![encode_record(claims), encode_record(config)],
             ..proto::Batch::default()
         }),
-        Message::Handover(handover) => Kind::Handover(handover_out(handover)),
+        Message::Handover(handover) => Kind::Handover(encode_handover(handover)),
         Message::ConsentAsk { target, asked_ms } => Kind::ConsentAsk(proto::Consent {
-            target: Some(member_out(*target)),
+            target: Some(encode_member(*target)),
             asked_ms: *asked_ms,
         }),
         Message::Consent { target, asked_ms } => Kind::Consent(proto::Consent {
-            target: Some(member_out(*target)),
+            target: Some(encode_member(*target)),
             asked_ms: *asked_ms,
         }),
         Message::NotOwner { cell, request } => Kind::NotOwner(slot(*cell, *request)),
@@ -81,7 +81,7 @@
             cell,
             request,
             begin_in_ms,
-        } => Kind::GrantAsk(proto::Slot {
+        } => Kind::GrantAsk(proto::SlotMessage {
             value: *begin_in_ms,
             ..slot(*cell, *request)
         }),
@@ -90,7 +90,7 @@
             request,
             verdict,
             free,
-        } => grant_out(*cell, *request, verdict, *free),
+        } => encode_grant_answer(*cell, *request, verdict, *free),
         Message::GrantCancel { cell, request } => Kind::GrantCancel(slot(*cell, *request)),
         Message::Release {
             cell,
@@ -98,9 +98,9 @@
             request,
             ended,
             next,
-        } => Kind::Release(proto::Slot {
+        } => Kind::Release(proto::SlotMessage {
             grant: *grant,
-            ended: Some(ended_out(*ended)),
+            ended: Some(encode_ended(*ended)),
             next: *next,
             ..slot(*cell, *request)
         }),
@@ -109,17 +109,17 @@
             request,
             identity,
             fingerprint,
-        } => Kind::IntentAsk(proto::IntentTalk {
-            cell: Some(cell_out(*cell)),
+        } => Kind::IntentAsk(proto::IntentMessage {
+            cell: Some(encode_cell(*cell)),
             request: *request,
-            intent: Some(intent_out(*identity, *fingerprint)),
+            intent: Some(encode_intent(*identity, *fingerprint)),
             verdict: None,
             was_let_go: false,
         }),
-        Message::IntentAnswer { request, verdict } => Kind::IntentAnswer(proto::IntentTalk {
+        Message::IntentAnswer { request, verdict } => Kind::IntentAnswer(proto::IntentMessage {
             request: *request,
-            verdict: Some(intent_verdict_out(*verdict)),
-            ..proto::IntentTalk::default()
+            verdict: Some(encode_intent_verdict(*verdict)),
+            ..proto::IntentMessage::default()
         }),
         Message::IntentEnd {
             cell,
@@ -128,43 +128,43 @@
             was_let_go,
             outcome,
             status,
-        } => Kind::IntentEnd(proto::IntentTalk {
+        } => Kind::IntentEnd(proto::IntentMessage {
             request: *request,
             was_let_go: *was_let_go,
-            cell: Some(cell_out(*cell)),
+            cell: Some(encode_cell(*cell)),
             intent: Some(proto::Intent {
-                outcome: outcome_out(*outcome),
+                outcome: encode_outcome(*outcome),
                 status: u32::from(*status),
-                ..intent_out(*identity, 0)
+                ..encode_intent(*identity, 0)
             }),
-            ..proto::IntentTalk::default()
+            ..proto::IntentMessage::default()
         }),
         Message::JobAsk {
             cell,
             request,
             spec,
-        } => Kind::JobAsk(proto::JobTalk {
-            cell: Some(cell_out(*cell)),
+        } => Kind::JobAsk(proto::JobMessage {
+            cell: Some(encode_cell(*cell)),
             request: *request,
-            spec: Some(spec_out(spec)),
+            spec: Some(encode_spec(spec)),
             verdict: None,
         }),
-        Message::JobAnswer { request, verdict } => Kind::JobAnswer(proto::JobTalk {
+        Message::JobAnswer { request, verdict } => Kind::JobAnswer(proto::JobMessage {
             request: *request,
-            verdict: Some(job_verdict_out(*verdict)),
-            ..proto::JobTalk::default()
+            verdict: Some(encode_job_verdict(*verdict)),
+            ..proto::JobMessage::default()
         }),
         Message::Reserve {
             home,
             cell,
             order,
             is_urgent,
-        } => Kind::Reserve(proto::TaskTalk {
-            home: Some(cell_out(*home)),
-            cell: Some(cell_out(*cell)),
-            order: Some(order_out(order)),
+        } => Kind::Reserve(proto::TaskMessage {
+            home: Some(encode_cell(*home)),
+            cell: Some(encode_cell(*cell)),
+            order: Some(encode_order(order)),
             flag: *is_urgent,
-            ..proto::TaskTalk::default()
+            ..proto::TaskMessage::default()
         }),
         Message::Start {
             home,
@@ -172,13 +172,13 @@
             order,
             is_urgent,
             is_repeat,
-        } => Kind::Start(proto::TaskTalk {
-            home: Some(cell_out(*home)),
-            cell: Some(cell_out(*cell)),
-            order: Some(order_out(order)),
+        } => Kind::Start(proto::TaskMessage {
+            home: Some(encode_cell(*home)),
+            cell: Some(encode_cell(*cell)),
+            order: Some(encode_order(order)),
             flag: *is_urgent,
             is_repeat: *is_repeat,
-            ..proto::TaskTalk::default()
+            ..proto::TaskMessage::default()
         }),
         Message::Reserved {
             home,
@@ -186,52 +186,52 @@
             attempt,
             is_held,
             free_millicores,
-        } => Kind::Reserved(proto::TaskTalk {
-            home: Some(cell_out(*home)),
-            cell: Some(cell_out(*cell)),
-            attempt: Some(attempt_out(attempt)),
+        } => Kind::Reserved(proto::TaskMessage {
+            home: Some(encode_cell(*home)),
+            cell: Some(encode_cell(*cell)),
+            attempt: Some(encode_attempt(attempt)),
             flag: *is_held,
             free: *free_millicores,
-            ..proto::TaskTalk::default()
+            ..proto::TaskMessage::default()
         }),
-        Message::Unreserve { cell, attempt } => Kind::Unreserve(proto::TaskTalk {
-            cell: Some(cell_out(*cell)),
-            attempt: Some(attempt_out(attempt)),
-            ..proto::TaskTalk::default()
+        Message::Unreserve { cell, attempt } => Kind::Unreserve(proto::TaskMessage {
+            cell: Some(encode_cell(*cell)),
+            attempt: Some(encode_attempt(attempt)),
+            ..proto::TaskMessage::default()
         }),
-        Message::ReportNoted { cell, attempt } => Kind::ReportNoted(proto::TaskTalk {
-            cell: Some(cell_out(*cell)),
-            attempt: Some(attempt_out(attempt)),
-            ..proto::TaskTalk::default()
+        Message::ReportNoted { cell, attempt } => Kind::ReportNoted(proto::TaskMessage {
+            cell: Some(encode_cell(*cell)),
+            attempt: Some(encode_attempt(attempt)),
+            ..proto::TaskMessage::default()
         }),
         Message::Report {
             home,
             cell,
             attempt,
             end,
-        } => Kind::Report(proto::TaskTalk {
-            home: Some(cell_out(*home)),
-            cell: Some(cell_out(*cell)),
-            attempt: Some(attempt_out(attempt)),
-            end: end.map(task_end_out),
-            ..proto::TaskTalk::default()
+        } => Kind::Report(proto::TaskMessage {
+            home: Some(encode_cell(*home)),
+            cell: Some(encode_cell(*cell)),
+            attempt: Some(encode_attempt(attempt)),
+            end: end.map(encode_task_end),
+            ..proto::TaskMessage::default()
         }),
     }
 }
 
-fn handover_out(handover: &Handover) -> proto::Handover {
+fn encode_handover(handover: &Handover) -> proto::Handover {
     let mut cells = Vec::new();
     for keys in &handover.keys {
         cells.push(proto::HandedCell {
-            cell: Some(cell_out(Cell::Keys(keys.number))),
+            cell: Some(encode_cell(Cell::Keys(keys.number))),
             term: keys.term.0,
             count: keys.sequence,
-            records: keys.records.iter().map(record_out).collect(),
+            records: keys.records.iter().map(encode_record).collect(),
         });
     }
     for (number, term, calls) in &handover.workers {
         cells.push(proto::HandedCell {
-            cell: Some(cell_out(Cell::Workers(*number))),
+            cell: Some(encode_cell(Cell::Workers(*number))),
             term: term.0,
             count: *calls,
             records: Vec::new(),
@@ -239,12 +239,12 @@
     }
     for number in &handover.upstreams {
         cells.push(proto::HandedCell {
-            cell: Some(cell_out(Cell::Upstreams(*number))),
+            cell: Some(encode_cell(Cell::Upstreams(*number))),
             ..proto::HandedCell::default()
         });
     }
     proto::Handover {
-        life: Some(member_out(handover.life)),
+        life: Some(encode_member(handover.life)),
         cells,
     }
 }
@@ -259,16 +259,16 @@
     }
 }
 
-fn slot(cell: Cell, request: u64) -> proto::Slot {
-    proto::Slot {
-        cell: Some(cell_out(cell)),
+fn slot(cell: Cell, request: u64) -> proto::SlotMessage {
+    proto::SlotMessage {
+        cell: Some(encode_cell(cell)),
         request,
-        ..proto::Slot::default()
+        ..proto::SlotMessage::default()
     }
 }
 
-fn grant_out(cell: Cell, request: u64, verdict: &GrantVerdict, free: u32) -> Kind {
-    let base = proto::Slot {
+fn encode_grant_answer(cell: Cell, request: u64, verdict: &GrantVerdict, free: u32) -> Kind {
+    let base = proto::SlotMessage {
         free,
         ..slot(cell, request)
     };
@@ -277,21 +277,21 @@
             grant,
             address,
             waited_ms,
-        } => Kind::Granted(proto::Slot {
+        } => Kind::Granted(proto::SlotMessage {
             grant: *grant,
             value: *waited_ms,
             address: address.to_string(),
             ..base
         }),
         GrantVerdict::Queued => Kind::Queued(base),
-        GrantVerdict::Refused { retry_after_ms } => Kind::Refused(proto::Slot {
+        GrantVerdict::Refused { retry_after_ms } => Kind::Refused(proto::SlotMessage {
             value: *retry_after_ms,
             ..base
         }),
     }
 }
 
-fn ended_out(ended: Ended) -> Tagged {
+fn encode_ended(ended: Ended) -> Tagged {
     match ended {
         Ended::Answered { latency_ms } => tagged(1, latency_ms),
         Ended::Failed { latency_ms } => tagged(2, latency_ms),
@@ -301,7 +301,7 @@
     }
 }
 
-fn task_end_out(end: TaskEnd) -> Tagged {
+fn encode_task_end(end: TaskEnd) -> Tagged {
     match end {
         TaskEnd::Finished => tagged(1, 0),
         TaskEnd::Failed => tagged(2, 0),
@@ -312,13 +312,13 @@
     }
 }
 
-fn intent_verdict_out(verdict: IntentVerdict) -> Tagged {
+fn encode_intent_verdict(verdict: IntentVerdict) -> Tagged {
     const STATUS_BITS: u32 = 16;
     match verdict {
         IntentVerdict::Go => tagged(1, 0),
         IntentVerdict::Begun => tagged(2, 0),
         IntentVerdict::Ended { outcome, status } => {
-            let outcome = u64::from(outcome_out(outcome));
+            let outcome = u64::from(encode_outcome(outcome));
             tagged(3, (outcome << STATUS_BITS) | u64::from(status))
         }
         IntentVerdict::Conflict => tagged(4, 0),
@@ -327,10 +327,10 @@
 }
 
 /// A submitter needs to know only whether its job waits, runs or has ended.
-fn job_verdict_out(verdict: JobVerdict) -> Tagged {
+fn encode_job_verdict(verdict: JobVerdict) -> Tagged {
     match verdict {
         JobVerdict::Refused { retry_after_ms } => tagged(1, retry_after_ms),
-        JobVerdict::Accepted(JobState::Ended { end, .. }) => tagged(3, job_end_out(end)),
+        JobVerdict::Accepted(JobState::Ended { end, .. }) => tagged(3, encode_job_end(end)),
         JobVerdict::Accepted(JobState::Running { .. }) => tagged(4, 0),
         JobVerdict::Accepted(_) => tagged(2, 0),
     }
--- a/crates/wire/src/parts.rs
+++ b/crates/wire/src/parts.rs
@@ -12,28 +12,28 @@
 use goldcrestway_core::TaskOrder;
 
 /// Result of reading a part.
-pub(crate) type Read<T> = Result<T, WireFault>;
+pub(crate) type DecodeResult<T> = Result<T, WireFault>;
 
-const STEP: &str = "reading a message or record";
+const DECODE_STEP: &str = "reading a message or record";
 
 /// Makes the fault for a part that is missing.
 pub(crate) fn missing(what: &'static str) -> WireFault {
-    WireFault::Missing(STEP, what)
+    WireFault::Missing(DECODE_STEP, what)
 }
 
 /// Unwraps a part that must be present.
-pub(crate) fn need<T>(part: Option<T>, what: &'static str) -> Read<T> {
+pub(crate) fn require<T>(part: Option<T>, what: &'static str) -> DecodeResult<T> {
     part.ok_or_else(|| missing(what))
 }
 
-pub(crate) fn member_out(member: Member) -> proto::Member {
+pub(crate) fn encode_member(member: Member) -> proto::Member {
     proto::Member {
         seat: u32::from(member.seat.0),
         incarnation: member.incarnation,
     }
 }
 
-pub(crate) fn member_in(member: &proto::Member) -> Read<Member> {
+pub(crate) fn decode_member(member: &proto::Member) -> DecodeResult<Member> {
     let seat = u16::try_from(member.seat).map_err(|_| missing("seat"))?;
     Ok(Member {
         seat: Seat(seat),
@@ -41,15 +41,15 @@
     })
 }
 
-pub(crate) fn members_in(members: &[proto::Member]) -> Read<Box<[Member]>> {
-    members.iter().map(member_in).collect()
+pub(crate) fn decode_members(members: &[proto::Member]) -> DecodeResult<Box<[Member]>> {
+    members.iter().map(decode_member).collect()
 }
 
-pub(crate) fn members_out(members: &[Member]) -> Vec<proto::Member> {
-    members.iter().copied().map(member_out).collect()
+pub(crate) fn encode_members(members: &[Member]) -> Vec<proto::Member> {
+    members.iter().copied().map(encode_member).collect()
 }
 
-pub(crate) fn cell_out(cell: Cell) -> proto::Cell {
+pub(crate) fn encode_cell(cell: Cell) -> proto::Cell {
     let (kind, number) = match cell {
         Cell::Keys(number) => (1, u64::from(number)),
         Cell::Workers(number) => (2, number),
@@ -58,8 +58,8 @@
     proto::Cell { kind, number }
 }
 
-pub(crate) fn cell_in(cell: &Option<proto::Cell>) -> Read<Cell> {
-    let cell = need(cell.as_ref(), "cell")?;
+pub(crate) fn decode_cell(cell: &Option<proto::Cell>) -> DecodeResult<Cell> {
+    let cell = require(cell.as_ref(), "cell")?;
     match cell.kind {
         1 => u16::try_from(cell.number)
             .map(Cell::Keys)
@@ -70,24 +70,24 @@
     }
 }
 
-pub(crate) fn attempt_out(attempt: &AttemptId) -> proto::Attempt {
+pub(crate) fn encode_attempt(attempt: &AttemptId) -> proto::Attempt {
     proto::Attempt {
         id: attempt.id.to_string(),
         attempt: attempt.attempt,
     }
 }
 
-pub(crate) fn attempt_in(attempt: &Option<proto::Attempt>) -> Read<AttemptId> {
-    let attempt = need(attempt.as_ref(), "attempt")?;
+pub(crate) fn decode_attempt(attempt: &Option<proto::Attempt>) -> DecodeResult<AttemptId> {
+    let attempt = require(attempt.as_ref(), "attempt")?;
     Ok(AttemptId {
         id: attempt.id.as_str().into(),
         attempt: attempt.attempt,
     })
 }
 
-pub(crate) fn order_out(order: &TaskOrder) -> proto::Order {
+pub(crate) fn encode_order(order: &TaskOrder) -> proto::Order {
     proto::Order {
-        attempt: Some(attempt_out(&order.attempt)),
+        attempt: Some(encode_attempt(&order.attempt)),
         job: order.job.to_string(),
         millicores: order.need.millicores,
         memory_mb: order.need.memory_mb,
@@ -96,10 +96,10 @@
     }
 }
 
-pub(crate) fn order_in(order: &Option<proto::Order>) -> Read<TaskOrder> {
-    let order = need(order.as_ref(), "order")?;
+pub(crate) fn decode_order(order: &Option<proto::Order>) -> DecodeResult<TaskOrder> {
+    let order = require(order.as_ref(), "order")?;
     Ok(TaskOrder {
-        attempt: attempt_in(&order.attempt)?,
+        attempt: decode_attempt(&order.attempt)?,
         job: order.job.as_str().into(),
         need: goldcrestway_inventory::Resources {
             millicores: order.millicores,
@@ -110,7 +110,7 @@
     })
 }
 
-pub(crate) fn spec_out(spec: &JobSpec) -> proto::Spec {
+pub(crate) fn encode_spec(spec: &JobSpec) -> proto::Spec {
     proto::Spec {
         id: spec.id.to_string(),
         job: spec.job.to_string(),
@@ -118,7 +118,7 @@
     }
 }
 
-pub(crate) fn spec_in(spec: &proto::Spec) -> JobSpec {
+pub(crate) fn decode_spec(spec: &proto::Spec) -> JobSpec {
     JobSpec {
         id: spec.id.as_str().into(),
         job: spec.job.as_str().into(),
@@ -130,7 +130,7 @@
     proto::Tagged { kind, value }
 }
 
-pub(crate) fn outcome_out(outcome: Outcome) -> u32 {
+pub(crate) fn encode_outcome(outcome: Outcome) -> u32 {
     match outcome {
         Outcome::Answered => 1,
         Outcome::NotRun => 2,
@@ -138,7 +138,7 @@
     }
 }
 
-pub(crate) fn outcome_in(outcome: u32) -> Read<Outcome> {
+pub(crate) fn decode_outcome(outcome: u32) -> DecodeResult<Outcome> {
     match outcome {
         1 => Ok(Outcome::Answered),
         2 => Ok(Outcome::NotRun),
@@ -147,7 +147,7 @@
     }
 }
 
-pub(crate) fn job_end_out(end: JobEnd) -> u64 {
+pub(crate) fn encode_job_end(end: JobEnd) -> u64 {
     match end {
         JobEnd::Finished => 1,
         JobEnd::Failed => 2,
@@ -156,7 +156,7 @@
     }
 }
 
-pub(crate) fn job_end_in(end: u64) -> Read<JobEnd> {
+pub(crate) fn decode_job_end(end: u64) -> DecodeResult<JobEnd> {
     match end {
         1 => Ok(JobEnd::Finished),
         2 => Ok(JobEnd::Failed),
@@ -166,7 +166,7 @@
     }
 }
 
-pub(crate) fn intent_out(identity: u128, fingerprint: u64) -> proto::Intent {
+pub(crate) fn encode_intent(identity: u128, fingerprint: u64) -> proto::Intent {
     proto::Intent {
         identity: identity.to_le_bytes().to_vec(),
         fingerprint,
@@ -175,11 +175,11 @@
     }
 }
 
-pub(crate) fn identity_in(intent: &proto::Intent) -> Read<u128> {
+pub(crate) fn decode_identity(intent: &proto::Intent) -> DecodeResult<u128> {
     let bytes = <[u8; 16]>::try_from(&*intent.identity).map_err(|_| missing("identity"))?;
     Ok(u128::from_le_bytes(bytes))
 }
 
-pub(crate) fn status_in(status: u32) -> Read<u16> {
+pub(crate) fn decode_status(status: u32) -> DecodeResult<u16> {
     u16::try_from(status).map_err(|_| missing("status"))
 }
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -282,7 +282,7 @@
 
 /// Everything about a slot of an instance.
 #[derive(Clone, PartialEq, Message)]
-pub struct Slot {
+pub struct SlotMessage {
     #[prost(message, optional, tag = "1")]
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
@@ -303,7 +303,7 @@
 
 /// Everything about the intent of a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct IntentTalk {
+pub struct IntentMessage {
     #[prost(message, optional, tag = "1")]
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
@@ -318,7 +318,7 @@
 
 /// Everything about the submission of a job.
 #[derive(Clone, PartialEq, Message)]
-pub struct JobTalk {
+pub struct JobMessage {
     #[prost(message, optional, tag = "1")]
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
@@ -331,7 +331,7 @@
 
 /// Everything about an attempt of a job, between its home and its workers.
 #[derive(Clone, PartialEq, Message)]
-pub struct TaskTalk {
+pub struct TaskMessage {
     #[prost(message, optional, tag = "1")]
     pub home: Option<Cell>,
     #[prost(message, optional, tag = "2")]
@@ -365,41 +365,41 @@
     #[prost(message, tag = "15")]
     Consent(Consent),
     #[prost(message, tag = "16")]
-    NotOwner(Slot),
+    NotOwner(SlotMessage),
     #[prost(message, tag = "17")]
-    GrantAsk(Slot),
+    GrantAsk(SlotMessage),
     #[prost(message, tag = "18")]
-    Granted(Slot),
+    Granted(SlotMessage),
     #[prost(message, tag = "19")]
-    Refused(Slot),
+    Refused(SlotMessage),
     #[prost(message, tag = "20")]
-    GrantCancel(Slot),
+    GrantCancel(SlotMessage),
     #[prost(message, tag = "21")]
-    Release(Slot),
+    Release(SlotMessage),
     #[prost(message, tag = "22")]
-    IntentAsk(IntentTalk),
+    IntentAsk(IntentMessage),
     #[prost(message, tag = "23")]
-    IntentAnswer(IntentTalk),
+    IntentAnswer(IntentMessage),
     #[prost(message, tag = "24")]
-    IntentEnd(IntentTalk),
+    IntentEnd(IntentMessage),
     #[prost(message, tag = "25")]
-    JobAsk(JobTalk),
+    JobAsk(JobMessage),
     #[prost(message, tag = "26")]
-    JobAnswer(JobTalk),
+    JobAnswer(JobMessage),
     #[prost(message, tag = "27")]
-    Reserve(TaskTalk),
+    Reserve(TaskMessage),
     #[prost(message, tag = "28")]
-    Reserved(TaskTalk),
+    Reserved(TaskMessage),
     #[prost(message, tag = "29")]
-    Unreserve(TaskTalk),
+    Unreserve(TaskMessage),
     #[prost(message, tag = "30")]
-    Start(TaskTalk),
+    Start(TaskMessage),
     #[prost(message, tag = "31")]
-    Report(TaskTalk),
+    Report(TaskMessage),
     #[prost(message, tag = "32")]
-    ReportNoted(TaskTalk),
+    ReportNoted(TaskMessage),
     #[prost(message, tag = "33")]
-    Queued(Slot),
+    Queued(SlotMessage),
     #[prost(message, tag = "34")]
     StateAsk(Empty),
     #[prost(message, tag = "35")]
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -17,7 +17,7 @@
     proto::Batch {
         term: batch.term.0,
         sequence: batch.sequence,
-        records: batch.records.iter().map(record_out).collect(),
+        records: batch.records.iter().map(encode_record).collect(),
     }
     .encode_to_vec()
 }
@@ -33,19 +33,23 @@
     Ok(Batch {
         term: Term(batch.term),
         sequence: batch.sequence,
-        records: batch.records.iter().map(record_in).collect::<Read<_>>()?,
+        records: batch
+            .records
+            .iter()
+            .map(decode_record)
+            .collect::<DecodeResult<_>>()?,
     })
 }
 
-pub(crate) fn record_out(record: &Record) -> proto::Record {
+pub(crate) fn encode_record(record: &Record) -> proto::Record {
     let kind = match record {
         Record::Depose { target, voters } => RecordKind::Depose(proto::Depose {
-            target: Some(member_out(*target)),
-            voters: members_out(voters),
+            target: Some(encode_member(*target)),
+            voters: encode_members(voters),
         }),
         Record::Claim { member, cells } => RecordKind::Claim(proto::Cells {
-            member: Some(member_out(*member)),
-            cells: cells.iter().copied().map(cell_out).collect(),
+            member: Some(encode_member(*member)),
+            cells: cells.iter().copied().map(encode_cell).collect(),
             heir: None,
         }),
         Record::Release {
@@ -53,9 +57,9 @@
             cells,
             heir,
         } => RecordKind::Release(proto::Cells {
-            member: Some(member_out(*member)),
-            cells: cells.iter().copied().map(cell_out).collect(),
-            heir: heir.map(member_out),
+            member: Some(encode_member(*member)),
+            cells: cells.iter().copied().map(encode_cell).collect(),
+            heir: heir.map(encode_member),
         }),
         Record::ClaimsCarried {
             as_of,
@@ -66,18 +70,18 @@
             owners: owners
                 .iter()
                 .map(|(cell, member, term)| proto::Ownership {
-                    cell: Some(cell_out(*cell)),
-                    member: Some(member_out(*member)),
+                    cell: Some(encode_cell(*cell)),
+                    member: Some(encode_member(*member)),
                     term: term.0,
                 })
                 .collect(),
-            deposed: members_out(deposed),
+            deposed: encode_members(deposed),
         }),
         Record::Config(change) => RecordKind::Config(proto::Config {
             base: change.base,
             id: change.id.to_string(),
             author: change.author.to_string(),
-            changes: change.changes.iter().map(change_out).collect(),
+            changes: change.changes.iter().map(encode_change).collect(),
         }),
         Record::ConfigCarried {
             as_of,
@@ -86,25 +90,25 @@
         } => RecordKind::ConfigCarried(proto::ConfigCarried {
             as_of: *as_of,
             version: *version,
-            changes: changes.iter().map(change_out).collect(),
+            changes: changes.iter().map(encode_change).collect(),
         }),
-        Record::Open { member } => RecordKind::Open(member_out(*member)),
+        Record::Open { member } => RecordKind::Open(encode_member(*member)),
         Record::Intent {
             identity,
             fingerprint,
-        } => RecordKind::Intent(intent_out(*identity, *fingerprint)),
+        } => RecordKind::Intent(encode_intent(*identity, *fingerprint)),
         Record::IntentEnded {
             identity,
             outcome,
             status,
         } => RecordKind::IntentEnded(proto::Intent {
-            outcome: outcome_out(*outcome),
+            outcome: encode_outcome(*outcome),
             status: u32::from(*status),
-            ..intent_out(*identity, 0)
+            ..encode_intent(*identity, 0)
         }),
-        Record::Accepted(spec) => RecordKind::Accepted(spec_out(spec)),
+        Record::Accepted(spec) => RecordKind::Accepted(encode_spec(spec)),
         Record::Assigned { id, attempt, cell } => {
-            RecordKind::Assigned(step(id, *attempt, Some(cell_out(*cell)), 0))
+            RecordKind::Assigned(step(id, *attempt, Some(encode_cell(*cell)), 0))
         }
         Record::Evicted {
             id,
@@ -117,7 +121,7 @@
             ..step(id, *attempt, None, *checkpoint)
         }),
         Record::Ended { id, attempt, end } => {
-            RecordKind::Ended(step(id, *attempt, None, job_end_out(*end)))
+            RecordKind::Ended(step(id, *attempt, None, encode_job_end(*end)))
         }
         Record::Carried => RecordKind::Carried(proto::Empty {}),
     };
@@ -136,64 +140,64 @@
     }
 }
 
-pub(crate) fn record_in(record: &proto::Record) -> Read<Record> {
-    let record = match need(record.kind.as_ref(), "kind of record")? {
+pub(crate) fn decode_record(record: &proto::Record) -> DecodeResult<Record> {
+    let record = match require(record.kind.as_ref(), "kind of record")? {
         RecordKind::Depose(depose) => Record::Depose {
-            target: member_in(need(depose.target.as_ref(), "target")?)?,
-            voters: members_in(&depose.voters)?,
+            target: decode_member(require(depose.target.as_ref(), "target")?)?,
+            voters: decode_members(&depose.voters)?,
         },
         RecordKind::Claim(claim) => Record::Claim {
-            member: member_in(need(claim.member.as_ref(), "member")?)?,
-            cells: cells_in(&claim.cells)?,
+            member: decode_member(require(claim.member.as_ref(), "member")?)?,
+            cells: decode_cells(&claim.cells)?,
         },
         RecordKind::Release(release) => Record::Release {
-            member: member_in(need(release.member.as_ref(), "member")?)?,
-            cells: cells_in(&release.cells)?,
-            heir: release.heir.as_ref().map(member_in).transpose()?,
+            member: decode_member(require(release.member.as_ref(), "member")?)?,
+            cells: decode_cells(&release.cells)?,
+            heir: release.heir.as_ref().map(decode_member).transpose()?,
         },
         RecordKind::ClaimsCarried(carried) => Record::ClaimsCarried {
             as_of: carried.as_of,
             owners: carried
                 .owners
                 .iter()
-                .map(ownership_in)
-                .collect::<Read<_>>()?,
-            deposed: members_in(&carried.deposed)?,
+                .map(decode_ownership)
+                .collect::<DecodeResult<_>>()?,
+            deposed: decode_members(&carried.deposed)?,
         },
         RecordKind::Config(config) => Record::Config(ConfigChange {
             base: config.base,
             id: config.id.as_str().into(),
             author: config.author.as_str().into(),
-            changes: config.changes.iter().map(change_in).collect(),
+            changes: config.changes.iter().map(decode_change).collect(),
         }),
         RecordKind::ConfigCarried(carried) => Record::ConfigCarried {
             as_of: carried.as_of,
             version: carried.version,
-            changes: carried.changes.iter().map(change_in).collect(),
+            changes: carried.changes.iter().map(decode_change).collect(),
         },
         RecordKind::Open(member) => Record::Open {
-            member: member_in(member)?,
+            member: decode_member(member)?,
         },
         RecordKind::Intent(intent) => Record::Intent {
-            identity: identity_in(intent)?,
+            identity: decode_identity(intent)?,
             fingerprint: intent.fingerprint,
         },
         RecordKind::IntentEnded(intent) => Record::IntentEnded {
-            identity: identity_in(intent)?,
-            outcome: outcome_in(intent.outcome)?,
-            status: status_in(intent.status)?,
+            identity: decode_identity(intent)?,
+            outcome: decode_outcome(intent.outcome)?,
+            status: decode_status(intent.status)?,
         },
-        RecordKind::Accepted(spec) => Record::Accepted(spec_in(spec)),
+        RecordKind::Accepted(spec) => Record::Accepted(decode_spec(spec)),
         RecordKind::Assigned(step) => {
-            let attempt = attempt_in(&step.attempt)?;
+            let attempt = decode_attempt(&step.attempt)?;
             Record::Assigned {
                 id: attempt.id,
                 attempt: attempt.attempt,
-                cell: cell_in(&step.cell)?,
+                cell: decode_cell(&step.cell)?,
             }
         }
         RecordKind::Evicted(step) => {
-            let attempt = attempt_in(&step.attempt)?;
+            let attempt = decode_attempt(&step.attempt)?;
             Record::Evicted {
                 id: attempt.id,
                 attempt: attempt.attempt,
@@ -205,11 +209,11 @@
             }
         }
         RecordKind::Ended(step) => {
-            let attempt = attempt_in(&step.attempt)?;
+            let attempt = decode_attempt(&step.attempt)?;
             Record::Ended {
                 id: attempt.id,
                 attempt: attempt.attempt,
-                end: job_end_in(step.value)?,
+                end: decode_job_end(step.value)?,
             }
         }
         RecordKind::Carried(_) => Record::Carried,
@@ -217,22 +221,22 @@
     Ok(record)
 }
 
-fn cells_in(cells: &[proto::Cell]) -> Read<Box<[goldcrestway_core::Cell]>> {
+fn decode_cells(cells: &[proto::Cell]) -> DecodeResult<Box<[goldcrestway_core::Cell]>> {
     cells
         .iter()
-        .map(|cell| cell_in(&Some(cell.clone())))
+        .map(|cell| decode_cell(&Some(cell.clone())))
         .collect()
 }
 
 type Ownership = (goldcrestway_core::Cell, goldcrestway_core::Member, Term);
 
-fn ownership_in(ownership: &proto::Ownership) -> Read<Ownership> {
-    let cell = cell_in(&ownership.cell)?;
-    let member = member_in(need(ownership.member.as_ref(), "member")?)?;
+fn decode_ownership(ownership: &proto::Ownership) -> DecodeResult<Ownership> {
+    let cell = decode_cell(&ownership.cell)?;
+    let member = decode_member(require(ownership.member.as_ref(), "member")?)?;
     Ok((cell, member, Term(ownership.term)))
 }
 
-fn change_out(change: &Change) -> proto::Section {
+fn encode_change(change: &Change) -> proto::Section {
     let values = change.values.iter().flatten();
     proto::Section {
         kind: change.kind.to_string(),
@@ -244,7 +248,7 @@
     }
 }
 
-fn change_in(section: &proto::Section) -> Change {
+fn decode_change(section: &proto::Section) -> Change {
     let values = section.values.iter();
     let values = values.map(|(key, value)| (key.as_str().into(), value.as_str().into()));
     Change {
