--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -13,7 +13,7 @@
 use goldcrestway_core::Seat;
 use goldcrestway_events::Stamp;
 use goldcrestway_wire::Envelope;
-use goldcrestway_wire::LinkCodec;
+use goldcrestway_wire::FrameCodec;
 use std::collections::HashMap;
 use std::io::Read;
 use std::io::Write;
@@ -159,7 +159,7 @@
     if stream.set_read_timeout(Some(SILENCE)).is_err() {
         return;
     }
-    let mut codec = LinkCodec::new(&shared.cluster);
+    let mut codec = FrameCodec::new(&shared.cluster);
     let mut bytes = BytesMut::new();
     let mut chunk = vec![0_u8; CHUNK];
     loop {
@@ -235,7 +235,7 @@
         clock: shared.chronicle.stamp().0,
         message,
     };
-    if let Err(fault) = LinkCodec::new(&shared.cluster).encode(&envelope, bytes) {
+    if let Err(fault) = FrameCodec::new(&shared.cluster).encode(&envelope, bytes) {
         let note = Note::new(Code::LinkRefused, "own frame", fault.to_string());
         shared.chronicle.note(&note);
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -17,10 +17,10 @@
 use tokio_util::codec::LengthDelimitedCodec;
 
 /// Version of the messages between entry hosts.
-pub const VERSION: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 /// Largest frame that is sent or accepted: a configuration of the size to design
 /// for, with room to spare.
-pub const MOST_FRAME_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A message with its sender and the sender's clock.
 #[derive(Debug, Clone, PartialEq)]
@@ -38,16 +38,16 @@
 /// Frames of another cluster or version, and frames too large, are refused with a
 /// fault upon which the link must be closed: what follows can't be trusted.
 #[derive(Debug)]
-pub struct LinkCodec {
+pub struct FrameCodec {
     cluster: Box<str>,
     frames: LengthDelimitedCodec,
 }
 
-impl LinkCodec {
+impl FrameCodec {
     /// Makes the codec of a link within `cluster`.
     pub fn new(cluster: &str) -> Self {
         let mut builder = LengthDelimitedCodec::builder();
-        builder.max_frame_length(MOST_FRAME_BYTES);
+        builder.max_frame_length(MAX_FRAME_BYTES);
         Self {
             cluster: cluster.into(),
             frames: builder.new_codec(),
@@ -58,13 +58,13 @@
 /// Gives the bytes that an envelope takes on a link.
 pub fn frame_length(cluster: &str, envelope: &Envelope) -> usize {
     let mut bytes = BytesMut::new();
-    match LinkCodec::new(cluster).encode(envelope, &mut bytes) {
+    match FrameCodec::new(cluster).encode(envelope, &mut bytes) {
         Ok(()) => bytes.len(),
         Err(_) => 0,
     }
 }
 
-impl Decoder for LinkCodec {
+impl Decoder for FrameCodec {
     type Item = Envelope;
     type Error = WireFault;
 
@@ -76,7 +76,7 @@
         };
         let frame = proto::Frame::decode(frame)
             .map_err(|error| WireFault::Malformed("reading a frame", error))?;
-        if frame.version != VERSION {
+        if frame.version != PROTOCOL_VERSION {
             return Err(WireFault::OtherVersion(frame.version));
         }
         if *frame.cluster != *self.cluster {
@@ -91,19 +91,19 @@
     }
 }
 
-impl Encoder<&Envelope> for LinkCodec {
+impl Encoder<&Envelope> for FrameCodec {
     type Error = WireFault;
 
     fn encode(&mut self, envelope: &Envelope, bytes: &mut BytesMut) -> Result<(), WireFault> {
         let frame = proto::Frame {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             cluster: self.cluster.to_string(),
             from: Some(encode_member(envelope.from)),
             clock: envelope.clock,
             kind: Some(encode_message(&envelope.message)),
         };
         let frame = frame.encode_to_vec();
-        if frame.len() > MOST_FRAME_BYTES {
+        if frame.len() > MAX_FRAME_BYTES {
             return Err(WireFault::TooLarge);
         }
         self.frames.encode(Bytes::from(frame), bytes)?;
--- a/crates/wire/src/fault.rs
+++ b/crates/wire/src/fault.rs
@@ -27,7 +27,7 @@
             display("the frame is too large")
         }
         /// The link itself failed.
-        Link(error: std::io::Error) {
+        Io(error: std::io::Error) {
             from()
             display("the link failed: {}", error)
         }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -22,9 +22,9 @@
 pub mod proto;
 
 pub use codec::Envelope;
-pub use codec::LinkCodec;
-pub use codec::MOST_FRAME_BYTES;
-pub use codec::VERSION;
+pub use codec::FrameCodec;
+pub use codec::MAX_FRAME_BYTES;
+pub use codec::PROTOCOL_VERSION;
 pub use codec::frame_length;
 pub use fault::WireFault;
 pub use message::decode_message;
--- a/tests/border.rs
+++ b/tests/border.rs
@@ -27,8 +27,8 @@
 use goldcrestway_inventory::Change;
 use goldcrestway_inventory::Resources;
 use goldcrestway_wire::Envelope;
-use goldcrestway_wire::LinkCodec;
-use goldcrestway_wire::MOST_FRAME_BYTES;
+use goldcrestway_wire::FrameCodec;
+use goldcrestway_wire::MAX_FRAME_BYTES;
 use goldcrestway_wire::WireFault;
 use goldcrestway_wire::decode_batch;
 use goldcrestway_wire::encode_batch;
@@ -357,7 +357,7 @@
 
 #[gtest]
 fn every_message_survives_the_way() {
-    let mut codec = LinkCodec::new("spa");
+    let mut codec = FrameCodec::new("spa");
     let mut bytes = BytesMut::new();
     for message in messages() {
         let envelope = Envelope {
@@ -393,18 +393,18 @@
         message: Message::AliveAsk,
     };
     let mut bytes = BytesMut::new();
-    LinkCodec::new("other")
+    FrameCodec::new("other")
         .encode(&envelope, &mut bytes)
         .expect("it fits");
-    let refused = LinkCodec::new("spa").decode(&mut bytes);
+    let refused = FrameCodec::new("spa").decode(&mut bytes);
     expect_true!(matches!(refused, Err(WireFault::OtherCluster(_))));
 
-    let mut huge = BytesMut::from(&(MOST_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
-    let refused = LinkCodec::new("spa").decode(&mut huge);
+    let mut huge = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
+    let refused = FrameCodec::new("spa").decode(&mut huge);
     expect_true!(matches!(refused, Err(WireFault::TooLarge)));
 
     let mut nonsense = BytesMut::from(&[0, 0, 0, 3, 0xff, 0xff, 0xff][..]);
-    let refused = LinkCodec::new("spa").decode(&mut nonsense);
+    let refused = FrameCodec::new("spa").decode(&mut nonsense);
     expect_true!(matches!(refused, Err(WireFault::Malformed(..))));
 }
 
