--- a/tests/lib.rs
+++ b/tests/lib.rs
@@ -4,7 +4,6 @@
 //! fake, in [`world`], with virtual time.
 #![cfg(test)]
 
-mod border;
 mod capacity;
 mod catalogue;
 mod dispatch;
@@ -49,4 +48,5 @@
 mod scenarios;
 mod settings;
 mod tallies;
+mod wire;
 mod world;
