--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -73,7 +73,7 @@
 
 const HOME: Cell = Cell::Keys(7);
 const WORKERS: Cell = Cell::Workers(u64::MAX);
-const GROUP: Cell = Cell::Upstreams(12);
+const UPSTREAMS: Cell = Cell::Upstreams(12);
 
 fn handover() -> Handover {
     let keys = HandedKeys {
@@ -91,7 +91,7 @@
 }
 
 fn messages() -> Vec<Message> {
-    let cell = GROUP;
+    let cell = UPSTREAMS;
     let mut messages = vec![
         Message::Heartbeat {
             life: member(),
@@ -268,13 +268,13 @@
 
 fn records() -> Vec<Record> {
     let id: Box<str> = "night/roster-1".into();
-    let gone = Change {
+    let removal = Change {
         kind: "host".into(),
         name: "w1".into(),
         values: None,
     };
     let values = std::collections::BTreeMap::from([("cores".into(), "16".into())]);
-    let kept = Change {
+    let update = Change {
         kind: "host".into(),
         name: "w2".into(),
         values: Some(values),
@@ -284,7 +284,7 @@
         name: "desk".into(),
         values: Some(Default::default()),
     };
-    let changes: Box<[Change]> = Box::new([gone, kept, empty]);
+    let changes: Box<[Change]> = Box::new([removal, update, empty]);
     let change = ConfigChange {
         base: 4,
         id: "x".into(),
@@ -298,7 +298,7 @@
         },
         Record::Claim {
             member: member(),
-            cells: Box::new([HOME, WORKERS, GROUP]),
+            cells: Box::new([HOME, WORKERS, UPSTREAMS]),
         },
         Record::Release {
             member: member(),
@@ -356,7 +356,7 @@
 }
 
 #[gtest]
-fn every_message_survives_the_way() {
+fn every_message_survives_encoding_and_decoding() {
     let mut codec = FrameCodec::new("spa");
     let mut bytes = BytesMut::new();
     for message in messages() {
@@ -374,7 +374,7 @@
 }
 
 #[gtest]
-fn every_record_survives_the_way() {
+fn every_record_survives_encoding_and_decoding() {
     let batch = Batch {
         term: Term(8),
         sequence: 3,
@@ -386,7 +386,7 @@
 /// Symptom: a host of another cluster or release confuses this one. Cause: a wrong
 /// address in the settings. Such frames close the link.
 #[gtest]
-fn strange_frames_are_refused() {
+fn foreign_and_malformed_frames_are_rejected() {
     let envelope = Envelope {
         from: member(),
         clock: 5,
@@ -396,20 +396,20 @@
     FrameCodec::new("other")
         .encode(&envelope, &mut bytes)
         .expect("it fits");
-    let refused = FrameCodec::new("spa").decode(&mut bytes);
-    expect_true!(matches!(refused, Err(WireFault::OtherCluster(_))));
+    let outcome = FrameCodec::new("spa").decode(&mut bytes);
+    expect_true!(matches!(outcome, Err(WireFault::OtherCluster(_))));
 
-    let mut huge = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
-    let refused = FrameCodec::new("spa").decode(&mut huge);
-    expect_true!(matches!(refused, Err(WireFault::TooLarge)));
+    let mut oversized = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
+    let outcome = FrameCodec::new("spa").decode(&mut oversized);
+    expect_true!(matches!(outcome, Err(WireFault::TooLarge)));
 
-    let mut nonsense = BytesMut::from(&[0, 0, 0, 3, 0xff, 0xff, 0xff][..]);
-    let refused = FrameCodec::new("spa").decode(&mut nonsense);
-    expect_true!(matches!(refused, Err(WireFault::Malformed(..))));
+    let mut malformed = BytesMut::from(&[0, 0, 0, 3, 0xff, 0xff, 0xff][..]);
+    let outcome = FrameCodec::new("spa").decode(&mut malformed);
+    expect_true!(matches!(outcome, Err(WireFault::Malformed(..))));
 }
 
 #[gtest]
-fn cut_records_are_refused() {
+fn truncated_batches_are_rejected() {
     let batch = Batch {
         term: Term(8),
         sequence: 3,
