--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Framing of a link: a length, then one prost frame.
+//! Framing of a connection between entry hosts: a length, then one prost-encoded frame.
 
 use crate::fault::WireFault;
 use crate::message::decode_message;
@@ -16,27 +16,28 @@
 use tokio_util::codec::Encoder;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Version of the messages between entry hosts.
+/// Version of the protocol between entry hosts. Frames of another version are rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Largest frame that is sent or accepted: a configuration of the size to design
-/// for, with room to spare.
+/// Maximum size of a frame that is sent or accepted. It fits a configuration of the largest
+/// intended size, with a margin.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// A message with its sender and the sender's clock.
+/// A message with its sender and the reading of the sender's clock.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Envelope {
-    /// The sender.
+    /// The entry host process that sends the message.
     pub from: Member,
-    /// Its hybrid logical clock.
+    /// Hybrid logical clock of the sender.
     pub clock: u64,
     /// The message.
     pub message: Message,
 }
 
-/// Reads and writes the frames of one link.
+/// Encodes and decodes the frames of one connection.
 ///
-/// Frames of another cluster or version, and frames too large, are refused with a
-/// fault upon which the link must be closed: what follows can't be trusted.
+/// Frames of another cluster or version, malformed frames, and frames above
+/// [`MAX_FRAME_BYTES`] are rejected with a [`WireFault`]. The connection must then be closed,
+/// since the bytes that follow can't be trusted.
 #[derive(Debug)]
 pub struct FrameCodec {
     cluster: Box<str>,
@@ -44,7 +45,7 @@
 }
 
 impl FrameCodec {
-    /// Makes the codec of a link within `cluster`.
+    /// Creates the codec of a connection within `cluster`.
     pub fn new(cluster: &str) -> Self {
         let mut builder = LengthDelimitedCodec::builder();
         builder.max_frame_length(MAX_FRAME_BYTES);
@@ -55,7 +56,8 @@
     }
 }
 
-/// Gives the bytes that an envelope takes on a link.
+/// Returns the size of an encoded envelope in bytes, including the length prefix; 0 if it exceeds
+/// [`MAX_FRAME_BYTES`].
 pub fn frame_length(cluster: &str, envelope: &Envelope) -> usize {
     let mut bytes = BytesMut::new();
     match FrameCodec::new(cluster).encode(envelope, &mut bytes) {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The border between processes and towards the log: prost types, their
-//! conversion, and the framing of links.
+//! The wire format of messages between entry hosts and of records in the log: prost types, their
+//! conversion from and to the core types, and the framing of connections.
 //!
-//! The types under [`proto`] are what travels. Nothing but this crate knows them.
+//! The types in [`proto`] define the encoding. No other crate uses them.
 //!
 //! ```
 //! use goldcrestway_core::{Batch, Record, Term, Member, Seat};
--- a/crates/wire/src/message/decode.rs
+++ b/crates/wire/src/message/decode.rs
@@ -1,4 +1,4 @@
-//! Messages from kinds of frames.
+//! Conversion of the payload of frames into messages.
 
 use crate::fault::WireFault;
 use crate::parts::DecodeResult;
@@ -32,11 +32,11 @@
 use goldcrestway_core::TaskEnd;
 use goldcrestway_core::Term;
 
-/// Reads a message from the kind that a frame carries.
+/// Decodes the message that a frame carries.
 ///
 /// # Errors
 ///
-/// When a part is missing or out of range.
+/// Returns [`WireFault::Missing`] if a field is missing or out of range.
 pub fn decode_message(kind: &Kind) -> Result<Message, WireFault> {
     let message = match kind {
         Kind::Heartbeat(heartbeat) => Message::Heartbeat {
@@ -274,6 +274,8 @@
     }
 }
 
+/// Decodes a verdict. The wire form carries neither the cell of a running job nor the time since
+/// which a job has ended; both are set to 0.
 fn decode_job_verdict(verdict: &Tagged) -> DecodeResult<JobVerdict> {
     match verdict.kind {
         1 => Ok(JobVerdict::Refused {
--- a/crates/wire/src/message/encode.rs
+++ b/crates/wire/src/message/encode.rs
@@ -1,4 +1,4 @@
-//! Messages as kinds of frames.
+//! Conversion of messages into the payload of frames.
 
 use crate::parts::encode_attempt;
 use crate::parts::encode_cell;
@@ -24,7 +24,7 @@
 use goldcrestway_core::Message;
 use goldcrestway_core::TaskEnd;
 
-/// Turns a message into the kind that a frame carries.
+/// Encodes a message as the payload of a frame.
 pub fn encode_message(message: &Message) -> Kind {
     match message {
         Message::Heartbeat {
@@ -326,7 +326,8 @@
     }
 }
 
-/// A submitter needs to know only whether its job waits, runs or has ended.
+/// Encodes a verdict. The submitter needs to know only whether its job waits, runs or has ended,
+/// so other details of the state are left out.
 fn encode_job_verdict(verdict: JobVerdict) -> Tagged {
     match verdict {
         JobVerdict::Refused { retry_after_ms } => tagged(1, retry_after_ms),
--- a/crates/wire/src/message/mod.rs
+++ b/crates/wire/src/message/mod.rs
@@ -1,4 +1,4 @@
-//! Messages between entry hosts as frames.
+//! Conversion of messages between entry hosts from and to the payload of frames.
 
 mod decode;
 mod encode;
--- a/crates/wire/src/parts.rs
+++ b/crates/wire/src/parts.rs
@@ -1,4 +1,4 @@
-//! Conversion of the small parts that messages and records share.
+//! Conversion of the values that messages and records share.
 
 use crate::fault::WireFault;
 use crate::proto;
@@ -11,17 +11,18 @@
 use goldcrestway_core::Seat;
 use goldcrestway_core::TaskOrder;
 
-/// Result of reading a part.
+/// Result of decoding a value.
 pub(crate) type DecodeResult<T> = Result<T, WireFault>;
 
+/// Step that is named in faults of this module.
 const DECODE_STEP: &str = "reading a message or record";
 
-/// Makes the fault for a part that is missing.
+/// Creates the fault of a field that is missing or out of range.
 pub(crate) fn missing(what: &'static str) -> WireFault {
     WireFault::Missing(DECODE_STEP, what)
 }
 
-/// Unwraps a part that must be present.
+/// Returns a required field, or the fault if it is missing.
 pub(crate) fn require<T>(part: Option<T>, what: &'static str) -> DecodeResult<T> {
     part.ok_or_else(|| missing(what))
 }
@@ -126,6 +127,7 @@
     }
 }
 
+/// Combines a kind with the number that belongs to it.
 pub(crate) fn tagged(kind: u32, value: u64) -> proto::Tagged {
     proto::Tagged { kind, value }
 }
@@ -166,6 +168,7 @@
     }
 }
 
+/// Encodes an intent without an outcome; the caller adds one if the request has ended.
 pub(crate) fn encode_intent(identity: u128, fingerprint: u64) -> proto::Intent {
     proto::Intent {
         identity: identity.to_le_bytes().to_vec(),
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -1,4 +1,6 @@
-//! The prost types. Field numbers never change their meaning; new ones are added.
+//! The prost types that define the encoding of messages and records.
+//!
+//! A field number never changes its meaning; new fields get new numbers.
 #![expect(
     missing_docs,
     reason = "The core types that these mirror are documented."
@@ -57,7 +59,7 @@
     pub team: String,
 }
 
-/// A kind of end with one number, such as a checkpoint or a latency.
+/// A kind of end or verdict with one number, such as a checkpoint, a latency or a delay.
 #[derive(Clone, PartialEq, Message)]
 pub struct Tagged {
     #[prost(uint32, tag = "1")]
@@ -224,6 +226,7 @@
     pub sent_ms: u64,
     #[prost(uint64, tag = "2")]
     pub config_version: u64,
+    /// `is_leaving` of a heartbeat, `is_granted` of a promise.
     #[prost(bool, tag = "3")]
     pub flag: bool,
     #[prost(fixed64, tag = "4")]
@@ -242,7 +245,7 @@
     pub carried: Vec<CarriedLife>,
 }
 
-/// A life that is carried on at another seat.
+/// A process incarnation whose duties a process at another seat has taken over.
 #[derive(Clone, PartialEq, Message)]
 pub struct CarriedLife {
     #[prost(message, optional, tag = "1")]
@@ -257,7 +260,8 @@
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Sequence of the last batch of keys, or calls to workers so far.
+    /// Sequence number of the last batch for a cell of keys; number of calls so far for a cell of
+    /// workers.
     #[prost(uint64, tag = "3")]
     pub count: u64,
     #[prost(message, repeated, tag = "4")]
@@ -280,7 +284,7 @@
     pub asked_ms: u64,
 }
 
-/// Everything about a slot of an instance.
+/// Payload of all messages about a slot of an instance.
 #[derive(Clone, PartialEq, Message)]
 pub struct SlotMessage {
     #[prost(message, optional, tag = "1")]
@@ -289,6 +293,8 @@
     pub request: u64,
     #[prost(uint64, tag = "3")]
     pub grant: u64,
+    /// Milliseconds: `begin_in_ms` of a request, `waited_ms` of a grant, `retry_after_ms` of a
+    /// refusal.
     #[prost(uint64, tag = "4")]
     pub value: u64,
     #[prost(string, tag = "5")]
@@ -301,7 +307,7 @@
     pub next: Option<u64>,
 }
 
-/// Everything about the intent of a request.
+/// Payload of all messages about the intent of a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct IntentMessage {
     #[prost(message, optional, tag = "1")]
@@ -316,7 +322,7 @@
     pub was_let_go: bool,
 }
 
-/// Everything about the submission of a job.
+/// Payload of all messages about the submission of a job.
 #[derive(Clone, PartialEq, Message)]
 pub struct JobMessage {
     #[prost(message, optional, tag = "1")]
@@ -329,7 +335,8 @@
     pub verdict: Option<Tagged>,
 }
 
-/// Everything about an attempt of a job, between its home and its workers.
+/// Payload of all messages about an attempt of a job, between the cell that owns the job and the
+/// cell of its worker.
 #[derive(Clone, PartialEq, Message)]
 pub struct TaskMessage {
     #[prost(message, optional, tag = "1")]
@@ -340,8 +347,10 @@
     pub order: Option<Order>,
     #[prost(message, optional, tag = "4")]
     pub attempt: Option<Attempt>,
+    /// `is_urgent` of a reservation or start, `is_held` of the answer to a reservation.
     #[prost(bool, tag = "5")]
     pub flag: bool,
+    /// Free thousandths of a core, in the answer to a reservation.
     #[prost(uint32, tag = "6")]
     pub free: u32,
     #[prost(message, optional, tag = "7")]
@@ -408,7 +417,7 @@
     Handover(Handover),
 }
 
-/// One frame of a link.
+/// One frame of a connection between entry hosts.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
     #[prost(uint32, tag = "1")]
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -1,4 +1,4 @@
-//! Batches of records as bytes for the log.
+//! Encoding and decoding of batches of records for the log.
 
 use crate::fault::WireFault;
 use crate::parts::*;
@@ -12,7 +12,7 @@
 use goldcrestway_inventory::Change;
 use prost::Message;
 
-/// Encodes a batch.
+/// Encodes a batch as the payload of a log record.
 pub fn encode_batch(batch: &Batch) -> Vec<u8> {
     proto::Batch {
         term: batch.term.0,
@@ -22,11 +22,12 @@
     .encode_to_vec()
 }
 
-/// Decodes a batch.
+/// Decodes a batch from the payload of a log record.
 ///
 /// # Errors
 ///
-/// When the bytes are no batch, or hold a record of an unknown kind.
+/// Returns [`WireFault::Malformed`] if the bytes are not a batch, and [`WireFault::Missing`] if a
+/// record is of an unknown kind or a field of it is missing or out of range.
 pub fn decode_batch(bytes: &[u8]) -> Result<Batch, WireFault> {
     let batch = proto::Batch::decode(bytes)
         .map_err(|error| WireFault::Malformed("reading a batch", error))?;
@@ -128,6 +129,8 @@
     proto::Record { kind: Some(kind) }
 }
 
+/// Creates a step of an attempt without failures and crashes. `value` is the checkpoint or the end
+/// of the job.
 fn step(id: &str, attempt: u32, cell: Option<proto::Cell>, value: u64) -> proto::Step {
     proto::Step {
         attempt: Some(proto::Attempt {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The border: messages, records and frames survive the way, and bad bytes are
-//! refused.
+//! Tests of the wire format: messages and records survive encoding and decoding, and invalid bytes
+//! are rejected.
 
 use bytes::BytesMut;
 use goldcrestway_core::AttemptId;
@@ -383,8 +383,9 @@
     expect_that!(decode_batch(&encode_batch(&batch)), ok(eq(&batch)));
 }
 
-/// Symptom: a host of another cluster or release confuses this one. Cause: a wrong
-/// address in the settings. Such frames close the link.
+/// Guards against accepting frames from a host of another cluster or release, to which a wrong
+/// address in the settings can lead, and frames that are oversized or malformed. Such frames close
+/// the connection.
 #[gtest]
 fn foreign_and_malformed_frames_are_rejected() {
     let envelope = Envelope {
