--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -8,7 +8,7 @@
 
 /// One host or instance in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     /// Its name in the inventory.
     pub name: String,
     /// Where it is reached, as `address:port`.
@@ -19,9 +19,9 @@
 
 /// The list as it is answered.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HostReply {
+pub struct HostListReply {
     /// The hosts and instances.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedHost>,
 }
 
 /// Client of the list.
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// When no whole answer came.
-    pub fn list(&self) -> Result<Vec<Listed>, PlatformFault> {
+    pub fn list(&self) -> Result<Vec<ListedHost>, PlatformFault> {
         const STEP: &str = "getting the list of hosts";
         let url = format!("{}/v1/hosts", self.url);
         let mut response = self
@@ -53,7 +53,7 @@
             .get(&url)
             .call()
             .map_err(|error| unanswered(STEP, &self.url, error))?;
-        let reply: HostReply = response
+        let reply: HostListReply = response
             .body_mut()
             .read_json()
             .map_err(|error| unanswered(STEP, &self.url, error))?;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -16,12 +16,12 @@
 
 pub use fault::PlatformFault;
 pub use hosts::HostListClient;
-pub use hosts::HostReply;
-pub use hosts::Listed;
+pub use hosts::HostListReply;
+pub use hosts::ListedHost;
 pub use log::AppendReply;
 pub use log::LogClient;
-pub use log::LogPart;
 pub use log::LogRecord;
+pub use log::LogSlice;
 pub use log::ReadReply;
 pub use worker::WorkerClient;
 pub use worker::WorkerOrder;
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -37,7 +37,7 @@
 
 /// A part of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LogPart {
+pub struct LogSlice {
     /// Oldest offset that is still kept.
     pub oldest: u64,
     /// Offset that the next append will get.
@@ -54,7 +54,7 @@
 }
 
 /// Most records of one read.
-const READ_RECORDS: usize = 500;
+const MAX_READ_RECORDS: usize = 500;
 
 impl LogClient {
     /// Makes a client of the log at `url`.
@@ -90,10 +90,10 @@
     /// # Errors
     ///
     /// When no whole answer came.
-    pub fn read(&self, stream: &str, from: u64) -> Result<LogPart, PlatformFault> {
+    pub fn read(&self, stream: &str, from: u64) -> Result<LogSlice, PlatformFault> {
         const STEP: &str = "reading the log";
         let url = format!(
-            "{}/v1/streams/{stream}/records?from={from}&most={READ_RECORDS}",
+            "{}/v1/streams/{stream}/records?from={from}&most={MAX_READ_RECORDS}",
             self.url
         );
         let mut response = self
@@ -114,7 +114,7 @@
                 .map_err(|_| PlatformFault::Unreadable(STEP, self.url.clone()))?;
             records.push((record.offset, payload));
         }
-        Ok(LogPart {
+        Ok(LogSlice {
             oldest: reply.oldest,
             end: reply.end,
             records,
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -86,13 +86,17 @@
     ///
     /// When no whole answer came, or the worker refused the token. The call may
     /// have taken effect.
-    pub fn call(&self, address: &str, call: &WorkerRequest) -> Result<WorkerReply, PlatformFault> {
+    pub fn call(
+        &self,
+        address: &str,
+        request: &WorkerRequest,
+    ) -> Result<WorkerReply, PlatformFault> {
         const STEP: &str = "calling a worker";
         let url = format!("http://{address}/v1/tasks");
         let mut response = self
             .agent
             .post(&url)
-            .send_json(call)
+            .send_json(request)
             .map_err(|error| unanswered(STEP, address, error))?;
         response
             .body_mut()
