--- a/crates/platform/src/fault.rs
+++ b/crates/platform/src/fault.rs
@@ -1,24 +1,25 @@
-//! What can go wrong towards the platform.
+//! Faults of calls to the platform.
 
 use quick_error::quick_error;
 
 quick_error! {
-    /// A call to the platform that brought no usable answer; carries the step and
-    /// the peer.
+    /// Reason why a call to the platform returned no usable answer. Carries the step that failed
+    /// and the peer that was called.
     #[derive(Debug)]
     pub enum PlatformFault {
-        /// No answer came, or not all of it. The call may have taken effect.
+        /// No complete answer arrived, or the peer returned an error. The call may have taken
+        /// effect.
         Unanswered(step: &'static str, peer: Box<str>, error: Box<ureq::Error>) {
             display("while {} at {}: {}", step, peer, error)
         }
-        /// The answer can't be read.
+        /// The answer can't be decoded.
         Unreadable(step: &'static str, peer: Box<str>) {
             display("while {} at {}: the answer can't be read", step, peer)
         }
     }
 }
 
-/// Makes an agent whose calls end within `timeout_ms`.
+/// Creates an HTTP client whose calls end within `timeout_ms` milliseconds.
 pub(crate) fn agent(timeout_ms: u64) -> ureq::Agent {
     let timeout = std::time::Duration::from_millis(timeout_ms);
     let config = ureq::Agent::config_builder()
@@ -27,7 +28,7 @@
     config.new_agent()
 }
 
-/// Turns a library's error into ours.
+/// Converts an error of `ureq` into a [`PlatformFault`].
 pub(crate) fn unanswered(step: &'static str, peer: &str, error: ureq::Error) -> PlatformFault {
     PlatformFault::Unanswered(step, peer.into(), Box::new(error))
 }
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving hosts; it lags behind.
+//! Client of the platform's list of live and leaving hosts. The list lags behind the actual state.
 
 use crate::fault::PlatformFault;
 use crate::fault::agent;
@@ -6,25 +6,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One host or instance in the list.
+/// A host or service instance in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Its name in the inventory.
+    /// Name in the inventory.
     pub name: String,
-    /// Where it is reached, as `address:port`.
+    /// Address at which it is reached, as `address:port`.
     pub address: String,
-    /// Whether it is about to leave.
+    /// Whether it is about to leave the fleet.
     pub leaving: bool,
 }
 
-/// The list as it is answered.
+/// Body of the answer to a request for the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HostListReply {
-    /// The hosts and instances.
+    /// Hosts and service instances.
     pub hosts: Vec<ListedHost>,
 }
 
-/// Client of the list.
+/// Client of the list of hosts.
 #[derive(Debug, Clone)]
 pub struct HostListClient {
     url: Box<str>,
@@ -32,7 +32,7 @@
 }
 
 impl HostListClient {
-    /// Makes a client of the list at `url`.
+    /// Creates a client of the list at `url`, whose calls end within `timeout_ms` milliseconds.
     pub fn new(url: &str, timeout_ms: u64) -> Self {
         Self {
             url: url.trim_end_matches('/').into(),
@@ -40,11 +40,12 @@
         }
     }
 
-    /// Gets the list.
+    /// Returns the current list.
     ///
     /// # Errors
     ///
-    /// When no whole answer came.
+    /// Returns [`PlatformFault::Unanswered`] if no complete answer arrived or the answer is not a
+    /// list of hosts.
     pub fn list(&self) -> Result<Vec<ListedHost>, PlatformFault> {
         const STEP: &str = "getting the list of hosts";
         let url = format!("{}/v1/hosts", self.url);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,14 @@
-//! Clients for the platform. Nothing outside these modules knows a URL or a field
-//! name of the platform's interfaces; `docs/PLATFORM.md` says what is assumed.
+//! Clients of the platform: its log, its list of hosts, and its interface on worker hosts.
+//!
+//! Only this crate contains URLs and field names of the platform's interfaces.
+//! `docs/PLATFORM.md` lists the assumptions about them.
 //!
 //! ```no_run
 //! use goldcrestway_platform::LogClient;
 //!
 //! let log = LogClient::new("http://127.0.0.1:7000", 1_000);
 //! let offset = log.append("claims", b"record").unwrap();
-//! println!("stands at {offset}");
+//! println!("appended at offset {offset}");
 //! ```
 
 mod fault;
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -1,4 +1,4 @@
-//! The platform's append-only log.
+//! Client of the platform's append-only log.
 
 use crate::fault::PlatformFault;
 use crate::fault::agent;
@@ -8,41 +8,41 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Answer to an append.
+/// Body of the answer to an append.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// Where the record stands.
+    /// Offset of the appended record.
     pub offset: u64,
 }
 
-/// One record in an answer to a read.
+/// A record in the answer to a read.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Where it stands.
+    /// Offset of the record.
     pub offset: u64,
-    /// Its bytes in base64.
+    /// Content of the record, encoded in base64.
     pub payload: String,
 }
 
-/// Answer to a read.
+/// Body of the answer to a read.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ReadReply {
-    /// Oldest offset that is still kept.
+    /// Oldest offset that is still retained.
     pub oldest: u64,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub end: u64,
-    /// The records from the offset asked for.
+    /// Records from the requested offset on.
     pub records: Vec<LogRecord>,
 }
 
-/// A part of a stream.
+/// Consecutive records of a stream, decoded, with the bounds of the stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSlice {
-    /// Oldest offset that is still kept.
+    /// Oldest offset that is still retained.
     pub oldest: u64,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub end: u64,
-    /// Records with their offsets.
+    /// Offsets and contents of the records.
     pub records: Vec<(u64, Vec<u8>)>,
 }
 
@@ -53,11 +53,11 @@
     agent: ureq::Agent,
 }
 
-/// Most records of one read.
+/// Maximum number of records requested by one read.
 const MAX_READ_RECORDS: usize = 500;
 
 impl LogClient {
-    /// Makes a client of the log at `url`.
+    /// Creates a client of the log at `url`, whose calls end within `timeout_ms` milliseconds.
     pub fn new(url: &str, timeout_ms: u64) -> Self {
         Self {
             url: url.trim_end_matches('/').into(),
@@ -65,11 +65,12 @@
         }
     }
 
-    /// Appends a record and gives its offset.
+    /// Appends a record to a stream and returns its offset.
     ///
     /// # Errors
     ///
-    /// When no answer came; the record may stand in the stream all the same.
+    /// Returns [`PlatformFault::Unanswered`] if no complete answer arrived. The record may have
+    /// been appended nevertheless.
     pub fn append(&self, stream: &str, payload: &[u8]) -> Result<u64, PlatformFault> {
         const STEP: &str = "appending to the log";
         let url = format!("{}/v1/streams/{stream}/records", self.url);
@@ -85,11 +86,12 @@
         Ok(reply.offset)
     }
 
-    /// Reads records from offset `from` on.
+    /// Reads up to 500 records of a stream, from offset `from` on.
     ///
     /// # Errors
     ///
-    /// When no whole answer came.
+    /// Returns [`PlatformFault::Unanswered`] if no complete answer arrived, and
+    /// [`PlatformFault::Unreadable`] if the content of a record is not valid base64.
     pub fn read(&self, stream: &str, from: u64) -> Result<LogSlice, PlatformFault> {
         const STEP: &str = "reading the log";
         let url = format!(
--- a/crates/platform/src/worker.rs
+++ b/crates/platform/src/worker.rs
@@ -1,4 +1,4 @@
-//! The platform's interface on each worker host.
+//! Client of the platform's interface on each worker host.
 
 use crate::fault::PlatformFault;
 use crate::fault::agent;
@@ -6,86 +6,87 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A task to run.
+/// An order to run one attempt of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerOrder {
     /// Identity of the job.
     pub id: String,
     /// Number of the attempt.
     pub attempt: u32,
-    /// Kind of job.
+    /// Kind of job, by its name in the inventory.
     pub job: String,
-    /// Thousandths of a core it may use.
+    /// CPU limit in thousandths of a core.
     pub millicores: u32,
-    /// Megabytes of memory it may use.
+    /// Memory limit in megabytes.
     pub memory_mb: u32,
-    /// Accelerators it may use.
+    /// Number of accelerators.
     pub accelerators: u32,
-    /// Where it resumes.
+    /// Checkpoint at which it resumes; 0 for the beginning.
     pub checkpoint: u64,
 }
 
-/// One call.
+/// Body of a call to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WorkerRequest {
-    /// Fencing token.
+    /// Fencing token of the caller.
     pub token: u64,
-    /// Number of the latest listing received, 0 for none.
+    /// Number of the latest reply received from the worker; 0 if there is none.
     pub answers: u64,
-    /// Length of the lease, from that listing.
+    /// Length of the lease, which begins at that reply.
     pub lease_ms: u64,
     /// Tasks to start.
     pub start: Vec<WorkerOrder>,
     /// Attempts to checkpoint and stop.
     pub stop: Vec<(String, u32)>,
-    /// Ended attempts to forget.
+    /// Ended attempts that the worker may drop from its list.
     pub forget: Vec<(String, u32)>,
-    /// Share of their processors for batch tasks, in thousandths.
+    /// CPU share that batch tasks may use, in thousandths of their processors.
     pub batch_permille: u32,
 }
 
-/// A task in an answer.
+/// A task that a worker lists in its reply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerTask {
-    /// What it was told to run.
+    /// Order that started the task.
     pub order: WorkerOrder,
     /// `running`, `finished`, `failed`, `stopped` or `refused`.
     pub state: String,
-    /// Progress that is kept of a stopped task.
+    /// Checkpoint that is retained of a stopped task.
     pub checkpoint: u64,
 }
 
-/// An answer.
+/// Body of the answer of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct WorkerReply {
-    /// Number of this listing.
+    /// Number of this reply; it only grows.
     pub number: u64,
-    /// All tasks.
+    /// All tasks at the worker that have not been forgotten.
     pub tasks: Vec<WorkerTask>,
-    /// Worst slowdown of a service beside them, in thousandths; 0 if not known.
+    /// Worst slowdown of a service instance colocated with the tasks, as a multiple of its usual
+    /// latency in thousandths; 0 if unknown.
     pub service_slowdown_permille: u32,
 }
 
-/// Client of all workers.
+/// Client of worker hosts.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     agent: ureq::Agent,
 }
 
 impl WorkerClient {
-    /// Makes a client whose calls end within `timeout_ms`.
+    /// Creates a client whose calls end within `timeout_ms` milliseconds.
     pub fn new(timeout_ms: u64) -> Self {
         Self {
             agent: agent(timeout_ms),
         }
     }
 
-    /// Calls the worker at `address`.
+    /// Calls the worker at `address` and returns its reply.
     ///
     /// # Errors
     ///
-    /// When no whole answer came, or the worker refused the token. The call may
-    /// have taken effect.
+    /// Returns [`PlatformFault::Unanswered`] if no complete answer arrived or the worker rejected
+    /// the token. The call may have taken effect.
     pub fn call(
         &self,
         address: &str,
