--- a/crates/bench/src/edges.rs
+++ b/crates/bench/src/edges.rs
@@ -10,8 +10,8 @@
 use goldcrestway_core::TaskEnd;
 use goldcrestway_core::TaskOrder;
 use goldcrestway_inventory::Resources;
-use goldcrestway_platform::HostListReply;
-use goldcrestway_platform::ListedHost;
+use goldcrestway_platform::HostReply;
+use goldcrestway_platform::Listed;
 use goldcrestway_platform::LogClient;
 use goldcrestway_platform::WorkerClient;
 use goldcrestway_platform::WorkerOrder;
@@ -236,12 +236,12 @@
         "bytes of one list",
     );
     for count in [130, 3_000, 30_400] {
-        let hosts = (0..count).map(|number| ListedHost {
+        let hosts = (0..count).map(|number| Listed {
             name: format!("w{number}"),
             address: "10.123.45.67:8080".into(),
             leaving: false,
         });
-        let reply = HostListReply {
+        let reply = HostReply {
             hosts: hosts.collect(),
         };
         let body = serde_json::to_string(&reply).map_or(0, |text| text.len());
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -8,7 +8,7 @@
 
 /// A host or service instance in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListedHost {
+pub struct Listed {
     /// Name in the inventory.
     pub name: String,
     /// Address at which it is reached, as `address:port`.
@@ -19,9 +19,9 @@
 
 /// Body of the answer to a request for the list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct HostListReply {
+pub struct HostReply {
     /// Hosts and service instances.
-    pub hosts: Vec<ListedHost>,
+    pub hosts: Vec<Listed>,
 }
 
 /// Client of the list of hosts.
@@ -46,7 +46,7 @@
     ///
     /// Returns [`PlatformFault::Unanswered`] if no complete answer arrived or the answer is not a
     /// list of hosts.
-    pub fn list(&self) -> Result<Vec<ListedHost>, PlatformFault> {
+    pub fn list(&self) -> Result<Vec<Listed>, PlatformFault> {
         const STEP: &str = "getting the list of hosts";
         let url = format!("{}/v1/hosts", self.url);
         let mut response = self
@@ -54,7 +54,7 @@
             .get(&url)
             .call()
             .map_err(|error| unanswered(STEP, &self.url, error))?;
-        let reply: HostListReply = response
+        let reply: HostReply = response
             .body_mut()
             .read_json()
             .map_err(|error| unanswered(STEP, &self.url, error))?;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -18,8 +18,8 @@
 
 pub use fault::PlatformFault;
 pub use hosts::HostListClient;
-pub use hosts::HostListReply;
-pub use hosts::ListedHost;
+pub use hosts::HostReply;
+pub use hosts::Listed;
 pub use log::AppendReply;
 pub use log::LogClient;
 pub use log::LogRecord;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -6,8 +6,8 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use goldcrestway_platform::AppendReply;
-use goldcrestway_platform::HostListReply;
-use goldcrestway_platform::ListedHost;
+use goldcrestway_platform::HostReply;
+use goldcrestway_platform::Listed;
 use goldcrestway_platform::LogRecord;
 use goldcrestway_platform::ReadReply;
 use goldcrestway_platform::WorkerRequest;
@@ -182,7 +182,7 @@
 pub struct HostListServer {
     running: Running,
     /// The list.
-    pub hosts: Arc<Mutex<Vec<ListedHost>>>,
+    pub hosts: Arc<Mutex<Vec<Listed>>>,
 }
 
 impl HostListServer {
@@ -205,7 +205,7 @@
         let served = hosts.clone();
         let handler = move |request: Request| {
             let hosts = lock(&served).clone();
-            answer_json(request, &HostListReply { hosts });
+            answer_json(request, &HostReply { hosts });
         };
         Ok(Self {
             running: serve(address, THREADS, Arc::new(handler))?,
--- a/examples/first_week/fleet.rs
+++ b/examples/first_week/fleet.rs
@@ -9,7 +9,7 @@
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::load_sections;
-use goldcrestway_platform::ListedHost;
+use goldcrestway_platform::Listed;
 use goldcrestway_standin::HostListServer;
 use goldcrestway_standin::LogServer;
 use goldcrestway_standin::UpstreamServer;
@@ -76,7 +76,7 @@
             .iter()
             .map(|(name, instance)| (name, instance.address()));
         for (name, address) in addresses.chain(instances) {
-            list.push(ListedHost {
+            list.push(Listed {
                 name: name.clone(),
                 address,
                 leaving: false,
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -4,7 +4,7 @@
 //! said otherwise, and ends by itself with a count of what ran more than once:
 //! requests are told apart by their bodies, jobs by their identities.
 
-use goldcrestway_platform::ListedHost;
+use goldcrestway_platform::Listed;
 use goldcrestway_standin::HostListServer;
 use goldcrestway_standin::LogServer;
 use goldcrestway_standin::UpstreamServer;
@@ -112,8 +112,8 @@
     );
 }
 
-fn listed(name: String, address: String) -> ListedHost {
-    ListedHost {
+fn listed(name: String, address: String) -> Listed {
+    Listed {
         name,
         address,
         leaving: false,
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -7,7 +7,7 @@
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::load_sections;
-use goldcrestway_platform::ListedHost;
+use goldcrestway_platform::Listed;
 use goldcrestway_standin::HostListServer;
 use goldcrestway_standin::LogServer;
 use googletest::prelude::*;
@@ -52,7 +52,7 @@
     let log = LogServer::start(1).expect("a log");
     let hosts = HostListServer::start().expect("a list of hosts");
     let address = instance.local_addr().expect("an address").to_string();
-    let listed = ListedHost {
+    let listed = Listed {
         name: "b1".into(),
         address,
         leaving: false,
