--- a/crates/net/src/frames.rs
+++ b/crates/net/src/frames.rs
@@ -21,7 +21,8 @@
 use tokio_util::codec::Encoder;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Maximum size of a frame. The lists of a thousand workers with forty runs each take 2 MB.
+/// Maximum size of a frame. A frame with the lists of a thousand workers, forty runs each, takes
+/// 2 MB.
 const MAX_FRAME_BYTES: usize = 4 << 20;
 /// Bytes that may be queued for a peer that does not read. Beyond that the connection is closed,
 /// since the queue would exhaust the memory of this host, which is 160 MB in total.
