--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -16,7 +16,7 @@
 use goldcrestway_inventory::Resources;
 use goldcrestway_platform::HostListClient;
 use goldcrestway_platform::LogClient;
-use goldcrestway_platform::LogSlice;
+use goldcrestway_platform::LogPage;
 use goldcrestway_platform::WorkerClient;
 use goldcrestway_platform::WorkerOrder;
 use goldcrestway_platform::WorkerReply;
@@ -188,7 +188,7 @@
 }
 
 /// Turns what was read from offset `from` on into what the decisions take.
-pub fn part_in(from: u64, part: &LogSlice) -> Part {
+pub fn part_in(from: u64, part: &LogPage) -> Part {
     let next = part
         .records
         .last()
--- a/crates/platform/src/log.rs
+++ b/crates/platform/src/log.rs
@@ -37,7 +37,7 @@
 
 /// Consecutive records of a stream, decoded, with the bounds of the stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LogSlice {
+pub struct LogPage {
     /// Oldest offset that is still retained.
     pub oldest: u64,
     /// Offset of the next append.
@@ -92,7 +92,7 @@
     ///
     /// Returns [`PlatformFault::Unanswered`] if no complete answer arrived, and
     /// [`PlatformFault::Unreadable`] if the content of a record is not valid base64.
-    pub fn read(&self, stream: &str, from: u64) -> Result<LogSlice, PlatformFault> {
+    pub fn read(&self, stream: &str, from: u64) -> Result<LogPage, PlatformFault> {
         const STEP: &str = "reading the log";
         let url = format!(
             "{}/v1/streams/{stream}/records?from={from}&most={MAX_READ_RECORDS}",
@@ -116,7 +116,7 @@
                 .map_err(|_| PlatformFault::Unreadable(STEP, self.url.clone()))?;
             records.push((record.offset, payload));
         }
-        Ok(LogSlice {
+        Ok(LogPage {
             oldest: reply.oldest,
             end: reply.end,
             records,
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,6 +1,6 @@
 //! The log: streams of records with offsets, kept for a limited time.
 
-use goldcrestway_platform::LogSlice;
+use goldcrestway_platform::LogPage;
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
@@ -31,14 +31,14 @@
     }
 
     /// Reads up to `most` records from `from` on.
-    pub fn read(&self, stream: &str, from: u64, most: usize) -> LogSlice {
+    pub fn read(&self, stream: &str, from: u64, most: usize) -> LogPage {
         let empty = StreamState::default();
         let state = self.streams.get(stream).unwrap_or(&empty);
         let end = state.oldest + state.records.len() as u64;
         let from = from.clamp(state.oldest, end);
         let skipped = (from - state.oldest) as usize;
         let records = state.records.iter().skip(skipped).take(most).enumerate();
-        LogSlice {
+        LogPage {
             oldest: state.oldest,
             end,
             records: records
