--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -226,7 +226,7 @@
     pub sent_ms: u64,
     #[prost(uint64, tag = "2")]
     pub config_version: u64,
-    /// `is_leaving` of a heartbeat, `is_granted` of a promise.
+    /// `is_leaving` of a heartbeat, `is_granted` of the answer to it.
     #[prost(bool, tag = "3")]
     pub flag: bool,
     #[prost(fixed64, tag = "4")]
