--- a/crates/wire/src/message/decode.rs
+++ b/crates/wire/src/message/decode.rs
@@ -45,14 +45,14 @@
             config_version: heartbeat.config_version,
             is_leaving: heartbeat.flag,
         },
-        Kind::Promise(promise) => Message::Promise {
-            life: decode_member(require(promise.life.as_ref(), "life")?)?,
-            sent_ms: promise.sent_ms,
-            is_granted: promise.flag,
-            config_version: promise.config_version,
-            alive: promise.alive,
+        Kind::LeaseVote(vote) => Message::Promise {
+            life: decode_member(require(vote.life.as_ref(), "life")?)?,
+            sent_ms: vote.sent_ms,
+            is_granted: vote.flag,
+            config_version: vote.config_version,
+            alive: vote.alive,
         },
-        Kind::AliveAsk(_) => Message::AliveAsk,
+        Kind::AliveRequest(_) => Message::AliveAsk,
         Kind::Alive(alive) => Message::Alive {
             digest: alive.digest,
             members: decode_members(&alive.members)?,
@@ -62,7 +62,7 @@
                 .map(decode_carried_life)
                 .collect::<DecodeResult<_>>()?,
         },
-        Kind::StateAsk(_) => Message::StateAsk,
+        Kind::StateRequest(_) => Message::StateAsk,
         Kind::State(batch) => {
             let [claims, config] = batch.records.as_slice() else {
                 return Err(missing("claims and configuration"));
@@ -73,7 +73,7 @@
             }
         }
         Kind::Handover(handover) => Message::Handover(decode_handover(handover)?),
-        Kind::ConsentAsk(consent) => Message::ConsentAsk {
+        Kind::ConsentRequest(consent) => Message::ConsentAsk {
             target: decode_member(require(consent.target.as_ref(), "target")?)?,
             asked_ms: consent.asked_ms,
         },
@@ -85,7 +85,7 @@
             cell: decode_cell(&slot.cell)?,
             request: slot.request,
         },
-        Kind::GrantAsk(slot) => Message::GrantAsk {
+        Kind::GrantRequest(slot) => Message::GrantAsk {
             cell: decode_cell(&slot.cell)?,
             request: slot.request,
             begin_in_ms: slot.value,
@@ -125,7 +125,7 @@
             next: slot.next,
             ended: decode_ended(require(slot.ended.as_ref(), "end of an attempt")?)?,
         },
-        Kind::IntentAsk(body) => {
+        Kind::IntentRequest(body) => {
             let intent = require(body.intent.as_ref(), "intent")?;
             Message::IntentAsk {
                 cell: decode_cell(&body.cell)?,
@@ -134,11 +134,11 @@
                 fingerprint: intent.fingerprint,
             }
         }
-        Kind::IntentAnswer(body) => Message::IntentAnswer {
+        Kind::IntentResponse(body) => Message::IntentAnswer {
             request: body.request,
             verdict: decode_intent_verdict(require(body.verdict.as_ref(), "verdict")?)?,
         },
-        Kind::IntentEnd(body) => {
+        Kind::IntentOutcome(body) => {
             let intent = require(body.intent.as_ref(), "intent")?;
             Message::IntentEnd {
                 cell: decode_cell(&body.cell)?,
@@ -149,12 +149,12 @@
                 status: decode_status(intent.status)?,
             }
         }
-        Kind::JobAsk(body) => Message::JobAsk {
+        Kind::JobRequest(body) => Message::JobAsk {
             cell: decode_cell(&body.cell)?,
             request: body.request,
             spec: decode_spec(require(body.spec.as_ref(), "job")?),
         },
-        Kind::JobAnswer(body) => Message::JobAnswer {
+        Kind::JobResponse(body) => Message::JobAnswer {
             request: body.request,
             verdict: decode_job_verdict(require(body.verdict.as_ref(), "verdict")?)?,
         },
@@ -182,11 +182,11 @@
             cell: decode_cell(&task.cell)?,
             attempt: decode_attempt(&task.attempt)?,
         },
-        Kind::ReportNoted(task) => Message::ReportNoted {
+        Kind::TaskUpdateRecorded(task) => Message::ReportNoted {
             cell: decode_cell(&task.cell)?,
             attempt: decode_attempt(&task.attempt)?,
         },
-        Kind::Report(task) => Message::Report {
+        Kind::TaskUpdate(task) => Message::Report {
             home: decode_cell(&task.home)?,
             cell: decode_cell(&task.cell)?,
             attempt: decode_attempt(&task.attempt)?,
--- a/crates/wire/src/message/encode.rs
+++ b/crates/wire/src/message/encode.rs
@@ -42,11 +42,11 @@
             is_granted,
             config_version,
             alive,
-        } => Kind::Promise(proto::Heartbeat {
+        } => Kind::LeaseVote(proto::Heartbeat {
             life: Some(encode_member(*life)),
             ..heartbeat(*sent_ms, *config_version, *is_granted, *alive)
         }),
-        Message::AliveAsk => Kind::AliveAsk(proto::Empty {}),
+        Message::AliveAsk => Kind::AliveRequest(proto::Empty {}),
         Message::Alive {
             digest,
             members,
@@ -62,13 +62,13 @@
                 })
                 .collect(),
         }),
-        Message::StateAsk => Kind::StateAsk(proto::Empty {}),
+        Message::StateAsk => Kind::StateRequest(proto::Empty {}),
         Message::State { claims, config } => Kind::State(proto::Batch {
             records: vec![encode_record(claims), encode_record(config)],
             ..proto::Batch::default()
         }),
         Message::Handover(handover) => Kind::Handover(encode_handover(handover)),
-        Message::ConsentAsk { target, asked_ms } => Kind::ConsentAsk(proto::Consent {
+        Message::ConsentAsk { target, asked_ms } => Kind::ConsentRequest(proto::Consent {
             target: Some(encode_member(*target)),
             asked_ms: *asked_ms,
         }),
@@ -81,7 +81,7 @@
             cell,
             request,
             begin_in_ms,
-        } => Kind::GrantAsk(proto::SlotMessage {
+        } => Kind::GrantRequest(proto::SlotMessage {
             value: *begin_in_ms,
             ..slot(*cell, *request)
         }),
@@ -109,14 +109,14 @@
             request,
             identity,
             fingerprint,
-        } => Kind::IntentAsk(proto::IntentMessage {
+        } => Kind::IntentRequest(proto::IntentMessage {
             cell: Some(encode_cell(*cell)),
             request: *request,
             intent: Some(encode_intent(*identity, *fingerprint)),
             verdict: None,
             was_let_go: false,
         }),
-        Message::IntentAnswer { request, verdict } => Kind::IntentAnswer(proto::IntentMessage {
+        Message::IntentAnswer { request, verdict } => Kind::IntentResponse(proto::IntentMessage {
             request: *request,
             verdict: Some(encode_intent_verdict(*verdict)),
             ..proto::IntentMessage::default()
@@ -128,7 +128,7 @@
             was_let_go,
             outcome,
             status,
-        } => Kind::IntentEnd(proto::IntentMessage {
+        } => Kind::IntentOutcome(proto::IntentMessage {
             request: *request,
             was_let_go: *was_let_go,
             cell: Some(encode_cell(*cell)),
@@ -143,13 +143,13 @@
             cell,
             request,
             spec,
-        } => Kind::JobAsk(proto::JobMessage {
+        } => Kind::JobRequest(proto::JobMessage {
             cell: Some(encode_cell(*cell)),
             request: *request,
             spec: Some(encode_spec(spec)),
             verdict: None,
         }),
-        Message::JobAnswer { request, verdict } => Kind::JobAnswer(proto::JobMessage {
+        Message::JobAnswer { request, verdict } => Kind::JobResponse(proto::JobMessage {
             request: *request,
             verdict: Some(encode_job_verdict(*verdict)),
             ..proto::JobMessage::default()
@@ -199,7 +199,7 @@
             attempt: Some(encode_attempt(attempt)),
             ..proto::TaskMessage::default()
         }),
-        Message::ReportNoted { cell, attempt } => Kind::ReportNoted(proto::TaskMessage {
+        Message::ReportNoted { cell, attempt } => Kind::TaskUpdateRecorded(proto::TaskMessage {
             cell: Some(encode_cell(*cell)),
             attempt: Some(encode_attempt(attempt)),
             ..proto::TaskMessage::default()
@@ -209,7 +209,7 @@
             cell,
             attempt,
             end,
-        } => Kind::Report(proto::TaskMessage {
+        } => Kind::TaskUpdate(proto::TaskMessage {
             home: Some(encode_cell(*home)),
             cell: Some(encode_cell(*cell)),
             attempt: Some(encode_attempt(attempt)),
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -178,11 +178,11 @@
     #[prost(message, tag = "3")]
     Release(Cells),
     #[prost(message, tag = "4")]
-    ClaimsCarried(ClaimsCarried),
+    ClaimsSnapshot(ClaimsCarried),
     #[prost(message, tag = "5")]
     Config(Config),
     #[prost(message, tag = "6")]
-    ConfigCarried(ConfigCarried),
+    ConfigSnapshot(ConfigCarried),
     #[prost(message, tag = "7")]
     Open(Member),
     #[prost(message, tag = "8")]
@@ -198,7 +198,7 @@
     #[prost(message, tag = "13")]
     Ended(Step),
     #[prost(message, tag = "14")]
-    Carried(Empty),
+    Snapshot(Empty),
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -364,19 +364,19 @@
     #[prost(message, tag = "10")]
     Heartbeat(Heartbeat),
     #[prost(message, tag = "11")]
-    Promise(Heartbeat),
+    LeaseVote(Heartbeat),
     #[prost(message, tag = "12")]
-    AliveAsk(Empty),
+    AliveRequest(Empty),
     #[prost(message, tag = "13")]
     Alive(Alive),
     #[prost(message, tag = "14")]
-    ConsentAsk(Consent),
+    ConsentRequest(Consent),
     #[prost(message, tag = "15")]
     Consent(Consent),
     #[prost(message, tag = "16")]
     NotOwner(SlotMessage),
     #[prost(message, tag = "17")]
-    GrantAsk(SlotMessage),
+    GrantRequest(SlotMessage),
     #[prost(message, tag = "18")]
     Granted(SlotMessage),
     #[prost(message, tag = "19")]
@@ -386,15 +386,15 @@
     #[prost(message, tag = "21")]
     Release(SlotMessage),
     #[prost(message, tag = "22")]
-    IntentAsk(IntentMessage),
+    IntentRequest(IntentMessage),
     #[prost(message, tag = "23")]
-    IntentAnswer(IntentMessage),
+    IntentResponse(IntentMessage),
     #[prost(message, tag = "24")]
-    IntentEnd(IntentMessage),
+    IntentOutcome(IntentMessage),
     #[prost(message, tag = "25")]
-    JobAsk(JobMessage),
+    JobRequest(JobMessage),
     #[prost(message, tag = "26")]
-    JobAnswer(JobMessage),
+    JobResponse(JobMessage),
     #[prost(message, tag = "27")]
     Reserve(TaskMessage),
     #[prost(message, tag = "28")]
@@ -404,13 +404,13 @@
     #[prost(message, tag = "30")]
     Start(TaskMessage),
     #[prost(message, tag = "31")]
-    Report(TaskMessage),
+    TaskUpdate(TaskMessage),
     #[prost(message, tag = "32")]
-    ReportNoted(TaskMessage),
+    TaskUpdateRecorded(TaskMessage),
     #[prost(message, tag = "33")]
     Queued(SlotMessage),
     #[prost(message, tag = "34")]
-    StateAsk(Empty),
+    StateRequest(Empty),
     #[prost(message, tag = "35")]
     State(Batch),
     #[prost(message, tag = "36")]
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -66,7 +66,7 @@
             as_of,
             owners,
             deposed,
-        } => RecordKind::ClaimsCarried(proto::ClaimsCarried {
+        } => RecordKind::ClaimsSnapshot(proto::ClaimsCarried {
             as_of: *as_of,
             owners: owners
                 .iter()
@@ -88,7 +88,7 @@
             as_of,
             version,
             changes,
-        } => RecordKind::ConfigCarried(proto::ConfigCarried {
+        } => RecordKind::ConfigSnapshot(proto::ConfigCarried {
             as_of: *as_of,
             version: *version,
             changes: changes.iter().map(encode_change).collect(),
@@ -124,7 +124,7 @@
         Record::Ended { id, attempt, end } => {
             RecordKind::Ended(step(id, *attempt, None, encode_job_end(*end)))
         }
-        Record::Carried => RecordKind::Carried(proto::Empty {}),
+        Record::Carried => RecordKind::Snapshot(proto::Empty {}),
     };
     proto::Record { kind: Some(kind) }
 }
@@ -158,7 +158,7 @@
             cells: decode_cells(&release.cells)?,
             heir: release.heir.as_ref().map(decode_member).transpose()?,
         },
-        RecordKind::ClaimsCarried(carried) => Record::ClaimsCarried {
+        RecordKind::ClaimsSnapshot(carried) => Record::ClaimsCarried {
             as_of: carried.as_of,
             owners: carried
                 .owners
@@ -173,7 +173,7 @@
             author: config.author.as_str().into(),
             changes: config.changes.iter().map(decode_change).collect(),
         }),
-        RecordKind::ConfigCarried(carried) => Record::ConfigCarried {
+        RecordKind::ConfigSnapshot(carried) => Record::ConfigCarried {
             as_of: carried.as_of,
             version: carried.version,
             changes: carried.changes.iter().map(decode_change).collect(),
@@ -219,7 +219,7 @@
                 end: decode_job_end(step.value)?,
             }
         }
-        RecordKind::Carried(_) => Record::Carried,
+        RecordKind::Snapshot(_) => Record::Carried,
     };
     Ok(record)
 }
