--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -16,7 +16,7 @@
 use goldcrestway_inventory::Resources;
 use goldcrestway_platform::HostListClient;
 use goldcrestway_platform::LogClient;
-use goldcrestway_platform::LogPart;
+use goldcrestway_platform::LogPage;
 use goldcrestway_platform::WorkerClient;
 use goldcrestway_platform::WorkerOrder;
 use goldcrestway_platform::WorkerReply;
@@ -188,7 +188,7 @@
 }
 
 /// Converts what was read from the log, from offset `from` on, to the form of the node.
-pub fn log_part_of(from: u64, page: &LogPart) -> StreamPage {
+pub fn log_part_of(from: u64, page: &LogPage) -> StreamPage {
     let next = page
         .records
         .last()
--- a/crates/net/src/parse.rs
+++ b/crates/net/src/parse.rs
@@ -1,142 +1,148 @@
-//! HTTP/1.1 heads and bodies, by `httparse`.
+//! Parsing of HTTP/1.1 requests and responses, with `httparse` for the heads, and encoding of
+//! responses.
 
 use std::fmt::Write as _;
 
-const HEADERS_MOST: usize = 64;
-/// A head of a peer's answer that is longer is faulty.
-const RESPONSE_HEAD_MOST_BYTES: usize = 16_384;
+/// Maximum number of headers in a request or response.
+const MAX_HEADERS: usize = 64;
+/// Maximum size of the head of a peer's response, in bytes.
+const MAX_RESPONSE_HEAD_BYTES: usize = 16_384;
 
-/// Names in lower case, and values.
+/// Headers as pairs of a name in lower case and a value.
 pub(crate) type Headers = Box<[(Box<str>, Box<str>)]>;
 
-/// What a caller may send.
+/// Limits on the requests of a caller and on its idle time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
-    /// Longest head.
-    pub head_most_bytes: usize,
-    /// Longest body.
-    pub body_most_bytes: usize,
-    /// Longest time from the first byte of a request to its last.
-    pub request_most_ms: u64,
-    /// Longest silence between requests.
-    pub idle_most_ms: u64,
+pub struct CallerLimits {
+    /// Maximum size of a request head.
+    pub max_head_bytes: usize,
+    /// Maximum size of a request body.
+    pub max_body_bytes: usize,
+    /// Maximum time between the first and the last byte of a request.
+    pub max_request_ms: u64,
+    /// Maximum idle time between requests.
+    pub max_idle_ms: u64,
 }
 
-impl Default for Bounds {
-    /// Generous values for use before a configuration is known.
+impl Default for CallerLimits {
+    /// Returns generous limits for use before the configuration is read.
     fn default() -> Self {
         Self {
-            head_most_bytes: 16_384,
-            body_most_bytes: 1 << 20,
-            request_most_ms: 5_000,
-            idle_most_ms: 30_000,
+            max_head_bytes: 16_384,
+            max_body_bytes: 1 << 20,
+            max_request_ms: 5_000,
+            max_idle_ms: 30_000,
         }
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Its method, as sent.
+    /// HTTP method, as sent.
     pub method: Box<str>,
     /// Path and query, as sent.
     pub target: Box<str>,
-    /// Its headers, with names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Box<[(Box<str>, Box<str>)]>,
-    /// Its body.
+    /// Body, without any chunked encoding.
     pub body: Box<[u8]>,
 }
 
 impl Request {
-    /// Finds a header by its name in lower case.
+    /// Returns the value of the first header called `name`, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
-/// A whole answer of a peer.
+/// A complete response of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its headers, with names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Box<[(Box<str>, Box<str>)]>,
-    /// Its body.
+    /// Body, without any chunked encoding.
     pub body: Box<[u8]>,
-    /// Bytes that it took on the wire, head and body.
+    /// Size on the wire, head and body, in bytes.
     pub wire_bytes: usize,
 }
 
 impl Response {
-    /// Finds a header by its name in lower case.
+    /// Returns the value of the first header called `name`, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        find(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
-fn find<'a>(headers: &'a [(Box<str>, Box<str>)], name: &str) -> Option<&'a str> {
+/// Returns the value of the first header called `name`, which is in lower case.
+fn find_header<'a>(headers: &'a [(Box<str>, Box<str>)], name: &str) -> Option<&'a str> {
     headers
         .iter()
         .find(|(key, _)| **key == *name)
         .map(|(_, value)| &**value)
 }
 
-/// What the bytes read so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Parsed<T> {
     /// More bytes are needed.
     Partial,
-    /// One message, which took so many bytes, and whether the stream ends with it.
+    /// A complete message, its size in bytes, and whether it is the last on the connection.
     Whole(T, usize, bool),
-    /// It can't be served; the status says why.
-    Faulty(u16),
+    /// The message is invalid; carries the HTTP status that says why.
+    Invalid(u16),
 }
 
-fn collect(headers: &[httparse::Header<'_>]) -> Option<Headers> {
-    let mut list = Vec::with_capacity(headers.len());
+/// Copies the headers, with names in lower case. Returns `None` if a value is not UTF-8.
+fn collect_headers(headers: &[httparse::Header<'_>]) -> Option<Headers> {
+    let mut collected = Vec::with_capacity(headers.len());
     for header in headers {
         let value = std::str::from_utf8(header.value).ok()?;
-        list.push((
+        collected.push((
             header.name.to_ascii_lowercase().into_boxed_str(),
             value.trim().into(),
         ));
     }
-    Some(list.into())
+    Some(collected.into())
 }
 
-fn closes(headers: &[(Box<str>, Box<str>)], version: Option<u8>) -> bool {
-    match find(headers, "connection") {
+/// Returns whether the sender closes the connection after the message. HTTP/1.0 does so by
+/// default.
+fn ends_connection(headers: &[(Box<str>, Box<str>)], version: Option<u8>) -> bool {
+    match find_header(headers, "connection") {
         Some(value) if value.eq_ignore_ascii_case("close") => true,
         Some(value) if value.eq_ignore_ascii_case("keep-alive") => false,
         _ => version == Some(0),
     }
 }
 
-/// Reads one request from the start of `bytes`.
-pub(crate) fn parse_request(bytes: &[u8], bounds: &Bounds) -> Parsed<Request> {
-    let mut fields = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Parses one request from the start of `bytes`.
+pub(crate) fn parse_request(bytes: &[u8], limits: &CallerLimits) -> Parsed<Request> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let head_bytes = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() > bounds.head_most_bytes => {
-            return Parsed::Faulty(431);
+        Ok(httparse::Status::Partial) if bytes.len() > limits.max_head_bytes => {
+            return Parsed::Invalid(431);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(httparse::Error::TooManyHeaders) => return Parsed::Faulty(431),
-        Err(_) => return Parsed::Faulty(400),
+        Err(httparse::Error::TooManyHeaders) => return Parsed::Invalid(431),
+        Err(_) => return Parsed::Invalid(400),
     };
-    if head_bytes > bounds.head_most_bytes {
-        return Parsed::Faulty(431);
+    if head_bytes > limits.max_head_bytes {
+        return Parsed::Invalid(431);
     }
-    let Some(headers) = collect(head.headers) else {
-        return Parsed::Faulty(400);
+    let Some(headers) = collect_headers(head.headers) else {
+        return Parsed::Invalid(400);
     };
-    let is_last = closes(&headers, head.version);
-    let (body, used) = match read_body(bytes, head_bytes, &headers, bounds.body_most_bytes, Some(0))
+    let is_last = ends_connection(&headers, head.version);
+    let (body, used) = match read_body(bytes, head_bytes, &headers, limits.max_body_bytes, Some(0))
     {
         Parsed::Whole(body, used, _) => (body, used),
         Parsed::Partial => return Parsed::Partial,
-        Parsed::Faulty(status) => return Parsed::Faulty(status),
+        Parsed::Invalid(status) => return Parsed::Invalid(status),
     };
     let request = Request {
         method: head.method.unwrap_or_default().into(),
@@ -147,29 +153,30 @@
     Parsed::Whole(request, used, is_last)
 }
 
-/// Reads one answer from the start of `bytes`. `has_ended` says that no more will come.
-pub(crate) fn parse_response(bytes: &[u8], has_ended: bool) -> Parsed<Response> {
-    let mut fields = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Parses one response from the start of `bytes`. `is_eof` states that no more bytes will
+/// follow, which ends a body without a length.
+pub(crate) fn parse_response(bytes: &[u8], is_eof: bool) -> Parsed<Response> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
     let head_bytes = match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() > RESPONSE_HEAD_MOST_BYTES => {
-            return Parsed::Faulty(502);
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_RESPONSE_HEAD_BYTES => {
+            return Parsed::Invalid(502);
         }
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Faulty(502),
+        Err(_) => return Parsed::Invalid(502),
     };
-    let Some(headers) = collect(head.headers) else {
-        return Parsed::Faulty(502);
+    let Some(headers) = collect_headers(head.headers) else {
+        return Parsed::Invalid(502);
     };
     let status = head.code.unwrap_or(502);
-    let is_last = closes(&headers, head.version);
-    let unlabelled = match status {
+    let is_last = ends_connection(&headers, head.version);
+    let implicit_length = match status {
         204 | 304 => Some(0),
-        _ if has_ended => Some(bytes.len() - head_bytes),
+        _ if is_eof => Some(bytes.len() - head_bytes),
         _ => None,
     };
-    match read_body(bytes, head_bytes, &headers, usize::MAX, unlabelled) {
+    match read_body(bytes, head_bytes, &headers, usize::MAX, implicit_length) {
         Parsed::Whole(body, used, _) => Parsed::Whole(
             Response {
                 status,
@@ -181,33 +188,36 @@
             is_last,
         ),
         Parsed::Partial => Parsed::Partial,
-        Parsed::Faulty(status) => Parsed::Faulty(status),
+        Parsed::Invalid(status) => Parsed::Invalid(status),
     }
 }
 
-/// Reads the body behind a head. A body whose length nothing tells has `unlabelled` bytes.
+/// Reads the body that follows a head of `head_bytes` bytes.
+///
+/// A body without a `Content-Length` and a chunked encoding has `implicit_length` bytes; `None`
+/// means that its length is not known yet.
 fn read_body(
     bytes: &[u8],
     head_bytes: usize,
     headers: &[(Box<str>, Box<str>)],
-    most_bytes: usize,
-    unlabelled: Option<usize>,
+    max_bytes: usize,
+    implicit_length: Option<usize>,
 ) -> Parsed<Box<[u8]>> {
-    if find(headers, "transfer-encoding").is_some_and(|value| value.contains("chunked")) {
-        return read_chunks(bytes, head_bytes, most_bytes);
+    if find_header(headers, "transfer-encoding").is_some_and(|value| value.contains("chunked")) {
+        return read_chunks(bytes, head_bytes, max_bytes);
     }
-    let length = match find(headers, "content-length") {
+    let length = match find_header(headers, "content-length") {
         Some(value) => match value.parse::<usize>() {
             Ok(length) => length,
-            Err(_) => return Parsed::Faulty(400),
+            Err(_) => return Parsed::Invalid(400),
         },
-        None => match unlabelled {
+        None => match implicit_length {
             Some(length) => length,
             None => return Parsed::Partial,
         },
     };
-    if length > most_bytes {
-        return Parsed::Faulty(413);
+    if length > max_bytes {
+        return Parsed::Invalid(413);
     }
     match bytes.get(head_bytes..head_bytes + length) {
         Some(body) => Parsed::Whole(body.into(), head_bytes + length, false),
@@ -215,32 +225,33 @@
     }
 }
 
-fn read_chunks(bytes: &[u8], head_bytes: usize, most_bytes: usize) -> Parsed<Box<[u8]>> {
+/// Reads a body in chunked encoding.
+fn read_chunks(bytes: &[u8], head_bytes: usize, max_bytes: usize) -> Parsed<Box<[u8]>> {
     let mut body = Vec::new();
-    let mut at = head_bytes;
+    let mut offset = head_bytes;
     loop {
-        let (start, length) = match httparse::parse_chunk_size(&bytes[at..]) {
-            Ok(httparse::Status::Complete((skip, length))) => (at + skip, length as usize),
+        let (start, length) = match httparse::parse_chunk_size(&bytes[offset..]) {
+            Ok(httparse::Status::Complete((skip, length))) => (offset + skip, length as usize),
             Ok(httparse::Status::Partial) => return Parsed::Partial,
-            Err(_) => return Parsed::Faulty(400),
+            Err(_) => return Parsed::Invalid(400),
         };
-        if length > most_bytes - body.len() {
-            return Parsed::Faulty(413);
+        if length > max_bytes - body.len() {
+            return Parsed::Invalid(413);
         }
         let end = start + length;
         if bytes.len() < end + 2 {
             return Parsed::Partial;
         }
         body.extend_from_slice(&bytes[start..end]);
-        at = end + 2;
+        offset = end + 2;
         if length == 0 {
-            return Parsed::Whole(body.into(), at, false);
+            return Parsed::Whole(body.into(), offset, false);
         }
     }
 }
 
-/// Gives the reason phrase that belongs to a status.
-fn phrase(status: u16) -> &'static str {
+/// Returns the reason phrase of a status.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -257,14 +268,14 @@
     }
 }
 
-/// Writes a whole answer.
+/// Encodes a complete response. If `is_last` is set, it announces that the connection closes.
 pub(crate) fn write_response(
     status: u16,
     headers: &[(&str, &str)],
     body: &[u8],
     is_last: bool,
 ) -> Vec<u8> {
-    let mut head = format!("HTTP/1.1 {status} {}\r\n", phrase(status));
+    let mut head = format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         let _ = write!(head, "{name}: {value}\r\n");
     }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,6 +1,6 @@
 //! The platform's log: streams of records with offsets and limited retention.
 
-use goldcrestway_platform::LogPart;
+use goldcrestway_platform::LogPage;
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
@@ -32,7 +32,7 @@
 
     /// Returns up to `max_records` records from the offset `from` on. An offset that is not stored
     /// is replaced by the nearest one that is.
-    pub fn read(&self, stream: &str, from: u64, max_records: usize) -> LogPart {
+    pub fn read(&self, stream: &str, from: u64, max_records: usize) -> LogPage {
         let empty = StreamState::default();
         let state = self.streams.get(stream).unwrap_or(&empty);
         let end = state.oldest + state.records.len() as u64;
@@ -44,7 +44,7 @@
             .skip(skipped)
             .take(max_records)
             .enumerate();
-        LogPart {
+        LogPage {
             oldest: state.oldest,
             end,
             records: records
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,11 +1,11 @@
-//! Framing of a link: a length, then one prost frame.
+//! Framing of a connection between entry hosts: a length, then one prost-encoded frame.
 
 use crate::fault::WireFault;
 use crate::message::decode_message;
 use crate::message::encode_message;
-use crate::parts::member_in;
-use crate::parts::member_out;
-use crate::parts::need;
+use crate::parts::decode_member;
+use crate::parts::encode_member;
+use crate::parts::require;
 use crate::proto;
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -16,38 +16,39 @@
 use tokio_util::codec::Encoder;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Version of the messages between entry hosts.
-pub const VERSION: u32 = 1;
-/// Largest frame that is sent or accepted: a configuration of the size to design
-/// for, with room to spare.
-pub const MOST_FRAME_BYTES: usize = 8 * 1024 * 1024;
+/// Version of the protocol between entry hosts. Frames of another version are rejected.
+pub const PROTOCOL_VERSION: u32 = 1;
+/// Maximum size of a frame that is sent or accepted. It fits a configuration of the largest
+/// intended size, with a margin.
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// A message with its sender and the sender's clock.
+/// A message with its sender and the reading of the sender's clock.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Envelope {
-    /// The sender.
+    /// The entry host process that sends the message.
     pub from: Member,
-    /// Its hybrid logical clock.
+    /// Hybrid logical clock of the sender.
     pub clock: u64,
     /// The message.
     pub message: Message,
 }
 
-/// Reads and writes the frames of one link.
+/// Encodes and decodes the frames of one connection.
 ///
-/// Frames of another cluster or version, and frames too large, are refused with a
-/// fault upon which the link must be closed: what follows can't be trusted.
+/// Frames of another cluster or version, malformed frames, and frames above
+/// [`MAX_FRAME_BYTES`] are rejected with a [`WireFault`]. The connection must then be closed,
+/// since the bytes that follow can't be trusted.
 #[derive(Debug)]
-pub struct LinkCodec {
+pub struct FrameCodec {
     cluster: Box<str>,
     frames: LengthDelimitedCodec,
 }
 
-impl LinkCodec {
-    /// Makes the codec of a link within `cluster`.
+impl FrameCodec {
+    /// Creates the codec of a connection within `cluster`.
     pub fn new(cluster: &str) -> Self {
         let mut builder = LengthDelimitedCodec::builder();
-        builder.max_frame_length(MOST_FRAME_BYTES);
+        builder.max_frame_length(MAX_FRAME_BYTES);
         Self {
             cluster: cluster.into(),
             frames: builder.new_codec(),
@@ -55,16 +56,17 @@
     }
 }
 
-/// Gives the bytes that an envelope takes on a link.
+/// Returns the size of an encoded envelope in bytes, including the length prefix; 0 if it exceeds
+/// [`MAX_FRAME_BYTES`].
 pub fn frame_length(cluster: &str, envelope: &Envelope) -> usize {
     let mut bytes = BytesMut::new();
-    match LinkCodec::new(cluster).encode(envelope, &mut bytes) {
+    match FrameCodec::new(cluster).encode(envelope, &mut bytes) {
         Ok(()) => bytes.len(),
         Err(_) => 0,
     }
 }
 
-impl Decoder for LinkCodec {
+impl Decoder for FrameCodec {
     type Item = Envelope;
     type Error = WireFault;
 
@@ -76,34 +78,34 @@
         };
         let frame = proto::Frame::decode(frame)
             .map_err(|error| WireFault::Malformed("reading a frame", error))?;
-        if frame.version != VERSION {
+        if frame.version != PROTOCOL_VERSION {
             return Err(WireFault::OtherVersion(frame.version));
         }
         if *frame.cluster != *self.cluster {
             return Err(WireFault::OtherCluster(frame.cluster.into()));
         }
-        let message = decode_message(need(frame.kind.as_ref(), "kind of message")?)?;
+        let message = decode_message(require(frame.kind.as_ref(), "kind of message")?)?;
         Ok(Some(Envelope {
-            from: member_in(need(frame.from.as_ref(), "sender")?)?,
+            from: decode_member(require(frame.from.as_ref(), "sender")?)?,
             clock: frame.clock,
             message,
         }))
     }
 }
 
-impl Encoder<&Envelope> for LinkCodec {
+impl Encoder<&Envelope> for FrameCodec {
     type Error = WireFault;
 
     fn encode(&mut self, envelope: &Envelope, bytes: &mut BytesMut) -> Result<(), WireFault> {
         let frame = proto::Frame {
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             cluster: self.cluster.to_string(),
-            from: Some(member_out(envelope.from)),
+            from: Some(encode_member(envelope.from)),
             clock: envelope.clock,
             kind: Some(encode_message(&envelope.message)),
         };
         let frame = frame.encode_to_vec();
-        if frame.len() > MOST_FRAME_BYTES {
+        if frame.len() > MAX_FRAME_BYTES {
             return Err(WireFault::TooLarge);
         }
         self.frames.encode(Bytes::from(frame), bytes)?;
--- a/crates/wire/src/proto.rs
+++ b/crates/wire/src/proto.rs
@@ -1,4 +1,6 @@
-//! The prost types. Field numbers never change their meaning; new ones are added.
+//! The prost types that define the encoding of messages and records.
+//!
+//! A field number never changes its meaning; new fields get new numbers.
 #![expect(
     missing_docs,
     reason = "The core types that these mirror are documented."
@@ -57,7 +59,7 @@
     pub team: String,
 }
 
-/// A kind of end with one number, such as a checkpoint or a latency.
+/// A kind of end or verdict with one number, such as a checkpoint, a latency or a delay.
 #[derive(Clone, PartialEq, Message)]
 pub struct Tagged {
     #[prost(uint32, tag = "1")]
@@ -176,11 +178,11 @@
     #[prost(message, tag = "3")]
     Release(Cells),
     #[prost(message, tag = "4")]
-    ClaimsCarried(ClaimsCarried),
+    ClaimsSnapshot(ClaimsCarried),
     #[prost(message, tag = "5")]
     Config(Config),
     #[prost(message, tag = "6")]
-    ConfigCarried(ConfigCarried),
+    ConfigSnapshot(ConfigCarried),
     #[prost(message, tag = "7")]
     Open(Member),
     #[prost(message, tag = "8")]
@@ -196,7 +198,7 @@
     #[prost(message, tag = "13")]
     Ended(Step),
     #[prost(message, tag = "14")]
-    Carried(Empty),
+    Snapshot(Empty),
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -224,6 +226,7 @@
     pub sent_ms: u64,
     #[prost(uint64, tag = "2")]
     pub config_version: u64,
+    /// `is_leaving` of a heartbeat, `is_granted` of the answer to it.
     #[prost(bool, tag = "3")]
     pub flag: bool,
     #[prost(fixed64, tag = "4")]
@@ -242,7 +245,7 @@
     pub carried: Vec<CarriedLife>,
 }
 
-/// A life that is carried on at another seat.
+/// A process incarnation whose duties a process at another seat has taken over.
 #[derive(Clone, PartialEq, Message)]
 pub struct CarriedLife {
     #[prost(message, optional, tag = "1")]
@@ -257,7 +260,8 @@
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Sequence of the last batch of keys, or calls to workers so far.
+    /// Sequence number of the last batch for a cell of keys; number of calls so far for a cell of
+    /// workers.
     #[prost(uint64, tag = "3")]
     pub count: u64,
     #[prost(message, repeated, tag = "4")]
@@ -280,15 +284,17 @@
     pub asked_ms: u64,
 }
 
-/// Everything about a slot of an instance.
+/// Payload of all messages about a slot of an instance.
 #[derive(Clone, PartialEq, Message)]
-pub struct Slot {
+pub struct SlotMessage {
     #[prost(message, optional, tag = "1")]
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
     pub request: u64,
     #[prost(uint64, tag = "3")]
     pub grant: u64,
+    /// Milliseconds: `begin_in_ms` of a request, `waited_ms` of a grant, `retry_after_ms` of a
+    /// refusal.
     #[prost(uint64, tag = "4")]
     pub value: u64,
     #[prost(string, tag = "5")]
@@ -301,9 +307,9 @@
     pub next: Option<u64>,
 }
 
-/// Everything about the intent of a request.
+/// Payload of all messages about the intent of a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct IntentTalk {
+pub struct IntentMessage {
     #[prost(message, optional, tag = "1")]
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
@@ -316,9 +322,9 @@
     pub was_admitted: bool,
 }
 
-/// Everything about the submission of a job.
+/// Payload of all messages about the submission of a job.
 #[derive(Clone, PartialEq, Message)]
-pub struct JobTalk {
+pub struct JobMessage {
     #[prost(message, optional, tag = "1")]
     pub cell: Option<Cell>,
     #[prost(uint64, tag = "2")]
@@ -329,9 +335,10 @@
     pub verdict: Option<Tagged>,
 }
 
-/// Everything about an attempt of a job, between its home and its workers.
+/// Payload of all messages about an attempt of a job, between the cell that owns the job and the
+/// cell of its worker.
 #[derive(Clone, PartialEq, Message)]
-pub struct TaskTalk {
+pub struct TaskMessage {
     #[prost(message, optional, tag = "1")]
     pub home: Option<Cell>,
     #[prost(message, optional, tag = "2")]
@@ -340,8 +347,10 @@
     pub order: Option<Order>,
     #[prost(message, optional, tag = "4")]
     pub attempt: Option<Attempt>,
+    /// `is_urgent` of a reservation or start, `is_held` of the answer to a reservation.
     #[prost(bool, tag = "5")]
     pub flag: bool,
+    /// Free thousandths of a core, in the answer to a reservation.
     #[prost(uint32, tag = "6")]
     pub free: u32,
     #[prost(message, optional, tag = "7")]
@@ -355,60 +364,60 @@
     #[prost(message, tag = "10")]
     Heartbeat(Heartbeat),
     #[prost(message, tag = "11")]
-    Promise(Heartbeat),
+    LeaseVote(Heartbeat),
     #[prost(message, tag = "12")]
-    AliveAsk(Empty),
+    AliveRequest(Empty),
     #[prost(message, tag = "13")]
     Alive(Alive),
     #[prost(message, tag = "14")]
-    ConsentAsk(Consent),
+    ConsentRequest(Consent),
     #[prost(message, tag = "15")]
     Consent(Consent),
     #[prost(message, tag = "16")]
-    NotOwner(Slot),
+    NotOwner(SlotMessage),
     #[prost(message, tag = "17")]
-    GrantAsk(Slot),
+    GrantRequest(SlotMessage),
     #[prost(message, tag = "18")]
-    Granted(Slot),
+    Granted(SlotMessage),
     #[prost(message, tag = "19")]
-    Refused(Slot),
+    Refused(SlotMessage),
     #[prost(message, tag = "20")]
-    GrantCancel(Slot),
+    GrantCancel(SlotMessage),
     #[prost(message, tag = "21")]
-    Release(Slot),
+    Release(SlotMessage),
     #[prost(message, tag = "22")]
-    IntentAsk(IntentTalk),
+    IntentRequest(IntentMessage),
     #[prost(message, tag = "23")]
-    IntentAnswer(IntentTalk),
+    IntentResponse(IntentMessage),
     #[prost(message, tag = "24")]
-    IntentEnd(IntentTalk),
+    IntentOutcome(IntentMessage),
     #[prost(message, tag = "25")]
-    JobAsk(JobTalk),
+    JobRequest(JobMessage),
     #[prost(message, tag = "26")]
-    JobAnswer(JobTalk),
+    JobResponse(JobMessage),
     #[prost(message, tag = "27")]
-    Reserve(TaskTalk),
+    Reserve(TaskMessage),
     #[prost(message, tag = "28")]
-    Reserved(TaskTalk),
+    Reserved(TaskMessage),
     #[prost(message, tag = "29")]
-    Unreserve(TaskTalk),
+    Unreserve(TaskMessage),
     #[prost(message, tag = "30")]
-    Start(TaskTalk),
+    Start(TaskMessage),
     #[prost(message, tag = "31")]
-    Report(TaskTalk),
+    TaskUpdate(TaskMessage),
     #[prost(message, tag = "32")]
-    ReportNoted(TaskTalk),
+    TaskUpdateRecorded(TaskMessage),
     #[prost(message, tag = "33")]
-    Queued(Slot),
+    Queued(SlotMessage),
     #[prost(message, tag = "34")]
-    StateAsk(Empty),
+    StateRequest(Empty),
     #[prost(message, tag = "35")]
     State(Batch),
     #[prost(message, tag = "36")]
     Handover(Handover),
 }
 
-/// One frame of a link.
+/// One frame of a connection between entry hosts.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
     #[prost(uint32, tag = "1")]
