--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -1,9 +1,10 @@
-//! Judges, from what callers got, whether rules were in force in time and never went back.
+//! Checks from the answers to callers that every version of the rules was in force in time and
+//! that no host reverted to an older version.
 //!
-//! Callers ask hosts for queues that come and go with the rules. An answer shows that a queue
-//! was known or not, and so which versions may have decided it. That is all that is looked
-//! at: what hosts say of themselves counts for nothing. Tests in virtual time and the soak on
-//! real processes judge by the same code.
+//! Callers query hosts for queues that versions of the rules add and remove. An answer shows
+//! whether the host knew the queue, which limits the versions that the host may have used. Only
+//! these answers are evaluated, not what hosts report about themselves. Tests in virtual time
+//! and the soak test on real processes use the same checks.
 //!
 //! ```
 //! use goldcrestway_judge::{Answer, Limits, RulesJudge};
@@ -13,7 +14,7 @@
 //! judge.publish(2, ["new"]);
 //! judge.acknowledge(2, 10_000);
 //! let answer = Answer { host: "entry-1", queue: "old", is_known: true, sent_ms: 11_000,
-//!     answered_ms: 11_010, was_in_touch: true };
+//!     answered_ms: 11_010, was_in_contact: true };
 //! assert!(judge.judge(&answer).is_ok());
 //! assert!(judge.judge(&Answer { sent_ms: 12_001, answered_ms: 12_010, ..answer }).is_err());
 //! ```
@@ -22,44 +23,45 @@
 use std::collections::BTreeSet;
 use std::collections::HashMap;
 
-/// What is promised of rules.
+/// Limits that hosts guarantee for the rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Time after the acknowledgement by which a version decides everywhere.
+    /// Time after its acknowledgement within which a version must be in force at all hosts, in
+    /// milliseconds.
     pub in_force_ms: u64,
-    /// Time after an answer for which another one of the same host may have been decided
-    /// before it.
+    /// Time after an answer, in milliseconds. The same host may have decided the answer to a
+    /// request that was sent within this time before it decided the first answer.
     pub order_slack_ms: u64,
 }
 
-/// An answer to a caller who asked for a queue.
+/// An answer of a host to a caller that queried a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer<'a> {
-    /// Which life of which host answered.
+    /// Host that answered, with its incarnation.
     pub host: &'a str,
-    /// The queue asked for.
+    /// Queue that was queried.
     pub queue: &'a str,
-    /// The answer is that of a queue that is there.
+    /// Whether the host knew the queue.
     pub is_known: bool,
-    /// When the caller asked.
+    /// Time at which the caller sent the query, in milliseconds.
     pub sent_ms: u64,
-    /// When the caller had the answer.
+    /// Time at which the caller received the answer, in milliseconds.
     pub answered_ms: u64,
-    /// Nothing had disturbed the host, the store, or what lies between them for long enough
-    /// that it must be current.
-    pub was_in_touch: bool,
+    /// Whether the host, the store and the network between them had been free of faults for so
+    /// long that the host must know the current rules.
+    pub was_in_contact: bool,
 }
 
 quick_error! {
-    /// An answer that must not have been given.
+    /// An answer that violates the guarantees for the rules.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum Fault {
-        /// Only older rules decide so.
+        /// Only versions older than the one that had to be in force explain the answer.
         Late(host: Box<str>, queue: Box<str>, sent_ms: u64, shown: u64, acked: u64) {
             display("{host}, asked for {queue} at {sent_ms} ms: answered by version {shown} \
                 or older; version {acked} was acknowledged in time")
         }
-        /// The host had gone by newer rules before.
+        /// The answer contradicts a newer version that the host had used before.
         Reverted(host: Box<str>, queue: Box<str>, sent_ms: u64, shown: u64) {
             display("{host}, asked for {queue} at {sent_ms} ms: answered by rules from before \
                 version {shown}, which it had gone by already")
@@ -67,50 +69,52 @@
     }
 }
 
-/// Rules as published.
+/// A published version of the rules.
 #[derive(Debug)]
-struct Published {
+struct PublishedRules {
     version: u64,
     queues: BTreeSet<Box<str>>,
     acked_ms: Option<u64>,
 }
 
-/// The oldest rules that a host may still go by.
+/// The oldest version of the rules that a host may still use.
 #[derive(Debug, Clone, Copy, Default)]
-struct Floor {
-    /// Place in the list of what was published.
-    at: usize,
-    shown_ms: u64,
+struct OldestVersion {
+    /// Index in the list of published versions.
+    index: usize,
+    /// Time at which a caller received the answer that proved it, in milliseconds.
+    answered_ms: u64,
 }
 
-/// Keeps what was published and what each host has shown.
+/// Records the published versions and the oldest version that each host may still use.
 #[derive(Debug)]
 pub struct RulesJudge {
     limits: Limits,
-    published: Vec<Published>,
-    floors: HashMap<Box<str>, Floor>,
+    published: Vec<PublishedRules>,
+    oldest_versions: HashMap<Box<str>, OldestVersion>,
 }
 
 impl RulesJudge {
-    /// Makes a judge that knows of no rules yet.
+    /// Creates a judge without any published rules.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             published: Vec::new(),
-            floors: HashMap::new(),
+            oldest_versions: HashMap::new(),
         }
     }
 
-    /// Notes that rules are being published; from now on they may decide. Versions rise.
+    /// Records that a version of the rules is being published. Hosts may use it from now on.
+    /// Versions must be published in ascending order.
     pub fn publish<'a>(&mut self, version: u64, queues: impl IntoIterator<Item = &'a str>) {
-        self.published.push(Published {
+        self.published.push(PublishedRules {
             version,
             queues: queues.into_iter().map(Into::into).collect(),
             acked_ms: None,
         });
     }
 
-    /// Notes when the store acknowledged a version.
+    /// Records when the store acknowledged a version, in milliseconds.
     pub fn acknowledge(&mut self, version: u64, acked_ms: u64) {
         for published in &mut self.published {
             if published.version == version {
@@ -119,53 +123,59 @@
         }
     }
 
-    /// Judges one answer. Answers of a host come in the order in which callers had them.
+    /// Checks one answer. The answers of a host must be passed in the order in which callers
+    /// received them.
     ///
     /// # Errors
     ///
-    /// The answer was decided by rules that must not have decided any more.
+    /// Returns a fault if only versions that the host must not use any more explain the answer.
     pub fn judge(&mut self, answer: &Answer<'_>) -> Result<(), Fault> {
-        let decides_so =
-            |published: &Published| published.queues.contains(answer.queue) == answer.is_known;
-        let newest = self.published.iter().rposition(decides_so);
-        if answer.was_in_touch {
+        let explains_answer =
+            |published: &PublishedRules| published.queues.contains(answer.queue) == answer.is_known;
+        let newest = self.published.iter().rposition(explains_answer);
+        if answer.was_in_contact {
             self.check_late(answer, newest)?;
         }
-        let floor = self.floors.get(answer.host).copied().unwrap_or_default();
-        if answer.sent_ms <= floor.shown_ms + self.limits.order_slack_ms && floor.at > 0 {
+        let oldest = self
+            .oldest_versions
+            .get(answer.host)
+            .copied()
+            .unwrap_or_default();
+        if answer.sent_ms <= oldest.answered_ms + self.limits.order_slack_ms && oldest.index > 0 {
             return Ok(());
         }
-        let later = &self.published[floor.at..];
-        let Some(ahead) = later.iter().position(decides_so) else {
+        let candidates = &self.published[oldest.index..];
+        let Some(offset) = candidates.iter().position(explains_answer) else {
             return Err(Fault::Reverted(
                 answer.host.into(),
                 answer.queue.into(),
                 answer.sent_ms,
-                self.published[floor.at].version,
+                self.published[oldest.index].version,
             ));
         };
-        if ahead > 0 {
-            let floor = Floor {
-                at: floor.at + ahead,
-                shown_ms: answer.answered_ms,
+        if offset > 0 {
+            let oldest = OldestVersion {
+                index: oldest.index + offset,
+                answered_ms: answer.answered_ms,
             };
-            self.floors.insert(answer.host.into(), floor);
+            self.oldest_versions.insert(answer.host.into(), oldest);
         }
         Ok(())
     }
 
-    /// Checks that the newest rules that decide so are as new as those that had to.
+    /// Checks that the newest version that explains the answer is not older than the newest
+    /// version that had to be in force.
     fn check_late(&self, answer: &Answer<'_>, newest: Option<usize>) -> Result<(), Fault> {
         let in_force_ms = self.limits.in_force_ms;
-        let is_due = |published: &Published| {
+        let must_be_in_force = |published: &PublishedRules| {
             published
                 .acked_ms
                 .is_some_and(|acked_ms| answer.sent_ms > acked_ms + in_force_ms)
         };
-        let Some(due) = self.published.iter().rposition(is_due) else {
+        let Some(required) = self.published.iter().rposition(must_be_in_force) else {
             return Ok(());
         };
-        if newest.is_some_and(|newest| newest >= due) {
+        if newest.is_some_and(|newest| newest >= required) {
             return Ok(());
         }
         Err(Fault::Late(
@@ -173,7 +183,7 @@
             answer.queue.into(),
             answer.sent_ms,
             newest.map_or(0, |newest| self.published[newest].version),
-            self.published[due].version,
+            self.published[required].version,
         ))
     }
 }
--- a/crates/judge/tests/answers.rs
+++ b/crates/judge/tests/answers.rs
@@ -1,44 +1,44 @@
-//! Answers that rules allow and that they don't.
+//! Tests of which answers the judge accepts and which it reports as faults.
 
 use goldcrestway_judge::Answer;
 use goldcrestway_judge::Limits;
 use goldcrestway_judge::RulesJudge;
 use googletest::prelude::*;
 
-/// An answer of a host after three versions: queue `a` goes with version 2, `b` comes with
-/// version 3, both acknowledged at 10 s.
+/// An answer of a host after three versions of the rules: version 2 removes queue `a` and version
+/// 3 adds queue `b`. Both were acknowledged at 10 s.
 struct Case {
     name: &'static str,
     queue: &'static str,
     is_known: bool,
     sent_ms: u64,
-    was_in_touch: bool,
+    was_in_contact: bool,
     is_allowed: bool,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "a dropped queue, within the time",
+        name: "a removed queue is served in time",
         queue: "a",
         is_known: true,
         sent_ms: 12_000,
-        was_in_touch: true,
+        was_in_contact: true,
         is_allowed: true,
     },
     Case {
-        name: "a dropped queue, too late",
+        name: "a removed queue is served too late",
         queue: "a",
         is_known: true,
         sent_ms: 12_001,
-        was_in_touch: true,
+        was_in_contact: true,
         is_allowed: false,
     },
     Case {
-        name: "a dropped queue, too late, by a host out of touch",
+        name: "a removed queue is served too late by a host without contact to the store",
         queue: "a",
         is_known: true,
         sent_ms: 12_001,
-        was_in_touch: false,
+        was_in_contact: false,
         is_allowed: true,
     },
     Case {
@@ -46,7 +46,7 @@
         queue: "b",
         is_known: false,
         sent_ms: 12_001,
-        was_in_touch: true,
+        was_in_contact: true,
         is_allowed: false,
     },
     Case {
@@ -54,7 +54,7 @@
         queue: "b",
         is_known: true,
         sent_ms: 12_001,
-        was_in_touch: true,
+        was_in_contact: true,
         is_allowed: true,
     },
 ];
@@ -79,15 +79,15 @@
         is_known,
         sent_ms,
         answered_ms: sent_ms + 10,
-        was_in_touch: true,
+        was_in_contact: true,
     }
 }
 
 #[gtest]
-fn answers_are_judged_by_what_was_acknowledged_in_time() {
+fn answers_after_the_limit_must_match_acknowledged_rules() {
     for case in CASES {
         let answer = Answer {
-            was_in_touch: case.was_in_touch,
+            was_in_contact: case.was_in_contact,
             ..answer(case.queue, case.is_known, case.sent_ms)
         };
         let verdict = judge().judge(&answer);
@@ -95,18 +95,19 @@
     }
 }
 
-/// A host that has gone by newer rules goes by older ones, out of touch or not.
+/// A host that has used newer rules must not use older ones again, even without contact to the
+/// store.
 #[gtest]
-fn a_host_that_goes_back_is_found() {
+fn a_host_that_reverts_to_older_rules_is_reported() {
     let mut judge = judge();
     expect_that!(judge.judge(&answer("b", true, 10_100)), ok(eq(&())));
-    let mut back = answer("b", false, 10_300);
-    back.was_in_touch = false;
-    // It may have been decided before the other one.
-    expect_that!(judge.judge(&back), ok(eq(&())));
-    back.sent_ms = 10_400;
-    expect_that!(judge.judge(&back), err(anything()));
-    // Another life of the host begins anew.
-    back.host = "entry-1 again";
-    expect_that!(judge.judge(&back), ok(eq(&())));
+    let mut reverted = answer("b", false, 10_300);
+    reverted.was_in_contact = false;
+    // The host may have decided this answer before the previous one.
+    expect_that!(judge.judge(&reverted), ok(eq(&())));
+    reverted.sent_ms = 10_400;
+    expect_that!(judge.judge(&reverted), err(anything()));
+    // Another incarnation of the host has used no rules yet.
+    reverted.host = "entry-1 again";
+    expect_that!(judge.judge(&reverted), ok(eq(&())));
 }
--- a/tests/fleet/rules.rs
+++ b/tests/fleet/rules.rs
@@ -26,7 +26,7 @@
     generation: u64,
     queue: Box<str>,
     sent_ms: u64,
-    was_in_touch: bool,
+    was_in_contact: bool,
 }
 
 /// Answers to callers, checked against the published rules.
@@ -109,7 +109,7 @@
             generation: fleet.hosts[number].generation,
             queue: name(letter).into(),
             sent_ms: fleet.now_ms,
-            was_in_touch: self.is_in_touch(number, fleet.now_ms),
+            was_in_contact: self.is_in_touch(number, fleet.now_ms),
         });
     }
 
@@ -145,23 +145,23 @@
     }
 
     fn check_reply(&mut self, query: &PendingQuery, reply: &Reply, now_ms: u64) {
-        let was_in_touch = query.was_in_touch && self.is_in_touch(query.number, now_ms);
+        let was_in_contact = query.was_in_contact && self.is_in_touch(query.number, now_ms);
         let is_known = match reply {
             Reply::Waiting(_) => true,
             Reply::NoSuchQueue => false,
             _ => {
-                self.deferred_answers += u32::from(was_in_touch);
+                self.deferred_answers += u32::from(was_in_contact);
                 return;
             }
         };
-        self.definite_answers += u32::from(was_in_touch);
+        self.definite_answers += u32::from(was_in_contact);
         let verdict = self.judge.judge(&Answer {
             host: &format!("{}/{}", query.number, query.generation),
             queue: &query.queue,
             is_known,
             sent_ms: query.sent_ms,
             answered_ms: now_ms,
-            was_in_touch,
+            was_in_contact,
         });
         if let Err(fault) = verdict {
             self.broken.push(fault.to_string());
