--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -83,7 +83,7 @@
     /// Index in the list of published versions.
     index: usize,
     /// Time at which a caller received the answer that proved it, in milliseconds.
-    answered_ms: u64,
+    proven_ms: u64,
 }
 
 /// Records the published versions and the oldest version that each host may still use.
@@ -141,7 +141,7 @@
             .get(answer.host)
             .copied()
             .unwrap_or_default();
-        if answer.sent_ms <= oldest.answered_ms + self.limits.order_slack_ms && oldest.index > 0 {
+        if answer.sent_ms <= oldest.proven_ms + self.limits.order_slack_ms && oldest.index > 0 {
             return Ok(());
         }
         let candidates = &self.published[oldest.index..];
@@ -156,7 +156,7 @@
         if offset > 0 {
             let oldest = OldestVersion {
                 index: oldest.index + offset,
-                answered_ms: answer.answered_ms,
+                proven_ms: answer.answered_ms,
             };
             self.oldest_versions.insert(answer.host.into(), oldest);
         }
