--- a/crates/core/src/node/keys/mod.rs
+++ b/crates/core/src/node/keys/mod.rs
@@ -2,7 +2,7 @@
 
 mod intents;
 mod jobs;
-mod room;
+mod reservations;
 mod stream;
 mod submissions;
 
