--- a/crates/core/src/node/keys/intents.rs
+++ b/crates/core/src/node/keys/intents.rs
@@ -1,7 +1,7 @@
 //! Identities of non-idempotent requests, at their owner.
 
 use super::super::Node;
-use super::LOG_AWAY_RETRY_MS;
+use super::LOG_UNAVAILABLE_RETRY_MS;
 use crate::identity::Admission;
 use crate::identity::State;
 use crate::ids::Cell;
@@ -12,21 +12,21 @@
 use crate::record::Record;
 
 impl Node {
-    pub(super) fn intent_stands(&mut self, number: u16, identity: u128, fingerprint: u64) {
+    pub(super) fn apply_intent(&mut self, number: u16, identity: u128, fingerprint: u64) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let Some((asker, request)) = cell.intent_askers.get(&identity).copied() else {
+        let Some((requester, request)) = cell.intent_requesters.get(&identity).copied() else {
             // Its caller gave up meanwhile; the record of that follows.
             return;
         };
         cell.identities.begin(now_ms, identity, fingerprint);
         let verdict = IntentVerdict::Proceed;
-        self.send(asker.seat, Message::IntentResponse { request, verdict });
+        self.send(requester.seat, Message::IntentResponse { request, verdict });
     }
 
-    pub(super) fn ask_intent(
+    pub(super) fn handle_intent_request(
         &mut self,
         number: u16,
         from: Member,
@@ -35,9 +35,9 @@
         fingerprint: u64,
     ) -> Option<IntentVerdict> {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_away();
+        let is_unavailable = self.claims_log.is_away();
         let cell = self.keys.get_mut(&number)?;
-        let is_same = cell.intent_askers.get(&identity) == Some(&(from, request));
+        let is_same = cell.intent_requesters.get(&identity) == Some(&(from, request));
         match cell.identities.admit(now_ms, identity, fingerprint) {
             Admission::Conflict => Some(IntentVerdict::Conflict),
             // The asker did not hear the first answer.
@@ -47,13 +47,13 @@
             Admission::Known(State::Ended { outcome, status }) => {
                 Some(IntentVerdict::Ended { outcome, status })
             }
-            Admission::New if is_away => {
+            Admission::New if is_unavailable => {
                 cell.identities.withdraw(identity);
-                let retry_after_ms = LOG_AWAY_RETRY_MS;
+                let retry_after_ms = LOG_UNAVAILABLE_RETRY_MS;
                 Some(IntentVerdict::Refused { retry_after_ms })
             }
             Admission::New => {
-                cell.intent_askers.insert(identity, (from, request));
+                cell.intent_requesters.insert(identity, (from, request));
                 let record = Record::Intent {
                     identity,
                     fingerprint,
@@ -71,7 +71,7 @@
     /// though the first request with it did run, and the next repeat runs again.
     /// Only the request that was told to go may free an identity. After a take-over
     /// the owner does not know which one that was, so it must say so itself.
-    pub(super) fn end_intent(&mut self, from: Member, ended: IntentEnded) {
+    pub(super) fn handle_intent_outcome(&mut self, from: Member, ended: ReportedOutcome) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         let identity = ended.identity;
         let Cell::Keys(number) = ended.cell else {
@@ -80,14 +80,14 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let is_let_go = match cell.intent_askers.get(&identity) {
-            Some((asker, request)) => (asker.seat, *request) == (from.seat, ended.request),
+        let is_admitted_request = match cell.intent_requesters.get(&identity) {
+            Some((requester, request)) => (requester.seat, *request) == (from.seat, ended.request),
             None => ended.was_admitted && cell.identities.state(identity) == Some(State::Begun),
         };
-        if !is_let_go {
+        if !is_admitted_request {
             return;
         }
-        cell.intent_askers.remove(&identity);
+        cell.intent_requesters.remove(&identity);
         cell.identities.end(identity, ended.outcome, ended.status);
         let record = Record::IntentEnded {
             identity,
@@ -100,7 +100,7 @@
 
 /// The end of a request with an identity, as its entry host tells it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct IntentEnded {
+pub(super) struct ReportedOutcome {
     pub(super) cell: Cell,
     pub(super) request: u64,
     pub(super) identity: u128,
--- a/crates/core/src/node/keys/jobs.rs
+++ b/crates/core/src/node/keys/jobs.rs
@@ -1,11 +1,11 @@
 //! Jobs at their home: what stands in the log, and what cells of workers report.
 
 use super::super::Node;
-use super::ANSWER_MS;
-use super::CRASHES;
-use super::FAILURES;
+use super::ANSWER_TIMEOUT_MS;
 use super::KeyCell;
-use super::LOG_AWAY_RETRY_MS;
+use super::LOG_UNAVAILABLE_RETRY_MS;
+use super::MAX_CRASHES;
+use super::MAX_FAILURES;
 use crate::ids::Cell;
 use crate::ids::Member;
 use crate::jobs::JobKey;
@@ -48,7 +48,7 @@
         job.is_some_and(|job| self.is_urgent(&job.spec.job))
     }
 
-    pub(super) fn acceptance_stands(&mut self, number: u16, spec: &JobSpec) {
+    pub(super) fn apply_acceptance(&mut self, number: u16, spec: &JobSpec) {
         let now_ms = self.now_ms;
         let is_urgent = self.is_urgent(&spec.job);
         let Some(cell) = self.keys.get_mut(&number) else {
@@ -57,55 +57,61 @@
         if let Some((key, _)) = cell.jobs.find(&spec.id) {
             cell.jobs.enqueue(now_ms, key, is_urgent, false);
         }
-        if let Some((asker, request)) = cell.job_askers.remove(&spec.id) {
+        if let Some((requester, request)) = cell.job_requesters.remove(&spec.id) {
             let verdict = JobVerdict::Accepted(JobState::Queued);
-            self.send(asker.seat, Message::JobResponse { request, verdict });
+            self.send(requester.seat, Message::JobResponse { request, verdict });
         }
         self.note(Code::JobAccepted, &*spec.id, &*spec.job);
     }
 
-    pub(super) fn assignment_stands(&mut self, number: u16, id: &str, attempt: u32, workers: Cell) {
+    pub(super) fn apply_assignment(
+        &mut self,
+        number: u16,
+        id: &str,
+        attempt: u32,
+        worker_cell: Cell,
+    ) {
         let Some(key) = self.job_key(number, id) else {
             return;
         };
         self.note(
             Code::JobAssigned,
             id,
-            format!("attempt {attempt}, {workers}"),
+            format!("attempt {attempt}, {worker_cell}"),
         );
-        self.order_start_of(number, key, workers, false);
+        self.send_start_order(number, key, worker_cell, false);
     }
 
-    pub(super) fn order_start_of(
+    pub(super) fn send_start_order(
         &mut self,
         number: u16,
         key: JobKey,
-        workers: Cell,
+        worker_cell: Cell,
         is_repeat: bool,
     ) {
         let now_ms = self.now_ms;
-        let Some((order, is_urgent)) = self.order_of(number, key, 0) else {
+        let Some((order, is_urgent)) = self.make_order(number, key, 0) else {
             return;
         };
         if let Some(cell) = self.keys.get_mut(&number) {
             let state = JobState::Starting {
-                cell: workers,
+                cell: worker_cell,
                 asked_ms: now_ms,
             };
             cell.jobs.set_state(key, state);
         }
         let start = Message::Start {
             home: Cell::Keys(number),
-            cell: workers,
+            cell: worker_cell,
             order,
             is_urgent,
             is_repeat,
         };
-        self.send_to_owner(workers, start);
+        self.send_to_owner(worker_cell, start);
     }
 
     /// Writes the order for a job's attempt, `ahead` of its latest one.
-    pub(super) fn order_of(
+    pub(super) fn make_order(
         &self,
         number: u16,
         key: JobKey,
@@ -125,7 +131,7 @@
         Some((order, kind.urgent))
     }
 
-    pub(super) fn eviction_stands(
+    pub(super) fn apply_eviction(
         &mut self,
         number: u16,
         id: &str,
@@ -150,7 +156,7 @@
         self.acknowledge_recorded_update(number, key, id, attempt);
     }
 
-    pub(super) fn end_stands(&mut self, number: u16, id: &str, attempt: u32, end: JobEnd) {
+    pub(super) fn apply_end(&mut self, number: u16, id: &str, attempt: u32, end: JobEnd) {
         let now_ms = self.now_ms;
         let Some(key) = self.job_key(number, id) else {
             return;
@@ -161,7 +167,7 @@
         self.note(Code::JobEnded, id, format!("{end:?}"));
         self.acknowledge_recorded_update(number, key, id, attempt);
         if let Some(cell) = self.keys.get_mut(&number) {
-            cell.last_cell.remove(&key);
+            cell.last_worker_cell.remove(&key);
         }
     }
 
@@ -176,7 +182,7 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let Some(workers) = cell.last_cell.get(&key).copied() else {
+        let Some(worker_cell) = cell.last_worker_cell.get(&key).copied() else {
             return;
         };
         let attempt = AttemptId {
@@ -184,13 +190,13 @@
             attempt,
         };
         let acknowledge_update = Message::TaskUpdateRecorded {
-            cell: workers,
+            cell: worker_cell,
             attempt,
         };
-        self.send_to_owner(workers, acknowledge_update);
+        self.send_to_owner(worker_cell, acknowledge_update);
     }
 
-    pub(super) fn ask_job(
+    pub(super) fn handle_job_request(
         &mut self,
         number: u16,
         from: Member,
@@ -198,21 +204,21 @@
         spec: &JobSpec,
     ) -> Option<JobVerdict> {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_away();
+        let is_unavailable = self.claims_log.is_away();
         let cell = self.keys.get_mut(&number)?;
         match cell.jobs.submit(now_ms, spec) {
             Submitted::Known(JobState::Accepting) => {
-                cell.job_askers.insert(spec.id.clone(), (from, request));
+                cell.job_requesters.insert(spec.id.clone(), (from, request));
                 None
             }
             Submitted::Known(state) => Some(JobVerdict::Accepted(state)),
-            Submitted::New(_) if is_away => {
+            Submitted::New(_) if is_unavailable => {
                 cell.jobs.withdraw(&spec.id);
-                let retry_after_ms = LOG_AWAY_RETRY_MS;
+                let retry_after_ms = LOG_UNAVAILABLE_RETRY_MS;
                 Some(JobVerdict::Refused { retry_after_ms })
             }
             Submitted::New(_) => {
-                cell.job_askers.insert(spec.id.clone(), (from, request));
+                cell.job_requesters.insert(spec.id.clone(), (from, request));
                 cell.writer.push(now_ms, Record::Accepted(spec.clone()));
                 None
             }
@@ -220,10 +226,10 @@
     }
 
     /// A cell of workers says that an attempt runs or has ended.
-    pub(super) fn reported(
+    pub(super) fn handle_task_update(
         &mut self,
         home: Cell,
-        workers: Cell,
+        worker_cell: Cell,
         attempt: &AttemptId,
         end: Option<TaskEnd>,
     ) {
@@ -235,24 +241,24 @@
             return;
         };
         let Some((key, job)) = cell.jobs.find(&attempt.id) else {
-            self.acknowledge_update(workers, attempt, end.is_some());
+            self.acknowledge_update(worker_cell, attempt, end.is_some());
             return;
         };
         let (state, latest, name) = (job.state, job.attempt, job.spec.job.clone());
         let is_open = matches!(state, JobState::Starting { .. } | JobState::Running { .. });
         if attempt.attempt < latest || (!is_open && !matches!(state, JobState::Recording { .. })) {
             // Its end stands in the log already: a late or repeated report.
-            self.acknowledge_update(workers, attempt, end.is_some());
+            self.acknowledge_update(worker_cell, attempt, end.is_some());
             return;
         }
         if !is_open {
             return;
         }
-        cell.last_cell.insert(key, workers);
+        cell.last_worker_cell.insert(key, worker_cell);
         let Some(end) = end else {
             if matches!(state, JobState::Starting { .. }) {
                 cell.jobs
-                    .set_state(key, JobState::Running { cell: workers });
+                    .set_state(key, JobState::Running { cell: worker_cell });
                 self.note(
                     Code::JobStarted,
                     &*attempt.id,
@@ -266,9 +272,9 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let record = record_of(cell, key, attempt, end, is_never_twice);
+        let record = make_end_record(cell, key, attempt, end, is_never_twice);
         cell.jobs
-            .set_state(key, JobState::Recording { cell: workers });
+            .set_state(key, JobState::Recording { cell: worker_cell });
         cell.writer.push(now_ms, record);
     }
 
@@ -280,7 +286,7 @@
     }
 
     /// Asks again where a cell of workers has not answered.
-    pub(super) fn chase_overdue(&mut self, number: u16) {
+    pub(super) fn retry_overdue(&mut self, number: u16) {
         let now_ms = self.now_ms;
         if self.open_number(Cell::Keys(number)).is_none() {
             return;
@@ -291,21 +297,21 @@
         if cell.writer.has_pending_snapshot() {
             return;
         }
-        let overdue = cell.jobs.overdue(now_ms, ANSWER_MS);
-        let is_any_overdue = !overdue.is_empty();
+        let overdue = cell.jobs.overdue(now_ms, ANSWER_TIMEOUT_MS);
+        let has_overdue = !overdue.is_empty();
         for key in overdue {
             let job = self.keys.get(&number).and_then(|cell| cell.jobs.get(key));
             match job.map(|job| job.state) {
                 Some(JobState::Starting { cell, .. }) => {
-                    self.order_start_of(number, key, cell, true);
+                    self.send_start_order(number, key, cell, true);
                 }
                 Some(JobState::Reserving { .. }) => {
-                    self.room_refused(number, key);
+                    self.handle_refused_reservation(number, key);
                 }
                 _ => {}
             }
         }
-        if is_any_overdue {
+        if has_overdue {
             // Its kind may have gone while a cell of workers was asked.
             self.cancel_unlisted(number);
         }
@@ -313,7 +319,7 @@
 }
 
 /// Decides what the end of an attempt means for its job.
-fn record_of(
+fn make_end_record(
     cell: &KeyCell,
     key: JobKey,
     attempt: &AttemptId,
@@ -337,8 +343,8 @@
         checkpoint,
         failure_counts,
     };
-    let again = |failure_counts: FailureCounts| match failure_counts.failures >= FAILURES
-        || failure_counts.crashes >= CRASHES
+    let again = |failure_counts: FailureCounts| match failure_counts.failures >= MAX_FAILURES
+        || failure_counts.crashes >= MAX_CRASHES
     {
         true => ended(JobEnd::Failed),
         false => evicted(0, failure_counts),
--- a/crates/core/src/node/keys/mod.rs
+++ b/crates/core/src/node/keys/mod.rs
@@ -21,18 +21,18 @@
 use crate::record::JobSpec;
 use crate::record::Record;
 use crate::writer::Writer;
-use intents::IntentEnded;
+use intents::ReportedOutcome;
 use std::collections::HashMap;
 
 /// How long a cell of workers may take to answer before it is asked again.
-const ANSWER_MS: u64 = 1_000;
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
 /// Times a job may fail by itself before it counts as failed.
-const FAILURES: u32 = 3;
+const MAX_FAILURES: u32 = 3;
 /// Workers that may restart under a job before it counts as failed. Hosts crash by themselves, too,
 /// but hardly as often under one job.
-const CRASHES: u32 = 5;
+const MAX_CRASHES: u32 = 5;
 /// When asking again makes sense while the log is away.
-const LOG_AWAY_RETRY_MS: u64 = 2_000;
+const LOG_UNAVAILABLE_RETRY_MS: u64 = 2_000;
 /// When asking again makes sense while a cell has no owner that may act.
 const NO_OWNER_RETRY_MS: u64 = 1_000;
 
@@ -43,16 +43,16 @@
     pub(super) writer: Writer,
     filter: BatchFilter,
     position: u64,
-    read_asked_ms: Option<u64>,
+    read_sent_ms: Option<u64>,
     next_read_ms: u64,
     identities: IdentityTable,
     pub(super) jobs: JobTable,
-    intent_askers: HashMap<u128, (Member, u64)>,
-    job_askers: HashMap<Box<str>, (Member, u64)>,
-    reserving: usize,
+    intent_requesters: HashMap<u128, (Member, u64)>,
+    job_requesters: HashMap<Box<str>, (Member, u64)>,
+    pending_reservations: usize,
     records_since_snapshot: u64,
     last_snapshot_ms: u64,
-    last_cell: HashMap<JobKey, Cell>,
+    last_worker_cell: HashMap<JobKey, Cell>,
 }
 
 impl KeyCell {
@@ -64,16 +64,16 @@
             writer,
             filter: BatchFilter::default(),
             position: 0,
-            read_asked_ms: None,
+            read_sent_ms: None,
             next_read_ms: 0,
             identities: IdentityTable::default(),
             jobs: JobTable::default(),
-            intent_askers: HashMap::new(),
-            job_askers: HashMap::new(),
-            reserving: 0,
+            intent_requesters: HashMap::new(),
+            job_requesters: HashMap::new(),
+            pending_reservations: 0,
             records_since_snapshot: 0,
             last_snapshot_ms: now_ms,
-            last_cell: HashMap::new(),
+            last_worker_cell: HashMap::new(),
         }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Gives the cell as it is handed over.
-    pub(super) fn handed(&self, number: u16) -> KeyHandover {
+    pub(super) fn make_handover(&self, number: u16) -> KeyHandover {
         KeyHandover {
             number,
             term: self.term,
@@ -160,21 +160,21 @@
     /// never stands there. The carrier has the job started, the next owner reads
     /// the log without the assignment, and starts it again. So what was handed over
     /// goes into the log before anything is ordered on the strength of it.
-    pub(super) fn open_handed_keys(&mut self, handed: &KeyHandover) {
+    pub(super) fn open_handover_keys(&mut self, handover: &KeyHandover) {
         let now_ms = self.now_ms;
-        let mut cell = KeyCell::new(now_ms, Writer::new(handed.term, handed.sequence));
+        let mut cell = KeyCell::new(now_ms, Writer::new(handover.term, handover.sequence));
         cell.is_open = true;
-        cell.filter.term = handed.term;
-        cell.filter.sequence = handed.sequence;
-        apply_batch(now_ms, &mut cell, &handed.records);
+        cell.filter.term = handover.term;
+        cell.filter.sequence = handover.sequence;
+        apply_batch(now_ms, &mut cell, &handover.records);
         cell.jobs.resume(now_ms, self.config.inventory());
         let records = cell.snapshot_records();
         cell.writer.push_alone(records);
-        self.keys.insert(handed.number, cell);
+        self.keys.insert(handover.number, cell);
     }
 
     /// Acts on records that now stand in the log, if this member still may.
-    fn take_effect(&mut self, number: u16, records: Vec<Record>) {
+    fn apply_committed(&mut self, number: u16, records: Vec<Record>) {
         if records.is_empty() || self.acts_until_ms().is_none() {
             return;
         }
@@ -187,11 +187,11 @@
                     identity,
                     fingerprint,
                 } => {
-                    self.intent_stands(number, identity, fingerprint);
+                    self.apply_intent(number, identity, fingerprint);
                 }
-                Record::Accepted(spec) => self.acceptance_stands(number, &spec),
+                Record::Accepted(spec) => self.apply_acceptance(number, &spec),
                 Record::Assigned { id, cell, attempt } => {
-                    self.assignment_stands(number, &id, attempt, cell);
+                    self.apply_assignment(number, &id, attempt, cell);
                 }
                 Record::Evicted {
                     id,
@@ -199,9 +199,9 @@
                     checkpoint,
                     failure_counts,
                 } => {
-                    self.eviction_stands(number, &id, attempt, checkpoint, failure_counts);
+                    self.apply_eviction(number, &id, attempt, checkpoint, failure_counts);
                 }
-                Record::Ended { id, attempt, end } => self.end_stands(number, &id, attempt, end),
+                Record::Ended { id, attempt, end } => self.apply_end(number, &id, attempt, end),
                 _ => {}
             }
         }
@@ -232,7 +232,8 @@
                     self.send(from.seat, Message::NotOwner { cell, request });
                     return;
                 };
-                if let Some(verdict) = self.ask_intent(number, from, request, identity, fingerprint)
+                if let Some(verdict) =
+                    self.handle_intent_request(number, from, request, identity, fingerprint)
                 {
                     self.send(from.seat, Message::IntentResponse { request, verdict });
                 }
@@ -246,7 +247,7 @@
                 outcome,
                 status,
             } => {
-                let ended = IntentEnded {
+                let ended = ReportedOutcome {
                     cell,
                     request,
                     identity,
@@ -254,7 +255,7 @@
                     outcome,
                     status,
                 };
-                self.end_intent(from, ended);
+                self.handle_intent_outcome(from, ended);
             }
             Message::JobRequest {
                 cell,
@@ -265,7 +266,7 @@
                     self.send(from.seat, Message::NotOwner { cell, request });
                     return;
                 };
-                if let Some(verdict) = self.ask_job(number, from, request, &spec) {
+                if let Some(verdict) = self.handle_job_request(number, from, request, &spec) {
                     self.send(from.seat, Message::JobResponse { request, verdict });
                 }
                 self.step_writer(Stream::Keys(number));
@@ -276,13 +277,13 @@
                 attempt,
                 is_held,
                 free_millicores,
-            } => self.reserved(home, cell, &attempt, is_held, free_millicores),
+            } => self.handle_reserved(home, cell, &attempt, is_held, free_millicores),
             Message::TaskUpdate {
                 home,
                 cell,
                 attempt,
                 end,
-            } => self.reported(home, cell, &attempt, end),
+            } => self.handle_task_update(home, cell, &attempt, end),
             _ => {}
         }
     }
@@ -301,7 +302,7 @@
         let may_act = self.acts_until_ms().is_some();
         for number in self.keys.keys().copied().collect::<Vec<u16>>() {
             if may_act {
-                self.look_for_room(number);
+                self.request_resources(number);
             }
             self.step_writer(Stream::Keys(number));
             if self.keys.get(&number).is_some_and(|cell| !cell.is_open) {
@@ -312,14 +313,14 @@
 
     pub(super) fn tick_keys_slow(&mut self) {
         let now_ms = self.now_ms;
-        self.ask_again_for_jobs();
+        self.retry_submissions();
         self.snapshot_shared_streams();
         let window_ms = self.limits.identity_window_ms;
         for number in self.keys.keys().copied().collect::<Vec<u16>>() {
             if self.claims_log.is_away() {
                 self.refuse_unsent(number);
             }
-            self.chase_overdue(number);
+            self.retry_overdue(number);
             let Some(cell) = self.keys.get_mut(&number) else {
                 continue;
             };
--- a/crates/core/src/node/keys/stream.rs
+++ b/crates/core/src/node/keys/stream.rs
@@ -1,7 +1,7 @@
 //! The stream of a cell of keys: read at a take-over, written in batches.
 
 use super::super::Node;
-use super::LOG_AWAY_RETRY_MS;
+use super::LOG_UNAVAILABLE_RETRY_MS;
 use super::apply_batch;
 use crate::event::Action;
 use crate::event::StreamPage;
@@ -16,23 +16,23 @@
 impl Node {
     pub(in crate::node) fn read_keys(&mut self, number: u16) {
         let now_ms = self.now_ms;
-        let patience_ms = self.limits.append_timeout_ms * 4;
+        let timeout_ms = self.limits.append_timeout_ms * 4;
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
         let is_reading = cell
-            .read_asked_ms
-            .is_some_and(|asked| now_ms < asked + patience_ms);
+            .read_sent_ms
+            .is_some_and(|asked| now_ms < asked + timeout_ms);
         if is_reading || now_ms < cell.next_read_ms {
             return;
         }
-        cell.read_asked_ms = Some(now_ms);
+        cell.read_sent_ms = Some(now_ms);
         cell.next_read_ms = now_ms + self.limits.poll_ms / 5;
         let (stream, from) = (Stream::Keys(number), cell.position);
         self.out.push(Action::Read { stream, from });
     }
 
-    pub(in crate::node) fn keys_appended(
+    pub(in crate::node) fn handle_keys_appended(
         &mut self,
         number: u16,
         sequence: u64,
@@ -53,15 +53,15 @@
         let records = cell.writer.committed(sequence);
         cell.position = cell.position.max(offset + 1);
         cell.filter.sequence = cell.filter.sequence.max(sequence);
-        self.take_effect(number, records);
+        self.apply_committed(number, records);
     }
 
-    pub(in crate::node) fn keys_read(&mut self, number: u16, page: Option<StreamPage>) {
+    pub(in crate::node) fn handle_keys_read(&mut self, number: u16, page: Option<StreamPage>) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        cell.read_asked_ms = None;
+        cell.read_sent_ms = None;
         let Some(page) = page else {
             return;
         };
@@ -95,10 +95,10 @@
         if was_open && !committed.is_empty() {
             self.note(Code::BatchResolved, format!("keys-{number}"), "");
         }
-        self.go_on_after_read(number, committed, is_found, page.is_end);
+        self.finish_read(number, committed, is_found, page.is_end);
     }
 
-    pub(super) fn go_on_after_read(
+    pub(super) fn finish_read(
         &mut self,
         number: u16,
         found: Vec<Record>,
@@ -116,7 +116,7 @@
             self.note(Code::CellOpened, format!("keys-{number}"), detail);
             self.cancel_unlisted(number);
         }
-        self.take_effect(number, found);
+        self.apply_committed(number, found);
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
@@ -149,25 +149,25 @@
             match record {
                 Record::Intent { identity, .. } => {
                     cell.identities.withdraw(identity);
-                    if let Some((asker, request)) = cell.intent_askers.remove(&identity) {
-                        let retry_after_ms = LOG_AWAY_RETRY_MS;
+                    if let Some((requester, request)) = cell.intent_requesters.remove(&identity) {
+                        let retry_after_ms = LOG_UNAVAILABLE_RETRY_MS;
                         let verdict = IntentVerdict::Refused { retry_after_ms };
-                        replies.push((asker, Message::IntentResponse { request, verdict }));
+                        replies.push((requester, Message::IntentResponse { request, verdict }));
                     }
                 }
                 Record::Accepted(spec) => {
                     cell.jobs.withdraw(&spec.id);
-                    if let Some((asker, request)) = cell.job_askers.remove(&spec.id) {
-                        let retry_after_ms = LOG_AWAY_RETRY_MS;
+                    if let Some((requester, request)) = cell.job_requesters.remove(&spec.id) {
+                        let retry_after_ms = LOG_UNAVAILABLE_RETRY_MS;
                         let verdict = JobVerdict::Refused { retry_after_ms };
-                        replies.push((asker, Message::JobResponse { request, verdict }));
+                        replies.push((requester, Message::JobResponse { request, verdict }));
                     }
                 }
                 other => cell.writer.push(now_ms, other),
             }
         }
-        for (asker, reply) in replies {
-            self.send(asker.seat, reply);
+        for (requester, reply) in replies {
+            self.send(requester.seat, reply);
         }
     }
 
--- a/crates/core/src/node/keys/submissions.rs
+++ b/crates/core/src/node/keys/submissions.rs
@@ -2,7 +2,7 @@
 
 use super::super::Node;
 use super::super::workers::team_of;
-use super::ANSWER_MS;
+use super::ANSWER_TIMEOUT_MS;
 use super::NO_OWNER_RETRY_MS;
 use super::Submission;
 use crate::event::Answer;
@@ -13,8 +13,8 @@
 
 impl Node {
     /// Takes a job from a caller of this entry host.
-    pub(in crate::node) fn submit(&mut self, request: u64, spec: JobSpec) {
-        const PATIENCE_MS: u64 = 5_000;
+    pub(in crate::node) fn handle_submit(&mut self, request: u64, spec: JobSpec) {
+        const SUBMIT_TIMEOUT_MS: u64 = 5_000;
         if !self.config.inventory().jobs.contains_key(&spec.job) {
             self.answer(request, Answer::NotListed);
             return;
@@ -37,13 +37,13 @@
         let submission = Submission {
             spec,
             asked_ms: self.now_ms,
-            deadline_ms: self.now_ms + PATIENCE_MS,
+            deadline_ms: self.now_ms + SUBMIT_TIMEOUT_MS,
         };
-        self.ask_for_job(request, &submission.spec);
+        self.request_job(request, &submission.spec);
         self.submissions.insert(request, submission);
     }
 
-    pub(super) fn ask_for_job(&mut self, request: u64, spec: &JobSpec) {
+    pub(super) fn request_job(&mut self, request: u64, spec: &JobSpec) {
         let cell = Cell::keys(team_of(&spec.id), self.limits.key_cells);
         let ask = Message::JobRequest {
             cell,
@@ -56,12 +56,12 @@
     /// Asks again for submissions that went unanswered; gives up at the deadline.
     /// Whether such a job was accepted is not known then: the caller submits it
     /// again under the same identity to learn it.
-    pub(super) fn ask_again_for_jobs(&mut self) {
+    pub(super) fn retry_submissions(&mut self) {
         let now_ms = self.now_ms;
         let due = self
             .submissions
             .iter_mut()
-            .filter(|(_, entry)| now_ms >= entry.asked_ms + ANSWER_MS);
+            .filter(|(_, entry)| now_ms >= entry.asked_ms + ANSWER_TIMEOUT_MS);
         let mut again = Vec::new();
         for (request, entry) in due {
             entry.asked_ms = now_ms;
@@ -80,12 +80,12 @@
                 );
                 continue;
             }
-            self.ask_for_job(request, &spec);
+            self.request_job(request, &spec);
         }
     }
 
     /// Takes what the owner of a job's cell answered.
-    pub(in crate::node) fn job_answered(&mut self, request: u64, verdict: JobVerdict) {
+    pub(in crate::node) fn handle_job_response(&mut self, request: u64, verdict: JobVerdict) {
         if self.submissions.remove(&request).is_none() {
             return;
         }
--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -143,7 +143,7 @@
     pub(super) fn appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         match stream {
-            Stream::Keys(number) => self.keys_appended(number, sequence, offset),
+            Stream::Keys(number) => self.handle_keys_appended(number, sequence, offset),
             _ => {
                 let writer = match stream {
                     Stream::Config => &mut self.config_writer,
@@ -161,7 +161,7 @@
 
     pub(super) fn read(&mut self, stream: Stream, page: Option<StreamPage>) {
         if let Stream::Keys(number) = stream {
-            self.keys_read(number, page);
+            self.handle_keys_read(number, page);
             return;
         }
         let (now_ms, limits, follower) = self.follower(stream);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -183,7 +183,7 @@
             Event::Request(request) => self.request(request),
             Event::CallerGone { request } => self.caller_gone(request),
             Event::AttemptEnded { request, outcome } => self.attempt_ended(request, outcome),
-            Event::Submit { request, spec } => self.submit(request, spec),
+            Event::Submit { request, spec } => self.handle_submit(request, spec),
             Event::Publish { request, change } => self.publish(request, change),
             Event::Appended {
                 stream,
--- a/crates/core/src/node/requests/mod.rs
+++ b/crates/core/src/node/requests/mod.rs
@@ -199,7 +199,7 @@
                 free,
             } => self.slot_answered(request, cell, verdict, free),
             Message::NotOwner { cell, request } => self.not_owner(cell, request),
-            Message::JobResponse { request, verdict } => self.job_answered(request, verdict),
+            Message::JobResponse { request, verdict } => self.handle_job_response(request, verdict),
             _ => {}
         }
     }
--- a/crates/core/src/node/succession.rs
+++ b/crates/core/src/node/succession.rs
@@ -194,7 +194,7 @@
             match cell {
                 Cell::Keys(number) => {
                     let open = self.keys.get(number).filter(|cell| cell.is_open());
-                    keys.extend(open.map(|cell| cell.handed(*number)));
+                    keys.extend(open.map(|cell| cell.make_handover(*number)));
                 }
                 Cell::Workers(number) => {
                     let owned = self.workers.get(number);
@@ -261,7 +261,7 @@
         let member = handover.member;
         let mut cells = Vec::new();
         for keys in &handover.keys {
-            self.open_handed_keys(keys);
+            self.open_handover_keys(keys);
             cells.push(Cell::Keys(keys.number));
         }
         for (number, term, calls) in &handover.workers {
