--- a/crates/core/src/node/keys/intents.rs
+++ b/crates/core/src/node/keys/intents.rs
@@ -1,4 +1,7 @@
-//! Identities of non-idempotent requests, at their owner.
+//! Recording of non-idempotent requests by identity, at the owner of the cell of keys.
+//!
+//! An intent is recorded in the log before the request may run, so that a repeat under the same
+//! identity does not run a second time.
 
 use super::super::Node;
 use super::LOG_UNAVAILABLE_RETRY_MS;
@@ -12,13 +15,14 @@
 use crate::record::Record;
 
 impl Node {
+    /// Tells the requester of a committed intent to proceed.
     pub(super) fn apply_intent(&mut self, number: u16, identity: u128, fingerprint: u64) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
         let Some((requester, request)) = cell.intent_requesters.get(&identity).copied() else {
-            // Its caller gave up meanwhile; the record of that follows.
+            // The requester has reported an outcome meanwhile; the record of it follows.
             return;
         };
         cell.identities.begin(now_ms, identity, fingerprint);
@@ -26,6 +30,9 @@
         self.send(requester.seat, Message::IntentResponse { request, verdict });
     }
 
+    /// Admits a request with an identity, or returns why it may not run.
+    ///
+    /// Returns `None` if the intent is being recorded: the answer is sent once it is committed.
     pub(super) fn handle_intent_request(
         &mut self,
         number: u16,
@@ -40,7 +47,7 @@
         let is_same = cell.intent_requesters.get(&identity) == Some(&(from, request));
         match cell.identities.admit(now_ms, identity, fingerprint) {
             Admission::Conflict => Some(IntentVerdict::Conflict),
-            // The asker did not hear the first answer.
+            // The same request asks again: its first answer may have been lost.
             Admission::Known(State::Recording) if is_same => None,
             Admission::Known(State::Begun) if is_same => Some(IntentVerdict::Proceed),
             Admission::Known(State::Recording | State::Begun) => Some(IntentVerdict::Pending),
@@ -64,13 +71,13 @@
         }
     }
 
-    /// Notes how a request with an identity ended.
+    /// Records the outcome of a request with an identity.
     ///
-    /// What goes wrong without the checks: a repeat that this owner's predecessor
-    /// never answered gives up and says that it did not run; the identity is freed
-    /// though the first request with it did run, and the next repeat runs again.
-    /// Only the request that was told to go may free an identity. After a take-over
-    /// the owner does not know which one that was, so it must say so itself.
+    /// Only the request that was told to proceed may end its identity. Otherwise a repeat
+    /// that the previous owner never answered could give up and report that it did not run:
+    /// the identity would be freed although the first request with it did run, and the next
+    /// repeat would run again. After a change of owner the new owner does not know which
+    /// request was admitted, so the message itself says whether it was.
     pub(super) fn handle_intent_outcome(&mut self, from: Member, ended: ReportedOutcome) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         let identity = ended.identity;
@@ -98,7 +105,7 @@
     }
 }
 
-/// The end of a request with an identity, as its entry host tells it.
+/// Outcome of a request with an identity, as its entry host reports it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReportedOutcome {
     pub(super) cell: Cell,
--- a/crates/core/src/node/keys/jobs.rs
+++ b/crates/core/src/node/keys/jobs.rs
@@ -1,4 +1,7 @@
-//! Jobs at their home: what stands in the log, and what cells of workers report.
+//! Jobs at the owner of their cell of keys.
+//!
+//! Each change of a job is committed to the log before it is acted on. Changes come from
+//! submissions and from what cells of workers report about attempts.
 
 use super::super::Node;
 use super::ANSWER_TIMEOUT_MS;
@@ -23,7 +26,7 @@
 use crate::record::Record;
 
 impl Node {
-    /// Cancels waiting jobs whose kind an operator has taken out of the inventory.
+    /// Cancels waiting jobs whose kind is no longer in the inventory.
     pub(in crate::node) fn cancel_unlisted(&mut self, number: u16) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number).filter(|cell| cell.is_open) else {
@@ -42,12 +45,13 @@
         }
     }
 
-    /// Tells whether a job of this cell overtakes others.
+    /// Returns whether a job of this cell is urgent and goes before others.
     pub(super) fn is_urgent_job(&self, number: u16, key: JobKey) -> bool {
         let job = self.keys.get(&number).and_then(|cell| cell.jobs.get(key));
         job.is_some_and(|job| self.is_urgent(&job.spec.job))
     }
 
+    /// Queues a job whose acceptance is committed and answers its requester.
     pub(super) fn apply_acceptance(&mut self, number: u16, spec: &JobSpec) {
         let now_ms = self.now_ms;
         let is_urgent = self.is_urgent(&spec.job);
@@ -64,6 +68,7 @@
         self.note(Code::JobAccepted, &*spec.id, &*spec.job);
     }
 
+    /// Orders the start of an attempt whose assignment is committed.
     pub(super) fn apply_assignment(
         &mut self,
         number: u16,
@@ -82,6 +87,7 @@
         self.send_start_order(number, key, worker_cell, false);
     }
 
+    /// Sends the order to start a job's latest attempt to a cell of workers.
     pub(super) fn send_start_order(
         &mut self,
         number: u16,
@@ -110,7 +116,8 @@
         self.send_to_owner(worker_cell, start);
     }
 
-    /// Writes the order for a job's attempt, `ahead` of its latest one.
+    /// Returns the order for a job's attempt and whether the job is urgent; the attempt's number
+    /// is `ahead` above the latest one.
     pub(super) fn make_order(
         &self,
         number: u16,
@@ -131,6 +138,7 @@
         Some((order, kind.urgent))
     }
 
+    /// Queues a job again whose eviction is committed.
     pub(super) fn apply_eviction(
         &mut self,
         number: u16,
@@ -156,6 +164,7 @@
         self.acknowledge_recorded_update(number, key, id, attempt);
     }
 
+    /// Ends a job whose end is committed.
     pub(super) fn apply_end(&mut self, number: u16, id: &str, attempt: u32, end: JobEnd) {
         let now_ms = self.now_ms;
         let Some(key) = self.job_key(number, id) else {
@@ -171,7 +180,7 @@
         }
     }
 
-    /// Tells the cell of workers that an attempt's end stands in the log.
+    /// Acknowledges to the cell of workers that an attempt's end is committed.
     pub(super) fn acknowledge_recorded_update(
         &mut self,
         number: u16,
@@ -196,6 +205,9 @@
         self.send_to_owner(worker_cell, acknowledge_update);
     }
 
+    /// Accepts a submitted job, or returns the verdict that is already known.
+    ///
+    /// Returns `None` if the acceptance is being recorded: the answer is sent once it is committed.
     pub(super) fn handle_job_request(
         &mut self,
         number: u16,
@@ -225,7 +237,7 @@
         }
     }
 
-    /// A cell of workers says that an attempt runs or has ended.
+    /// Handles the report of a cell of workers that an attempt runs or, with an `end`, has ended.
     pub(super) fn handle_task_update(
         &mut self,
         home: Cell,
@@ -247,7 +259,7 @@
         let (state, latest, name) = (job.state, job.attempt, job.spec.job.clone());
         let is_open = matches!(state, JobState::Starting { .. } | JobState::Running { .. });
         if attempt.attempt < latest || (!is_open && !matches!(state, JobState::Recording { .. })) {
-            // Its end stands in the log already: a late or repeated report.
+            // The end is committed already; the report is late or repeated.
             self.acknowledge_update(worker_cell, attempt, end.is_some());
             return;
         }
@@ -278,6 +290,7 @@
         cell.writer.push(now_ms, record);
     }
 
+    /// Acknowledges a report of an end that needs no further record.
     pub(super) fn acknowledge_update(&mut self, cell: Cell, attempt: &AttemptId, is_end: bool) {
         if is_end {
             let attempt = attempt.clone();
@@ -285,7 +298,8 @@
         }
     }
 
-    /// Asks again where a cell of workers has not answered.
+    /// Repeats start orders that a cell of workers has not answered, and queues jobs again
+    /// whose reservation it has not answered.
     pub(super) fn retry_overdue(&mut self, number: u16) {
         let now_ms = self.now_ms;
         if self.open_number(Cell::Keys(number)).is_none() {
@@ -312,13 +326,13 @@
             }
         }
         if has_overdue {
-            // Its kind may have gone while a cell of workers was asked.
+            // A job's kind may have left the inventory while the reservation was pending.
             self.cancel_unlisted(number);
         }
     }
 }
 
-/// Decides what the end of an attempt means for its job.
+/// Returns the record of what the end of an attempt means for its job.
 fn make_end_record(
     cell: &KeyCell,
     key: JobKey,
@@ -354,7 +368,7 @@
         TaskEnd::Evicted { checkpoint } => evicted(checkpoint, failure_counts),
         TaskEnd::NotStarted => evicted(0, failure_counts),
         TaskEnd::Lost | TaskEnd::Forgotten if is_never_twice => ended(JobEnd::Unknown),
-        // A worker that can't be heard says nothing against the job.
+        // The job is not known to be the cause of a worker's silence, so no failure is counted.
         TaskEnd::Lost => evicted(0, failure_counts),
         TaskEnd::Forgotten => again(FailureCounts {
             crashes: failure_counts.crashes + 1,
--- a/crates/core/src/node/keys/mod.rs
+++ b/crates/core/src/node/keys/mod.rs
@@ -1,4 +1,7 @@
 //! Owner of cells of keys: identities of requests, and jobs.
+//!
+//! The state of a cell of keys is kept in a log stream of its own. An owner acts on a record only
+//! once the record is committed.
 
 mod intents;
 mod jobs;
@@ -26,14 +29,14 @@
 
 /// How long a cell of workers may take to answer before it is asked again.
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
-/// Times a job may fail by itself before it counts as failed.
+/// Failures of a job's own attempts after which the job counts as failed.
 const MAX_FAILURES: u32 = 3;
-/// Workers that may restart under a job before it counts as failed. Hosts crash by themselves, too,
-/// but hardly as often under one job.
+/// Worker restarts during a job's attempts after which the job counts as failed. Hosts also crash
+/// for other reasons, but hardly as often under one job.
 const MAX_CRASHES: u32 = 5;
-/// When asking again makes sense while the log is away.
+/// Delay after which callers are advised to retry while the log is unavailable.
 const LOG_UNAVAILABLE_RETRY_MS: u64 = 2_000;
-/// When asking again makes sense while a cell has no owner that may act.
+/// Delay after which callers are advised to retry while a cell has no owner that may act.
 const NO_OWNER_RETRY_MS: u64 = 1_000;
 
 /// A cell of keys that this member owns.
@@ -47,16 +50,20 @@
     next_read_ms: u64,
     identities: IdentityTable,
     pub(super) jobs: JobTable,
+    /// Entry host and request number that asked for each identity.
     intent_requesters: HashMap<u128, (Member, u64)>,
+    /// Entry host and request number that wait for each job's acceptance.
     job_requesters: HashMap<Box<str>, (Member, u64)>,
+    /// Jobs that wait for a cell of workers to answer a reservation.
     pending_reservations: usize,
     records_since_snapshot: u64,
     last_snapshot_ms: u64,
+    /// Cell of workers that each job was last sent to.
     last_worker_cell: HashMap<JobKey, Cell>,
 }
 
 impl KeyCell {
-    /// Starts a cell of which nothing is known, with the writer of its term.
+    /// Creates a cell with empty state, with the writer of its term.
     fn new(now_ms: u64, writer: Writer) -> Self {
         Self {
             term: writer.term(),
@@ -77,17 +84,17 @@
         }
     }
 
-    /// Tells whether nothing is half written.
+    /// Returns whether no record waits for its commit.
     pub(super) fn may_release(&self) -> bool {
         self.writer.waiting() == 0
     }
 
-    /// Tells whether the cell is served.
+    /// Returns whether the stream has been read and the cell is served.
     pub(super) fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// Gives the cell as it is handed over.
+    /// Returns the cell's state for the process that it is handed over to.
     pub(super) fn make_handover(&self, number: u16) -> KeyHandover {
         KeyHandover {
             number,
@@ -97,7 +104,7 @@
         }
     }
 
-    /// Gives the cell's state as records that stand for all before.
+    /// Returns the cell's state as records that replace all earlier ones.
     fn snapshot_records(&self) -> Vec<Record> {
         let mut records = vec![Record::Snapshot];
         for (identity, fingerprint, state) in self.identities.list() {
@@ -117,7 +124,7 @@
         records
     }
 
-    /// Describes the cell in a line, for operators.
+    /// Returns a one-line description of the cell for operators.
     pub(super) fn describe(&self) -> String {
         format!(
             "term {}, {}, {} identities, {} jobs, {} records on their way",
@@ -134,7 +141,7 @@
     }
 }
 
-/// A job that a caller of this entry host submits.
+/// A job submitted by a caller of this entry host, not answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct Submission {
     pub(super) spec: JobSpec,
@@ -143,8 +150,10 @@
 }
 
 impl Node {
-    /// Starts to own a cell of keys: writes that it does, then reads the stream up
-    /// to that record. What a former owner writes after it is void.
+    /// Becomes the owner of a cell of keys.
+    ///
+    /// Appends an `Open` record, then reads the stream up to that record. Records that a previous
+    /// owner writes after it are ignored.
     pub(super) fn open_keys(&mut self, number: u16, term: Term) {
         let mut writer = Writer::new(term, 0);
         writer.push(self.now_ms, Record::Open { member: self.me });
@@ -153,13 +162,12 @@
         self.step_writer(Stream::Keys(number));
     }
 
-    /// Goes on with a cell of keys that another process has handed over.
+    /// Continues a cell of keys that another process has handed over.
     ///
-    /// What goes wrong without writing it down first: a record of the former
-    /// process, such as an assignment, was under way when the log went down and
-    /// never stands there. The carrier has the job started, the next owner reads
-    /// the log without the assignment, and starts it again. So what was handed over
-    /// goes into the log before anything is ordered on the strength of it.
+    /// The state received is appended to the log as a snapshot before any order is based on it.
+    /// Otherwise a record of the previous process, such as an assignment, may have been in flight
+    /// when the log failed and never be committed: this process would have the job started, and
+    /// the next owner, which reads the log without the assignment, would start it again.
     pub(super) fn open_handover_keys(&mut self, handover: &KeyHandover) {
         let now_ms = self.now_ms;
         let mut cell = KeyCell::new(now_ms, Writer::new(handover.term, handover.sequence));
@@ -173,7 +181,7 @@
         self.keys.insert(handover.number, cell);
     }
 
-    /// Acts on records that now stand in the log, if this member still may.
+    /// Acts on records that are now committed, if this member still may act.
     fn apply_committed(&mut self, number: u16, records: Vec<Record>) {
         if records.is_empty() || self.acts_until_ms().is_none() {
             return;
@@ -220,6 +228,7 @@
         cell.jobs.find(id).map(|(key, _)| key)
     }
 
+    /// Handles messages to the owner of a cell of keys.
     pub(super) fn receive_as_key_owner(&mut self, from: Member, message: Message) {
         match message {
             Message::IntentRequest {
@@ -288,7 +297,7 @@
         }
     }
 
-    /// Gives the number of a cell of keys that is open here and may be acted for.
+    /// Returns the number of a cell of keys that is open here, if this member may act for it.
     fn open_number(&mut self, cell: Cell) -> Option<u16> {
         let Cell::Keys(number) = cell else {
             return None;
@@ -298,6 +307,7 @@
         Some(number)
     }
 
+    /// Requests resources, appends and reads for all cells of keys.
     pub(super) fn tick_keys(&mut self) {
         let may_act = self.acts_until_ms().is_some();
         for number in self.keys.keys().copied().collect::<Vec<u16>>() {
@@ -311,6 +321,7 @@
         }
     }
 
+    /// Does the less frequent work of cells of keys: retries, expiry and snapshots.
     pub(super) fn tick_keys_slow(&mut self) {
         let now_ms = self.now_ms;
         self.retry_submissions();
@@ -331,7 +342,7 @@
     }
 }
 
-/// Applies a batch of an earlier owner.
+/// Applies a batch that a previous owner wrote.
 fn apply_batch(now_ms: u64, cell: &mut KeyCell, records: &[Record]) {
     if records.first() == Some(&Record::Snapshot) {
         cell.identities = IdentityTable::default();
--- a/crates/core/src/node/keys/reservations.rs
+++ b/crates/core/src/node/keys/reservations.rs
@@ -1,4 +1,4 @@
-//! Looking for room for the jobs whose turn it is.
+//! Reservation of workers' resources for queued jobs.
 
 use super::super::Node;
 use crate::ids::Cell;
@@ -9,13 +9,15 @@
 use crate::record::Record;
 use rand::RngExt;
 
-/// Jobs that look for room at a time, per cell of keys.
+/// Maximum number of jobs per cell of keys that wait for an answer to a reservation.
 const MAX_PENDING_RESERVATIONS: usize = 256;
 
-/// Cells of workers that are compared by their hints before one is asked.
+/// Number of randomly drawn cells of workers whose hints are compared before one is asked.
 const SAMPLED_CELLS: usize = 4;
 
 impl Node {
+    /// Handles the answer of a cell of workers to a reservation: assigns the job if resources are
+    /// reserved. Cancels a reservation that no job waits for any more.
     pub(super) fn handle_reserved(
         &mut self,
         home: Cell,
@@ -63,7 +65,8 @@
         cell.writer.push(now_ms, record);
     }
 
-    /// Lets a job rest for which a cell of workers had no room, or no answer.
+    /// Queues a job again, after a delay, for which a cell of workers had no resources or gave no
+    /// answer.
     pub(super) fn handle_refused_reservation(&mut self, number: u16, key: JobKey) {
         let now_ms = self.now_ms;
         let is_urgent = self.is_urgent_job(number, key);
@@ -73,6 +76,7 @@
         }
     }
 
+    /// Cancels a reservation, if resources are reserved for it.
     pub(super) fn unreserve(&mut self, cell: Cell, attempt: &AttemptId, is_held: bool) {
         if is_held {
             let attempt = attempt.clone();
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Asks cells of workers for room for the jobs whose turn it is.
+    /// Asks cells of workers to reserve resources for the next jobs of the queue.
     pub(super) fn request_resources(&mut self, number: u16) {
         let now_ms = self.now_ms;
         let is_unavailable = self.claims_log.is_away();
@@ -125,9 +129,10 @@
         }
     }
 
-    /// Picks a cell of workers: of a few drawn at random the one with most room by
-    /// the latest hint. The cost does not grow with the fleet. Urgent work that was
-    /// refused goes back to the cell that is making room for it.
+    /// Returns the cell of workers with the most free resources by the latest hints, of
+    /// [`SAMPLED_CELLS`] drawn at random, so that the cost does not grow with the fleet.
+    ///
+    /// An urgent job that was refused returns to the same cell, which evicts other work for it.
     pub(super) fn choose_worker_cell(
         &mut self,
         number: u16,
--- a/crates/core/src/node/keys/stream.rs
+++ b/crates/core/src/node/keys/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a cell of keys: read at a take-over, written in batches.
+//! The log stream of a cell of keys: read when the cell gets a new owner, written in batches.
 
 use super::super::Node;
 use super::LOG_UNAVAILABLE_RETRY_MS;
@@ -14,6 +14,7 @@
 use crate::writer::Step;
 
 impl Node {
+    /// Reads the next page of the stream, unless a read is pending or was sent a short time ago.
     pub(in crate::node) fn read_keys(&mut self, number: u16) {
         let now_ms = self.now_ms;
         let timeout_ms = self.limits.append_timeout_ms * 4;
@@ -32,6 +33,7 @@
         self.out.push(Action::Read { stream, from });
     }
 
+    /// Handles the outcome of an append; an `offset` of `None` means that the outcome is unknown.
     pub(in crate::node) fn handle_keys_appended(
         &mut self,
         number: u16,
@@ -47,7 +49,7 @@
             return;
         };
         if !cell.is_open {
-            // The reader finds the record that opens the cell.
+            // The cell opens once a read finds the record that opens it.
             return;
         }
         let records = cell.writer.committed(sequence);
@@ -56,6 +58,7 @@
         self.apply_committed(number, records);
     }
 
+    /// Handles a page of the stream, or `None` if the read failed.
     pub(in crate::node) fn handle_keys_read(&mut self, number: u16, page: Option<StreamPage>) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
@@ -98,6 +101,8 @@
         self.finish_read(number, committed, is_found, page.is_end);
     }
 
+    /// Opens the cell if its `Open` record was found, acts on the records that are committed, and
+    /// appends a lost batch again once the end of the stream shows that it is absent.
     pub(super) fn finish_read(
         &mut self,
         number: u16,
@@ -137,8 +142,9 @@
         }
     }
 
-    /// Tells callers whose records were never sent that nothing was done. The
-    /// others wait: their record may stand in the log.
+    /// Refuses requests whose records were never sent to the log, as nothing was done for them.
+    ///
+    /// The others keep waiting, because their records may be committed.
     pub(super) fn refuse_unsent(&mut self, number: u16) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
@@ -171,7 +177,7 @@
         }
     }
 
-    /// Carries a cell's state forward, when nothing is on its way.
+    /// Appends a snapshot of the cell if one is due and no record waits for its commit.
     pub(super) fn snapshot_keys(&mut self, number: u16) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         let may_act = self.acts_until_ms().is_some();
--- a/crates/core/src/node/keys/submissions.rs
+++ b/crates/core/src/node/keys/submissions.rs
@@ -1,4 +1,4 @@
-//! Jobs that callers of this entry host submit.
+//! Submission of jobs by callers of this entry host.
 
 use super::super::Node;
 use super::super::workers::team_of;
@@ -12,7 +12,7 @@
 use crate::record::JobSpec;
 
 impl Node {
-    /// Takes a job from a caller of this entry host.
+    /// Handles a job submitted by a caller of this entry host.
     pub(in crate::node) fn handle_submit(&mut self, request: u64, spec: JobSpec) {
         const SUBMIT_TIMEOUT_MS: u64 = 5_000;
         if !self.config.inventory().jobs.contains_key(&spec.job) {
@@ -43,6 +43,7 @@
         self.submissions.insert(request, submission);
     }
 
+    /// Asks the owner of the job's cell of keys to accept it.
     pub(super) fn request_job(&mut self, request: u64, spec: &JobSpec) {
         let cell = Cell::keys(team_of(&spec.id), self.limits.key_cells);
         let ask = Message::JobRequest {
@@ -53,9 +54,10 @@
         self.send_to_owner(cell, ask);
     }
 
-    /// Asks again for submissions that went unanswered; gives up at the deadline.
-    /// Whether such a job was accepted is not known then: the caller submits it
-    /// again under the same identity to learn it.
+    /// Repeats requests for submissions without an answer, until their deadline.
+    ///
+    /// After the deadline the caller is told that it is unknown whether the job was accepted; a
+    /// submission under the same identity shows it.
     pub(super) fn retry_submissions(&mut self) {
         let now_ms = self.now_ms;
         let due = self
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Takes what the owner of a job's cell answered.
+    /// Handles the verdict of the owner of a job's cell.
     pub(in crate::node) fn handle_job_response(&mut self, request: u64, verdict: JobVerdict) {
         if self.submissions.remove(&request).is_none() {
             return;
