--- a/crates/core/src/node/claiming.rs
+++ b/crates/core/src/node/claiming.rs
@@ -165,7 +165,10 @@
         if !self.is_stopping || self.now_ms < self.stop_began_ms + GRACE_MS {
             return;
         }
-        if !self.flights.is_empty() || !self.submissions.is_empty() || !self.publishing.is_empty() {
+        if !self.active_requests.is_empty()
+            || !self.submissions.is_empty()
+            || !self.publishing.is_empty()
+        {
             return;
         }
         let may_write = self.acts_until_ms().is_some()
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -42,7 +42,7 @@
 use members::Peers;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
-use requests::Flight;
+use requests::ActiveRequest;
 pub use status::Status;
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -87,8 +87,8 @@
     workers: BTreeMap<u64, WorkerCell>,
     upstreams: BTreeMap<u64, UpstreamCell>,
 
-    flights: BTreeMap<u64, Flight>,
-    waiting: HashMap<Cell, VecDeque<u64>>,
+    active_requests: BTreeMap<u64, ActiveRequest>,
+    waiting_for_slot: HashMap<Cell, VecDeque<u64>>,
     budgets: HashMap<Box<str>, Budget>,
     hints: HashMap<Cell, requests::Hint>,
     submissions: BTreeMap<u64, keys::Submission>,
@@ -134,8 +134,8 @@
             keys: BTreeMap::new(),
             workers: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            waiting: HashMap::new(),
+            active_requests: BTreeMap::new(),
+            waiting_for_slot: HashMap::new(),
             budgets: HashMap::new(),
             hints: HashMap::new(),
             submissions: BTreeMap::new(),
@@ -180,9 +180,9 @@
         match event {
             Event::Tick => self.tick(),
             Event::Peer { from, message } => self.receive(from, message),
-            Event::Request(request) => self.request(request),
-            Event::CallerGone { request } => self.caller_gone(request),
-            Event::AttemptEnded { request, outcome } => self.attempt_ended(request, outcome),
+            Event::Request(request) => self.handle_request(request),
+            Event::CallerGone { request } => self.handle_caller_gone(request),
+            Event::AttemptEnded { request, outcome } => self.handle_attempt_end(request, outcome),
             Event::Submit { request, spec } => self.handle_submit(request, spec),
             Event::Publish { request, change } => self.publish(request, change),
             Event::Appended {
--- a/crates/core/src/node/requests/mod.rs
+++ b/crates/core/src/node/requests/mod.rs
@@ -14,9 +14,9 @@
 use crate::retry::Budget;
 
 /// How long an owner may take to answer before it is asked again.
-const PATIENCE_MS: u64 = 100;
+const ANSWER_TIMEOUT_MS: u64 = 100;
 /// Times an owner is asked in vain before it counts as dead.
-const ASKED_IN_VAIN: u32 = 2;
+const MAX_UNANSWERED: u32 = 2;
 /// How long requests keep away from a cell whose owner seems dead.
 const AVOID_MS: u64 = 500;
 /// When asking again makes sense while nobody can serve a request.
@@ -48,7 +48,7 @@
     /// A slot is asked for.
     Slot {
         cell: Cell,
-        first_ms: u64,
+        first_asked_ms: u64,
         asked_ms: u64,
     },
     /// It is at an instance, in a slot that may be used again until `use_by_ms`.
@@ -58,12 +58,12 @@
         use_by_ms: u64,
     },
     /// An attempt's fate is unknown; it must have ended by the given time.
-    Lingering { until_ms: u64 },
+    AwaitingEnd { until_ms: u64 },
 }
 
 /// A slot that is held for this entry host.
 #[derive(Debug, Clone)]
-struct Held {
+struct HeldSlot {
     cell: Cell,
     grant: u64,
     address: Box<str>,
@@ -72,37 +72,37 @@
 
 /// A request that this entry host has taken.
 #[derive(Debug, Clone)]
-pub(super) struct Flight {
+pub(super) struct ActiveRequest {
     request: Request,
     phase: Phase,
-    tried: Vec<Cell>,
+    tried_cells: Vec<Cell>,
     has_intent: bool,
     /// The owner of its identity has said that no request with it has run.
-    is_vouched: bool,
-    wait_hint_ms: u64,
+    is_confirmed_not_run: bool,
+    retry_hint_ms: u64,
     /// Times its owner was asked since it answered last.
-    in_vain: u32,
+    unanswered: u32,
     /// Instance of the latest attempt.
     address: Box<str>,
     /// Attempts that brought no whole answer.
-    cuts: u32,
+    interruptions: u32,
     /// What became of the attempts so far, for when no further one succeeds.
-    past: Past,
+    history: History,
 }
 
 /// What is known of a request's former attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Past {
+enum History {
     /// None has reached an instance.
-    Nothing,
+    NotReached,
     /// One may have run and brought no answer.
     MayHaveRun,
     /// One brought a whole answer that says it failed; the edge holds it.
-    Whole,
+    Complete,
 }
 
 impl Node {
-    pub(super) fn request(&mut self, request: Request) {
+    pub(super) fn handle_request(&mut self, request: Request) {
         let number = request.request;
         let Some(service) = self.config.inventory().services.get(&request.service) else {
             self.answer(number, Answer::NotListed);
@@ -118,8 +118,8 @@
                 "this entry host may not act now"
             };
             match needs_intent(&request) {
-                true => self.answer(number, unvouched(NO_OWNER_RETRY_MS)),
-                false => self.not_run(number, reason, NO_OWNER_RETRY_MS),
+                true => self.answer(number, unconfirmed(NO_OWNER_RETRY_MS)),
+                false => self.answer_not_run(number, reason, NO_OWNER_RETRY_MS),
             }
             return;
         }
@@ -129,29 +129,29 @@
         let mut request = request;
         request.deadline_ms = request.deadline_ms.min(self.now_ms + 4 * timeout_ms);
         let needs_intent = needs_intent(&request);
-        let flight = Flight {
+        let active = ActiveRequest {
             request,
             phase: Phase::Intent {
                 asked_ms: self.now_ms,
             },
-            tried: Vec::new(),
+            tried_cells: Vec::new(),
             has_intent: false,
-            is_vouched: false,
-            wait_hint_ms: 0,
-            in_vain: 0,
+            is_confirmed_not_run: false,
+            retry_hint_ms: 0,
+            unanswered: 0,
             address: Box::default(),
-            cuts: 0,
-            past: Past::Nothing,
+            interruptions: 0,
+            history: History::NotReached,
         };
-        self.flights.insert(number, flight);
+        self.active_requests.insert(number, active);
         if needs_intent {
-            self.ask_intent_of(number);
+            self.request_intent(number);
         } else {
-            self.ask_slot(number);
+            self.ask_for_slot(number);
         }
     }
 
-    fn not_run(&mut self, request: u64, reason: &'static str, retry_after_ms: u64) {
+    fn answer_not_run(&mut self, request: u64, reason: &'static str, retry_after_ms: u64) {
         let answer = Answer::NotRun {
             reason,
             retry_after_ms,
@@ -163,16 +163,16 @@
         Cell::Keys((identity % u128::from(self.limits.key_cells.max(1))) as u16)
     }
 
-    fn ask_intent_of(&mut self, number: u64) {
+    fn request_intent(&mut self, number: u64) {
         let now_ms = self.now_ms;
-        let Some(flight) = self.flights.get_mut(&number) else {
+        let Some(active) = self.active_requests.get_mut(&number) else {
             return;
         };
-        let Some(identity) = flight.request.identity else {
+        let Some(identity) = active.request.identity else {
             return;
         };
-        flight.phase = Phase::Intent { asked_ms: now_ms };
-        let fingerprint = flight.request.fingerprint;
+        active.phase = Phase::Intent { asked_ms: now_ms };
+        let fingerprint = active.request.fingerprint;
         let cell = self.identity_cell(identity);
         let ask = Message::IntentRequest {
             cell,
@@ -191,36 +191,36 @@
 
     pub(super) fn receive_as_entry(&mut self, message: Message) {
         match message {
-            Message::IntentResponse { request, verdict } => self.intent_answered(request, verdict),
+            Message::IntentResponse { request, verdict } => self.handle_verdict(request, verdict),
             Message::GrantResponse {
                 cell,
                 request,
                 verdict,
                 free,
-            } => self.slot_answered(request, cell, verdict, free),
-            Message::NotOwner { cell, request } => self.not_owner(cell, request),
+            } => self.handle_grant_response(request, cell, verdict, free),
+            Message::NotOwner { cell, request } => self.handle_not_owner(cell, request),
             Message::JobResponse { request, verdict } => self.handle_job_response(request, verdict),
             _ => {}
         }
     }
 
-    fn intent_answered(&mut self, number: u64, verdict: IntentVerdict) {
-        let Some(flight) = self.flights.get_mut(&number) else {
+    fn handle_verdict(&mut self, number: u64, verdict: IntentVerdict) {
+        let Some(active) = self.active_requests.get_mut(&number) else {
             return;
         };
-        if flight.has_intent || !matches!(flight.phase, Phase::Intent { .. }) {
+        if active.has_intent || !matches!(active.phase, Phase::Intent { .. }) {
             return;
         }
         match verdict {
             IntentVerdict::Proceed => {
-                flight.has_intent = true;
+                active.has_intent = true;
                 self.note(Code::IntentRecorded, number.to_string(), "");
-                self.ask_slot(number);
+                self.ask_for_slot(number);
             }
             IntentVerdict::Pending => {
                 self.note(Code::IntentRepeated, number.to_string(), "under way");
                 let reason = "an earlier request with this identity may have run";
-                self.end(
+                self.finish_request(
                     number,
                     Answer::Unknown {
                         reason,
@@ -230,20 +230,20 @@
             }
             IntentVerdict::Ended { outcome, status } => {
                 self.note(Code::IntentRepeated, number.to_string(), "ended");
-                self.end(number, Answer::Repeated { outcome, status });
+                self.finish_request(number, Answer::Repeated { outcome, status });
             }
-            IntentVerdict::Conflict => self.end(number, Answer::Conflict),
+            IntentVerdict::Conflict => self.finish_request(number, Answer::Conflict),
             IntentVerdict::Refused { retry_after_ms } => {
-                flight.is_vouched = true;
+                active.is_confirmed_not_run = true;
                 let reason = "its intent can't be recorded, because the log does not answer";
                 self.end_not_run(number, reason, retry_after_ms);
             }
         }
     }
 
-    pub(super) fn caller_gone(&mut self, number: u64) {
-        let phase = self.flights.get(&number).map(|flight| flight.phase);
-        if matches!(phase, Some(Phase::Slot { .. } | Phase::Lingering { .. })) {
+    pub(super) fn handle_caller_gone(&mut self, number: u64) {
+        let phase = self.active_requests.get(&number).map(|active| active.phase);
+        if matches!(phase, Some(Phase::Slot { .. } | Phase::AwaitingEnd { .. })) {
             self.end_not_run(number, "its caller has gone", 1);
         }
     }
@@ -251,38 +251,38 @@
     pub(super) fn tick_requests(&mut self) {
         let now_ms = self.now_ms;
         let mut due = Vec::new();
-        for (number, flight) in &self.flights {
-            let is_late = now_ms >= flight.request.deadline_ms;
-            let is_due = match flight.phase {
+        for (number, active) in &self.active_requests {
+            let is_late = now_ms >= active.request.deadline_ms;
+            let is_due = match active.phase {
                 Phase::Attempt { .. } => false,
                 Phase::Intent { asked_ms } | Phase::Slot { asked_ms, .. } => {
-                    is_late || now_ms >= asked_ms + PATIENCE_MS
+                    is_late || now_ms >= asked_ms + ANSWER_TIMEOUT_MS
                 }
-                Phase::Lingering { until_ms } => is_late || now_ms >= until_ms,
+                Phase::AwaitingEnd { until_ms } => is_late || now_ms >= until_ms,
             };
             if is_due {
-                due.push((*number, flight.phase, is_late));
+                due.push((*number, active.phase, is_late));
             }
         }
         due.sort_unstable_by_key(|(number, _, _)| *number);
         for (number, phase, is_late) in due {
-            self.go_on(number, phase, is_late);
+            self.continue_request(number, phase, is_late);
         }
     }
 
-    fn go_on(&mut self, number: u64, phase: Phase, is_late: bool) {
+    fn continue_request(&mut self, number: u64, phase: Phase, is_late: bool) {
         match phase {
-            Phase::Lingering { .. } if is_late || !self.try_again(number) => {
+            Phase::AwaitingEnd { .. } if is_late || !self.try_retry(number) => {
                 self.end_after_attempt(number);
             }
-            Phase::Lingering { .. } | Phase::Attempt { .. } => {}
+            Phase::AwaitingEnd { .. } | Phase::Attempt { .. } => {}
             _ if is_late => {
                 self.end_not_run(number, "its deadline has passed", NO_OWNER_RETRY_MS);
             }
-            Phase::Intent { .. } => self.ask_intent_of(number),
+            Phase::Intent { .. } => self.request_intent(number),
             // The owner says when a request waits, so silence means that it is dead
             // or can't be reached: then another cell of the service is asked.
-            Phase::Slot { cell, .. } => self.ask_slot_again(number, cell),
+            Phase::Slot { cell, .. } => self.retry_slot_request(number, cell),
         }
     }
 
@@ -290,8 +290,8 @@
     /// no attempt has reached an instance, and no earlier request with its identity
     /// can have run.
     fn end_not_run(&mut self, number: u64, reason: &'static str, retry_after_ms: u64) {
-        if let Some(flight) = self.flights.get(&number)
-            && let Phase::Slot { cell, .. } = flight.phase
+        if let Some(active) = self.active_requests.get(&number)
+            && let Phase::Slot { cell, .. } = active.phase
         {
             self.send_to_owner(
                 cell,
@@ -302,36 +302,36 @@
             );
         }
         if self
-            .flights
+            .active_requests
             .get(&number)
-            .is_some_and(|flight| flight.past != Past::Nothing)
+            .is_some_and(|active| active.history != History::NotReached)
         {
             self.end_after_attempt(number);
             return;
         }
-        self.end_intent_of(number, Outcome::NotRun, 0);
-        let may_have_run = self.flights.get(&number).is_some_and(|flight| {
-            needs_intent(&flight.request) && !flight.has_intent && !flight.is_vouched
+        self.send_intent_outcome(number, Outcome::NotRun, 0);
+        let may_have_run = self.active_requests.get(&number).is_some_and(|active| {
+            needs_intent(&active.request) && !active.has_intent && !active.is_confirmed_not_run
         });
         let answer = match may_have_run {
-            true => unvouched(retry_after_ms),
+            true => unconfirmed(retry_after_ms),
             false => Answer::NotRun {
                 reason,
                 retry_after_ms,
             },
         };
-        self.end(number, answer);
+        self.finish_request(number, answer);
     }
 
     /// Tells the owner of the request's identity how it ended.
-    fn end_intent_of(&mut self, number: u64, outcome: Outcome, status: u16) {
-        let Some(flight) = self.flights.get(&number) else {
+    fn send_intent_outcome(&mut self, number: u64, outcome: Outcome, status: u16) {
+        let Some(active) = self.active_requests.get(&number) else {
             return;
         };
-        let Some(identity) = flight
+        let Some(identity) = active
             .request
             .identity
-            .filter(|_| !flight.request.is_idempotent)
+            .filter(|_| !active.request.is_idempotent)
         else {
             return;
         };
@@ -340,15 +340,15 @@
             cell,
             request: number,
             identity,
-            was_admitted: flight.has_intent,
+            was_admitted: active.has_intent,
             outcome,
             status,
         };
         self.send_to_owner(cell, end);
     }
 
-    fn end(&mut self, number: u64, answer: Answer) {
-        if self.flights.remove(&number).is_none() {
+    fn finish_request(&mut self, number: u64, answer: Answer) {
+        if self.active_requests.remove(&number).is_none() {
             return;
         }
         self.note(
@@ -368,7 +368,7 @@
 
 /// Answers a request of which this entry host knows only that it did not run here:
 /// an earlier one with its identity may have run elsewhere.
-fn unvouched(retry_after_ms: u64) -> Answer {
+fn unconfirmed(retry_after_ms: u64) -> Answer {
     Answer::Unknown {
         reason: "the owner of its identity has not answered; repeat it under the same identity",
         retry_after_ms,
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -43,7 +43,7 @@
                 .iter()
                 .map(|member| member.to_string().into())
                 .collect(),
-            requests: self.flights.len(),
+            requests: self.active_requests.len(),
         }
     }
 
