--- a/crates/core/src/node/requests/attempts.rs
+++ b/crates/core/src/node/requests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they end, and what follows.
+//! Outcomes of attempts, and the retry or answer that follows.
 
 use super::super::Node;
 use super::HeldSlot;
@@ -11,10 +11,11 @@
 use crate::record::Outcome;
 use crate::slots::GrantOutcome;
 
-/// Instances that may break off a request before it is sent to no other.
+/// Interrupted attempts after which a request is sent to no further instance.
 const MAX_INTERRUPTIONS: u32 = 2;
 
 impl Node {
+    /// Handles the end of an attempt: reuses or releases its slot, then retries or answers.
     pub(in crate::node) fn handle_attempt_end(&mut self, number: u64, end: AttemptOutcome) {
         let Some(active) = self.active_requests.get(&number) else {
             return;
@@ -55,6 +56,7 @@
         }
     }
 
+    /// Handles a complete answer. An idempotent request is retried after status 502 to 504.
     pub(super) fn handle_complete(&mut self, number: u64, status: u16) {
         let is_failure = matches!(status, 502..=504);
         let mut is_idempotent = false;
@@ -69,10 +71,11 @@
         self.finish_request(number, Answer::Whole);
     }
 
-    /// An attempt brought no whole answer. Only an idempotent request may be sent
-    /// again, and only once the former attempt must have ended, so that it never
-    /// runs in two places. If its caller would no longer be waiting then, it is
-    /// told at once.
+    /// Handles an attempt that ended without a complete answer.
+    ///
+    /// Only an idempotent request is sent again, and only after the time by which the previous
+    /// attempt has ended, so that the request never runs in two places at once. If its deadline
+    /// comes before that time, the caller is answered immediately.
     pub(super) fn handle_interrupted(&mut self, number: u64) {
         let now_ms = self.now_ms;
         let Some(active) = self.active_requests.get_mut(&number) else {
@@ -89,8 +92,8 @@
             .get(&active.request.service);
         let timeout_ms = service.map_or(0, |service| service.timeout_ms);
         let until_ms = now_ms + timeout_ms;
-        // It may be the request that brings down whoever runs it, which shows as instances that
-        // break off one after the other; each of them takes the requests beside it down, too.
+        // The request itself may crash the instances that run it, in which case one instance after
+        // the other interrupts it, and each crash also interrupts the other requests there.
         let may_retry = active.interruptions < MAX_INTERRUPTIONS;
         if may_retry && active.request.is_idempotent && until_ms < active.request.deadline_ms {
             active.phase = Phase::AwaitingEnd { until_ms };
@@ -99,7 +102,7 @@
         self.end_after_attempt(number);
     }
 
-    /// Ends a request by what its attempts so far amount to.
+    /// Ends a request with the answer that its attempts so far allow.
     pub(super) fn end_after_attempt(&mut self, number: u64) {
         let history = self
             .active_requests
@@ -120,7 +123,8 @@
         );
     }
 
-    /// Sends a request once more if its deadline and the budget allow it.
+    /// Sends a request once more if its deadline and the retry budget allow it, and returns whether
+    /// it does.
     pub(super) fn try_retry(&mut self, number: u64) -> bool {
         let now_ms = self.now_ms;
         let Some(active) = self.active_requests.get_mut(&number) else {
--- a/crates/core/src/node/requests/mod.rs
+++ b/crates/core/src/node/requests/mod.rs
@@ -1,4 +1,7 @@
-//! Entry of callers' requests: intent, slot, attempt, answer.
+//! Entry of callers' requests.
+//!
+//! A request passes through these phases: its intent is recorded if it is not idempotent and has an
+//! identity, a slot at an instance is requested, an attempt is sent, and the caller is answered.
 
 mod attempts;
 mod slots;
@@ -13,21 +16,21 @@
 use crate::record::Outcome;
 use crate::retry::Budget;
 
-/// How long an owner may take to answer before it is asked again.
+/// Time after which an owner that has not answered is asked again.
 const ANSWER_TIMEOUT_MS: u64 = 100;
-/// Times an owner is asked in vain before it counts as dead.
+/// Consecutive requests without an answer after which an owner counts as dead.
 const MAX_UNANSWERED: u32 = 2;
-/// How long requests keep away from a cell whose owner seems dead.
+/// Time for which a cell whose owner counts as dead gets no requests.
 const AVOID_MS: u64 = 500;
-/// When asking again makes sense while nobody can serve a request.
+/// Delay after which callers are advised to retry while no owner can serve a request.
 const NO_OWNER_RETRY_MS: u64 = 1_000;
 
-/// What is known of another host's cell.
+/// Latest information on the load of a cell that another host may own.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Hint {
     /// Free slots, or millicores for a cell of workers.
     pub(super) free: u32,
-    /// Until when the cell refuses.
+    /// Time until which the cell refuses requests.
     pub(super) refuses_until_ms: u64,
 }
 
@@ -40,28 +43,28 @@
     }
 }
 
-/// Where a request stands.
+/// Phase of an active request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// Its intent is being recorded.
     Intent { asked_ms: u64 },
-    /// A slot is asked for.
+    /// A slot is requested.
     Slot {
         cell: Cell,
         first_asked_ms: u64,
         asked_ms: u64,
     },
-    /// It is at an instance, in a slot that may be used again until `use_by_ms`.
+    /// An attempt is at an instance; its slot may be used for another request until `use_by_ms`.
     Attempt {
         cell: Cell,
         grant: u64,
         use_by_ms: u64,
     },
-    /// An attempt's fate is unknown; it must have ended by the given time.
+    /// The outcome of an attempt is unknown; the attempt has ended by the given time.
     AwaitingEnd { until_ms: u64 },
 }
 
-/// A slot that is held for this entry host.
+/// A slot that is granted to this entry host.
 #[derive(Debug, Clone)]
 struct HeldSlot {
     cell: Cell,
@@ -70,38 +73,39 @@
     use_by_ms: u64,
 }
 
-/// A request that this entry host has taken.
+/// A request of a caller of this entry host that is not answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct ActiveRequest {
     request: Request,
     phase: Phase,
     tried_cells: Vec<Cell>,
     has_intent: bool,
-    /// The owner of its identity has said that no request with it has run.
+    /// The owner of the identity has confirmed that no request with this identity has run.
     is_confirmed_not_run: bool,
     retry_hint_ms: u64,
-    /// Times its owner was asked since it answered last.
+    /// Requests for a slot since the owner of the cell last answered.
     unanswered: u32,
     /// Instance of the latest attempt.
     address: Box<str>,
-    /// Attempts that brought no whole answer.
+    /// Attempts that ended without a complete answer.
     interruptions: u32,
-    /// What became of the attempts so far, for when no further one succeeds.
+    /// Outcome of the attempts so far, which decides the answer if no further one succeeds.
     history: History,
 }
 
-/// What is known of a request's former attempts.
+/// What is known of a request's previous attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum History {
-    /// None has reached an instance.
+    /// No attempt has reached an instance.
     NotReached,
-    /// One may have run and brought no answer.
+    /// An attempt may have run and brought no answer.
     MayHaveRun,
-    /// One brought a whole answer that says it failed; the edge holds it.
+    /// An attempt brought a complete answer, which the network edge retains for the caller.
     Complete,
 }
 
 impl Node {
+    /// Handles a new request of a caller.
     pub(super) fn handle_request(&mut self, request: Request) {
         let number = request.request;
         let Some(service) = self.config.inventory().services.get(&request.service) else {
@@ -163,6 +167,7 @@
         Cell::Keys((identity % u128::from(self.limits.key_cells.max(1))) as u16)
     }
 
+    /// Asks the owner of the request's identity to record its intent.
     fn request_intent(&mut self, number: u64) {
         let now_ms = self.now_ms;
         let Some(active) = self.active_requests.get_mut(&number) else {
@@ -189,6 +194,7 @@
         }
     }
 
+    /// Handles messages to an entry host.
     pub(super) fn receive_as_entry(&mut self, message: Message) {
         match message {
             Message::IntentResponse { request, verdict } => self.handle_verdict(request, verdict),
@@ -241,6 +247,8 @@
         }
     }
 
+    /// Ends a request whose caller has disconnected, unless its intent is being recorded or an
+    /// attempt is at an instance.
     pub(super) fn handle_caller_gone(&mut self, number: u64) {
         let phase = self.active_requests.get(&number).map(|active| active.phase);
         if matches!(phase, Some(Phase::Slot { .. } | Phase::AwaitingEnd { .. })) {
@@ -248,6 +256,7 @@
         }
     }
 
+    /// Continues the requests whose deadline, answer timeout or wait has passed.
     pub(super) fn tick_requests(&mut self) {
         let now_ms = self.now_ms;
         let mut due = Vec::new();
@@ -280,15 +289,16 @@
                 self.end_not_run(number, "its deadline has passed", NO_OWNER_RETRY_MS);
             }
             Phase::Intent { .. } => self.request_intent(number),
-            // The owner says when a request waits, so silence means that it is dead
-            // or can't be reached: then another cell of the service is asked.
+            // An owner answers even if the request has to wait, so silence means that the owner is
+            // dead or can't be reached; another cell of the service is asked after repeated silence.
             Phase::Slot { cell, .. } => self.retry_slot_request(number, cell),
         }
     }
 
-    /// Ends a request that gets no further attempt. It is told "not run" only if
-    /// no attempt has reached an instance, and no earlier request with its identity
-    /// can have run.
+    /// Ends a request that gets no further attempt.
+    ///
+    /// The answer is "not run" only if no attempt has reached an instance and no earlier request
+    /// with the same identity can have run.
     fn end_not_run(&mut self, number: u64, reason: &'static str, retry_after_ms: u64) {
         if let Some(active) = self.active_requests.get(&number)
             && let Phase::Slot { cell, .. } = active.phase
@@ -323,7 +333,7 @@
         self.finish_request(number, answer);
     }
 
-    /// Tells the owner of the request's identity how it ended.
+    /// Reports the outcome of a request to the owner of its identity.
     fn send_intent_outcome(&mut self, number: u64, outcome: Outcome, status: u16) {
         let Some(active) = self.active_requests.get(&number) else {
             return;
@@ -347,6 +357,7 @@
         self.send_to_owner(cell, end);
     }
 
+    /// Removes a request and answers its caller.
     fn finish_request(&mut self, number: u64, answer: Answer) {
         if self.active_requests.remove(&number).is_none() {
             return;
@@ -360,14 +371,16 @@
     }
 }
 
-/// Tells whether a request's intent must be recorded before it may run. Without an
-/// identity no caller can repeat it, so it is simply sent once.
+/// Returns whether a request's intent must be recorded before it may run.
+///
+/// A request without an identity can't be repeated by its caller, so it is sent once without a
+/// record.
 fn needs_intent(request: &Request) -> bool {
     !request.is_idempotent && request.identity.is_some()
 }
 
-/// Answers a request of which this entry host knows only that it did not run here:
-/// an earlier one with its identity may have run elsewhere.
+/// Returns the answer to a request that did not run here, but whose identity an earlier request may
+/// have used elsewhere.
 fn unconfirmed(retry_after_ms: u64) -> Answer {
     Answer::Unknown {
         reason: "the owner of its identity has not answered; repeat it under the same identity",
--- a/crates/core/src/node/requests/slots.rs
+++ b/crates/core/src/node/requests/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: asking for one, using it, passing it on.
+//! Slots of instances: requested from the owner of a cell, used, reused or released.
 
 use super::super::Node;
 use super::AVOID_MS;
@@ -15,7 +15,7 @@
 use rand::RngExt;
 
 impl Node {
-    /// Asks the owner of one of the service's cells for a slot.
+    /// Requests a slot from the owner of one of the service's cells.
     pub(super) fn ask_for_slot(&mut self, number: u64) {
         let now_ms = self.now_ms;
         let Some(cell) = self.choose_upstream_cell(number) else {
@@ -48,8 +48,8 @@
         self.send_to_owner(cell, ask);
     }
 
-    /// Picks a cell that was not tried yet: of two drawn at random the one with
-    /// more free slots by the latest hint.
+    /// Returns a cell that was not tried yet: of two drawn at random the one with more free slots by
+    /// the latest hint.
     pub(super) fn choose_upstream_cell(&mut self, number: u64) -> Option<Cell> {
         let active = self.active_requests.get(&number)?;
         let cells = self.layout.services.get(&active.request.service)?;
@@ -70,6 +70,7 @@
         Some(first.max(second).1)
     }
 
+    /// Requests the slot from another cell, because the member asked does not own this one.
     pub(super) fn handle_not_owner(&mut self, cell: Cell, number: u64) {
         self.claims_log.read_soon();
         let Some(active) = self.active_requests.get_mut(&number) else {
@@ -85,6 +86,7 @@
         }
     }
 
+    /// Handles the answer to a request for a slot and records the number of `free` slots.
     pub(super) fn handle_grant_response(
         &mut self,
         number: u64,
@@ -109,8 +111,8 @@
                 },
                 Some(first_asked_ms),
             ) => {
-                // The owner counts the grant's time from when it gave it, which is
-                // no earlier than this, however long the message was under way.
+                // The owner counts the time of use from the grant. The grant is no earlier than the
+                // first request plus the time that it waited, whatever the message delay.
                 let use_by_ms = first_asked_ms + waited_ms + self.limits.grant_use_ms;
                 self.start_attempt(
                     number,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Tells since when a request has waited for a slot of `cell`, if it does.
+    /// Returns the time at which a request first asked for a slot of `cell`, if it waits for one.
     pub(super) fn slot_wait_start_ms(&self, number: u64, cell: Cell) -> Option<u64> {
         match self.active_requests.get(&number)?.phase {
             Phase::Slot {
@@ -153,6 +155,7 @@
         }
     }
 
+    /// Releases a grant at its owner, or reports that the slot is used on for the request `next`.
     pub(super) fn send_release(
         &mut self,
         cell: Cell,
@@ -171,7 +174,7 @@
         self.send_to_owner(cell, release);
     }
 
-    /// Sends a request to the instance whose slot is held for it.
+    /// Sends a request to the instance whose slot is granted to it.
     pub(super) fn start_attempt(&mut self, number: u64, slot: HeldSlot) {
         let now_ms = self.now_ms;
         let acts_until_ms = self.acts_until_ms();
@@ -195,8 +198,8 @@
             use_by_ms: slot.use_by_ms,
         };
         active.address = slot.address.clone();
-        // The owner frees the slot by itself after the time of use and the
-        // service's timeout; an attempt that began later would use a slot twice.
+        // The owner frees the slot by itself after the time of use plus the service's timeout. An
+        // attempt that began later could share the slot with another one.
         self.out.push(Action::Attempt {
             request: number,
             address: slot.address,
@@ -211,7 +214,7 @@
         );
     }
 
-    /// Finds a request of this host that waits for a slot of `cell`.
+    /// Removes and returns the next request of this host that waits for a slot of `cell`.
     pub(super) fn next_waiting(&mut self, cell: Cell) -> Option<u64> {
         let mut queue = self.waiting_for_slot.remove(&cell)?;
         while let Some(number) = queue.pop_front() {
@@ -223,7 +226,7 @@
         None
     }
 
-    /// Gives back the slot of an attempt that has ended, or goes on to use it.
+    /// Uses the slot of an ended attempt for the next waiting request, or releases it.
     pub(super) fn reuse_or_release(&mut self, number: u64, slot: HeldSlot, ended: GrantOutcome) {
         let is_free = matches!(ended, GrantOutcome::Answered { .. });
         let may_use = is_free && self.now_ms < slot.use_by_ms && self.acts_until_ms().is_some();
@@ -237,6 +240,8 @@
         }
     }
 
+    /// Repeats a request for a slot that was not answered; after [`MAX_UNANSWERED`] of them asks
+    /// another cell and avoids this one for [`AVOID_MS`].
     pub(super) fn retry_slot_request(&mut self, number: u64, cell: Cell) {
         let now_ms = self.now_ms;
         let Some(active) = self.active_requests.get_mut(&number) else {
