--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -1,4 +1,4 @@
-//! The edge of one real daemon: sockets, whole answers, bounds, planned stops.
+//! Tests of one real daemon over sockets: complete answers, limits on connections, planned stops.
 
 use goldcrestway_daemon::Daemon;
 use goldcrestway_daemon::PublishRequest;
@@ -38,8 +38,8 @@
 host = w1
 ";
 
-/// One daemon with its platform, and an instance that the test plays itself.
-struct Edge {
+/// One daemon with its platform services.
+struct TestDaemon {
     daemon: Option<Daemon>,
     caller: String,
     operator: String,
@@ -47,10 +47,11 @@
     _hosts: HostListServer,
 }
 
-/// Starts a daemon that is alone in its cluster, with `instance` as its upstream.
-fn start(instance: &TcpListener, connections: usize) -> Edge {
-    let log = LogServer::start(1).expect("a log");
-    let hosts = HostListServer::start().expect("a list of hosts");
+/// Starts a daemon as the only member of its cluster, with `instance` as its upstream and at most
+/// `connections` connections of callers.
+fn start(instance: &TcpListener, connections: usize) -> TestDaemon {
+    let log = LogServer::start(1).expect("the log server starts");
+    let hosts = HostListServer::start().expect("the host list server starts");
     let address = instance.local_addr().expect("an address").to_string();
     let listed = Listed {
         name: "b1".into(),
@@ -58,10 +59,10 @@
         leaving: false,
     };
     hosts.hosts.lock().expect("not poisoned").push(listed);
-    let held: Vec<TcpListener> = (0..3)
+    let listeners: Vec<TcpListener> = (0..3)
         .map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port"))
         .collect();
-    let ports: Vec<String> = held
+    let ports: Vec<String> = listeners
         .iter()
         .map(|port| port.local_addr().expect("an address").to_string())
         .collect();
@@ -77,53 +78,59 @@
         ports[1],
         ports[2]
     );
-    drop(held);
-    let settings = load_settings("test", &text).expect("sound settings");
-    let edge = Edge {
-        daemon: Some(Daemon::start(settings).expect("it starts")),
+    drop(listeners);
+    let settings = load_settings("test", &text).expect("valid settings");
+    let test_daemon = TestDaemon {
+        daemon: Some(Daemon::start(settings).expect("the daemon starts")),
         caller: ports[0].clone(),
         operator: ports[1].clone(),
         _log: log,
         _hosts: hosts,
     };
-    wait_for(&edge.operator, "/readyz", "ready");
-    let (sections, _) = load_sections("test", INVENTORY).expect("a sound inventory");
+    wait_for(&test_daemon.operator, "/readyz", "ready");
+    let (sections, _) = load_sections("test", INVENTORY).expect("a valid inventory");
     let change = PublishRequest {
         base: 0,
         id: "test".into(),
         author: "test".into(),
         changes: changes_out(&compare(&Sections::new(), &sections)),
     };
-    let url = format!("http://{}/v1/config", edge.operator);
+    let url = format!("http://{}/v1/config", test_daemon.operator);
     ureq::post(&url).send_json(&change).expect("it is accepted");
-    wait_for(&edge.operator, "/v1/status", "slots in use");
-    wait_for(&edge.operator, "/v1/explain/booking", "1 instances");
-    edge
+    wait_for(&test_daemon.operator, "/v1/status", "slots in use");
+    wait_for(&test_daemon.operator, "/v1/explain/booking", "1 instances");
+    test_daemon
 }
 
-/// Asks until the answer holds `wanted`; gives up after very many tries.
-fn wait_for(operator: &str, path: &str, wanted: &str) {
-    const TRIES: usize = 3_000;
-    for _ in 0..TRIES {
+/// Polls `path` every 10 ms until the answer contains `expected`.
+///
+/// # Panics
+///
+/// Panics after 3,000 attempts.
+fn wait_for(operator: &str, path: &str, expected: &str) {
+    const MAX_ATTEMPTS: usize = 3_000;
+    for _ in 0..MAX_ATTEMPTS {
         let answer = ureq::get(format!("http://{operator}{path}")).call();
         let body = answer.and_then(|mut answer| answer.body_mut().read_to_string());
-        if body.is_ok_and(|body| body.contains(wanted)) {
+        if body.is_ok_and(|body| body.contains(expected)) {
             return;
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("{path} never held `{wanted}`");
+    panic!("{path} never contained `{expected}`");
 }
 
-/// Plays an instance that answers each request with the given bytes, once told to.
-fn play(instance: TcpListener, answer: &'static str, go: Option<Receiver<()>>) {
+/// Serves `instance` in a thread that answers each request with the given bytes.
+///
+/// If `go` is given, each answer waits for a message on it.
+fn serve_answer(instance: TcpListener, answer: &'static str, go: Option<Receiver<()>>) {
     thread::spawn(move || {
         for stream in instance.incoming() {
             let Ok(mut stream) = stream else {
                 return;
             };
             let mut head = [0_u8; 4_096];
-            // One read holds the small requests of these tests.
+            // The requests of these tests are small enough to arrive in one read.
             let _ = stream.read(&mut head);
             if let Some(go) = &go
                 && go.recv().is_err()
@@ -135,12 +142,12 @@
     });
 }
 
-fn instance() -> TcpListener {
+fn bind_instance() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// Asks for the service; gives status, outcome and body.
-fn ask(caller: &str) -> (u16, String, String) {
+/// Sends a request to the service and returns the status, the outcome and the body of the answer.
+fn send_request(caller: &str) -> (u16, String, String) {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .build()
@@ -166,35 +173,35 @@
 }
 
 #[gtest]
-fn a_whole_answer_reaches_its_caller() {
-    let listener = instance();
-    let edge = start(&listener, 8);
-    play(
+fn a_complete_answer_reaches_its_caller() {
+    let listener = bind_instance();
+    let test_daemon = start(&listener, 8);
+    serve_answer(
         listener,
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nsauna",
         None,
     );
     expect_that!(
-        ask(&edge.caller),
+        send_request(&test_daemon.caller),
         eq(&(200, "answered".to_owned(), "sauna".to_owned()))
     );
 }
 
-/// Symptom: a caller takes half an answer for a whole one. Sequence: the instance
-/// announces ten bytes, or no length at all, and closes early. Cause: the end of
-/// an answer must be checked before a byte is passed on.
+/// Guards against an incomplete answer that a caller takes for a complete one. The instance
+/// announces ten bytes, no length at all or chunks, and closes the connection early; the end of an
+/// answer must be checked before any byte is forwarded.
 #[gtest]
-fn a_cut_answer_is_never_passed_on() {
+fn an_incomplete_answer_is_never_forwarded() {
     let answers = [
         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\nConnection: close\r\n\r\nsauna",
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nsauna",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nsauna\r\n",
     ];
     for answer in answers {
-        let listener = instance();
-        let edge = start(&listener, 8);
-        play(listener, answer, None);
-        let (status, outcome, _) = ask(&edge.caller);
+        let listener = bind_instance();
+        let test_daemon = start(&listener, 8);
+        serve_answer(listener, answer, None);
+        let (status, outcome, _) = send_request(&test_daemon.caller);
         expect_that!(
             (status, outcome.as_str()),
             eq((504, "unknown")),
@@ -204,49 +211,51 @@
     }
 }
 
-/// Symptom: silent callers use up the threads. Sequence: all connections are taken
-/// by callers that say nothing. Cause: connections must be bounded; one more is
-/// told at once that nothing ran.
+/// Guards against idle callers that use up all threads. Callers that send nothing open all allowed
+/// connections; a further connection must be answered immediately that nothing ran.
 #[gtest]
-fn one_connection_too_many_is_refused() {
-    let listener = instance();
-    let edge = start(&listener, 2);
-    let silent: Vec<TcpStream> = (0..2)
-        .map(|_| TcpStream::connect(&edge.caller).expect("it is accepted"))
+fn a_connection_above_the_limit_is_refused() {
+    let listener = bind_instance();
+    let test_daemon = start(&listener, 2);
+    let idle: Vec<TcpStream> = (0..2)
+        .map(|_| TcpStream::connect(&test_daemon.caller).expect("it is accepted"))
         .collect();
-    let mut surplus = TcpStream::connect(&edge.caller).expect("it is accepted");
-    let mut told = String::new();
-    surplus.read_to_string(&mut told).expect("an answer");
-    expect_that!(told, starts_with("HTTP/1.1 503"));
-    expect_that!(told, contains_substring("Goldcrestway-Outcome: not-run"));
-    let (head, body) = told.split_once("\r\n\r\n").expect("a body");
+    let mut extra = TcpStream::connect(&test_daemon.caller).expect("it is accepted");
+    let mut answer = String::new();
+    extra.read_to_string(&mut answer).expect("an answer");
+    expect_that!(answer, starts_with("HTTP/1.1 503"));
+    expect_that!(answer, contains_substring("Goldcrestway-Outcome: not-run"));
+    let (head, body) = answer.split_once("\r\n\r\n").expect("a body");
     expect_that!(
         head,
         contains_substring(format!("Content-Length: {}", body.len()).as_str())
     );
-    drop(silent);
+    drop(idle);
 }
 
-/// Symptom: a planned stop cuts off a request. Sequence: a request is at its
-/// instance when the stop begins. Cause: the stop must wait for its answer.
+/// Guards against a planned stop that interrupts a request. The request is at its instance when the
+/// stop begins; the stop must wait for the answer.
 #[gtest]
-fn a_planned_stop_answers_what_is_in_flight() {
-    let listener = instance();
-    let mut edge = start(&listener, 8);
-    let (go, goes) = channel();
-    play(
+fn a_planned_stop_waits_for_a_request_in_flight() {
+    let listener = bind_instance();
+    let mut test_daemon = start(&listener, 8);
+    let (go, go_receiver) = channel();
+    serve_answer(
         listener,
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nsauna",
-        Some(goes),
+        Some(go_receiver),
     );
-    let caller = edge.caller.clone();
-    let asking = thread::spawn(move || ask(&caller));
-    wait_for(&edge.operator, "/v1/explain/booking", "1 of 8 slots");
-    let daemon = edge.daemon.take().expect("it runs");
+    let caller = test_daemon.caller.clone();
+    let pending = thread::spawn(move || send_request(&caller));
+    wait_for(&test_daemon.operator, "/v1/explain/booking", "1 of 8 slots");
+    let daemon = test_daemon.daemon.take().expect("the daemon runs");
     daemon.stop();
-    wait_for(&edge.operator, "/v1/status", "\"is_stopping\":true");
+    wait_for(&test_daemon.operator, "/v1/status", "\"is_stopping\":true");
     go.send(()).expect("the instance waits");
-    let told = asking.join().expect("it was answered");
-    expect_that!(told, eq(&(200, "answered".to_owned(), "sauna".to_owned())));
+    let answer = pending.join().expect("the request was answered");
+    expect_that!(
+        answer,
+        eq(&(200, "answered".to_owned(), "sauna".to_owned()))
+    );
     daemon.wait();
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenario language: commands of `docs/SCENARIOS.md` over a [`World`].
+//! Interpreter of the scenario files: runs the commands of `docs/SCENARIOS.md` in a [`World`].
 
 use crate::tallies::cells;
 use crate::tallies::jobs;
@@ -29,28 +29,28 @@
 pub(crate) const SPA: &str = include_str!("../examples/spa/inventory.ini");
 
 #[test]
-fn scenarios_keep_their_promises() {
+fn scenarios_give_the_expected_output() {
     datadriven::walk("scenarios", |file| {
         let mut world = None;
         file.run(|case| {
-            let mut script = Script { case };
-            script.run(&mut world)
+            let mut command = ScenarioCommand { case };
+            command.run(&mut world)
         });
     });
 }
 
-/// Makes the usual world: entry hosts, nine workers, six instances.
+/// Creates a world with `seats` entry hosts, nine workers and six instances.
 pub(crate) fn usual_world(seats: u16, limits: Limits, run_time_ms: u64, seed: u64) -> World {
     let mut world = World::new(seats, limits, seed);
     for number in 1..=9 {
-        let room = if [3, 6, 9].contains(&number) {
+        let resources = if [3, 6, 9].contains(&number) {
             (32_000, 125_000, 0)
         } else {
             (28_000, 117_000, 0)
         };
         world
             .edges
-            .add_worker(&format!("w{number}"), room, run_time_ms);
+            .add_worker(&format!("w{number}"), resources, run_time_ms);
     }
     for number in 1..=6 {
         world.edges.add_upstream(&format!("b{number}"), 20);
@@ -61,7 +61,8 @@
     world
 }
 
-/// Publishes `text` at a seat, as a change of `base`.
+/// Publishes the inventory `text` at a seat, as a change of version `base` with the sections `old`,
+/// and returns the number of the request.
 pub(crate) fn publish(
     world: &mut World,
     seat: Seat,
@@ -70,7 +71,7 @@
     old: &Sections,
     text: &str,
 ) -> u64 {
-    let (sections, _) = load_sections("inventory.ini", text).expect("the inventory is sound");
+    let (sections, _) = load_sections("inventory.ini", text).expect("the inventory is valid");
     let request = world.next_request();
     world.edges.published.insert(request, None);
     let change = ConfigChange {
@@ -84,7 +85,7 @@
 }
 
 /// Sends a request with an identity.
-pub(crate) fn send(world: &mut World, seat: Seat, identity: &str, is_once: bool, patience_ms: u64) {
+pub(crate) fn send(world: &mut World, seat: Seat, identity: &str, is_once: bool, timeout_ms: u64) {
     let number = world.next_request();
     let request = Request {
         request: number,
@@ -92,7 +93,7 @@
         identity: Some(identity_hash(identity.as_bytes())),
         fingerprint: 7,
         is_idempotent: !is_once,
-        deadline_ms: world.now_ms + patience_ms,
+        deadline_ms: world.now_ms + timeout_ms,
     };
     let told = Told {
         identity: identity.into(),
@@ -125,7 +126,7 @@
 }
 
 impl World {
-    /// Numbers a request.
+    /// Returns the number of the next request.
     pub(crate) fn next_request(&self) -> u64 {
         let counts = self.edges.told.len() + self.edges.jobs.len() + self.edges.published.len();
         counts as u64 + 1
@@ -133,11 +134,11 @@
 }
 
 /// One command of a scenario.
-struct Script<'a> {
+struct ScenarioCommand<'a> {
     case: &'a mut TestCase,
 }
 
-impl Script<'_> {
+impl ScenarioCommand<'_> {
     fn text(&mut self, key: &str) -> Option<String> {
         self.case
             .args
@@ -153,16 +154,16 @@
         match self.text(key) {
             Some(text) => text
                 .parse()
-                .unwrap_or_else(|_| panic!("`{key}={text}` is no number")),
+                .unwrap_or_else(|_| panic!("`{key}={text}` is not a number")),
             None => default,
         }
     }
 
-    /// Reads a seat written as `e1`.
+    /// Parses a seat written as `e1`; the default is `e1`.
     fn seat(&mut self, key: &str) -> Seat {
         let text = self.text(key).unwrap_or_else(|| "e1".into());
         let number = text.trim_start_matches('e').parse::<u16>();
-        Seat(number.unwrap_or_else(|_| panic!("`{key}={text}` is no seat")) - 1)
+        Seat(number.unwrap_or_else(|_| panic!("`{key}={text}` is not a seat")) - 1)
     }
 
     fn run(&mut self, world: &mut Option<World>) -> String {
@@ -185,7 +186,10 @@
             }
         };
         let unused: Vec<&String> = self.case.args.keys().collect();
-        assert!(unused.is_empty(), "`{command}` does not know {unused:?}");
+        assert!(
+            unused.is_empty(),
+            "`{command}` has unknown arguments {unused:?}"
+        );
         output
     }
 
@@ -220,7 +224,7 @@
                     (world.edges.worker_crashes, world.edges.upstream_crashes);
                 return format!("{workers} of workers, {upstreams} of instances\n");
             }
-            "gone" => callers_go(world, self.seat("via")),
+            "gone" => disconnect_callers(world, self.seat("via")),
             "running" => return running(world),
             "runs" => return self.runs(world),
             "appends" => return format!("{}\n", world.edges.log.appends),
@@ -239,22 +243,22 @@
         let id = self.text("id").unwrap_or_else(|| "first".into());
         let base = self.number("base", 0);
         let wait_ms = self.number("wait_ms", 12_000);
-        let add = self.case.input.clone();
+        let input = self.case.input.clone();
         let text = match self.flag("only") {
-            true => add,
-            false => format!("{SPA}\n{add}"),
+            true => input,
+            false => format!("{SPA}\n{input}"),
         };
-        let without = self.text("without");
+        let removed_job = self.text("without");
         let mut old = match base {
             0 => Sections::new(),
             _ => {
                 load_sections("inventory.ini", SPA)
-                    .expect("the inventory is sound")
+                    .expect("the inventory is valid")
                     .0
             }
         };
-        if let Some(job) = without {
-            // A section that only the former version has, so that it goes.
+        if let Some(job) = removed_job {
+            // The section is only in the previous version, so the change removes it.
             old.insert(("job".into(), job.into()), Section::default());
         }
         if let Some(rule) = self.text("without_rule") {
@@ -283,7 +287,7 @@
         let seat = self.seat("via");
         let id = self.text("id").unwrap_or_else(|| "r".into());
         let count = self.number("count", 1);
-        let patience_ms = self.number("patience_ms", 3_000);
+        let timeout_ms = self.number("patience_ms", 3_000);
         let every_ms = self.number("every_ms", 0);
         let is_once = self.flag("once");
         for number in 0..count {
@@ -292,7 +296,7 @@
             } else {
                 format!("{id}{number}")
             };
-            send(world, seat, &identity, is_once, patience_ms);
+            send(world, seat, &identity, is_once, timeout_ms);
             world.run(every_ms);
         }
     }
@@ -309,8 +313,8 @@
 
     fn cut(&mut self, is_cut: bool, world: &mut World) {
         let seat = self.seat("host");
-        let from_log = self.flag("log");
-        if from_log {
+        let is_log_connection = self.flag("log");
+        if is_log_connection {
             match is_cut {
                 true => drop(world.edges.log_cuts.insert(seat)),
                 false => drop(world.edges.log_cuts.remove(&seat)),
@@ -333,8 +337,8 @@
 
     fn log(&mut self, world: &mut World) {
         if let Some(stream) = self.text("expire") {
-            let keep = self.number("keep", 0) as usize;
-            world.edges.log.expire(&stream, keep);
+            let retained = self.number("keep", 0) as usize;
+            world.edges.log.expire(&stream, retained);
             return;
         }
         let mode = self.text("mode").unwrap_or_default();
@@ -343,15 +347,19 @@
             "down" => LogMode::Down,
             "loses-answers" => LogMode::LosesAnswers,
             "slow" => LogMode::Slow(self.number("ms", 2_000)),
-            other => panic!("unknown mode of the log `{other}`"),
+            other => panic!("unknown log mode `{other}`"),
         };
     }
 
     fn worker(&mut self, world: &mut World) {
-        let name = self.text("name").expect("`worker` takes `name`");
+        let name = self.text("name").expect("`worker` requires `name`");
         let now_ms = world.now_ms;
-        let wakes = self.flag("wakes");
-        let worker = world.edges.workers.get_mut(&*name).expect("such a worker");
+        let resumes = self.flag("wakes");
+        let worker = world
+            .edges
+            .workers
+            .get_mut(&*name)
+            .expect("the worker exists");
         if self.flag("dies") {
             worker.state.die(now_ms);
             worker.is_dead = true;
@@ -381,19 +389,23 @@
             worker.state.fails_all = false;
         }
         let slowdown = self.number("slowdown_permille", 0);
-        let worker = world.edges.workers.get_mut(&*name).expect("such a worker");
+        let worker = world
+            .edges
+            .workers
+            .get_mut(&*name)
+            .expect("the worker exists");
         if slowdown > 0 {
             worker.state.slowdown_permille = slowdown as u32;
         }
-        if wakes {
+        if resumes {
             world.edges.wake_worker(now_ms, &name);
         }
         world.list_hosts();
     }
 
-    /// Counts what a worker has started so far.
+    /// Returns the number of runs that a worker has started.
     fn runs(&mut self, world: &World) -> String {
-        let name = self.text("name").expect("`runs` takes `name`");
+        let name = self.text("name").expect("`runs` requires `name`");
         format!("{}\n", world.edges.workers[&*name].state.runs.len())
     }
 
@@ -407,7 +419,7 @@
             .edges
             .upstreams
             .get_mut(&*name)
-            .expect("such an upstream");
+            .expect("the upstream exists");
         if work_ms > 0 {
             upstream.work_ms = work_ms;
         }
@@ -417,7 +429,7 @@
                 "fails" => UpstreamMode::Fails,
                 "cuts" => UpstreamMode::Cuts,
                 "refuses" => UpstreamMode::Refuses,
-                other => panic!("unknown mode of an instance `{other}`"),
+                other => panic!("unknown instance mode `{other}`"),
             };
         }
         if leaves {
@@ -428,8 +440,8 @@
     }
 }
 
-/// All callers of one entry host that still wait go away.
-fn callers_go(world: &mut World, via: Seat) {
+/// Disconnects all callers of one entry host that still wait for an answer.
+fn disconnect_callers(world: &mut World, via: Seat) {
     let waiting = world
         .edges
         .told
