--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,11 +4,11 @@
 //! every promise after each. A failing sequence is shrunk and printed. Set
 //! `FAULT_SEQUENCES` for more.
 
-use crate::scenarios::SPA;
+use crate::scenarios::SPA_INVENTORY;
+use crate::scenarios::default_world;
 use crate::scenarios::publish;
 use crate::scenarios::send;
 use crate::scenarios::submit;
-use crate::scenarios::usual_world;
 use crate::world::LogMode;
 use crate::world::UpstreamMode;
 use crate::world::World;
@@ -183,9 +183,16 @@
         carry_records: 20,
         ..Limits::default()
     };
-    let mut world = usual_world(SEATS, limits, 1_500, 7);
+    let mut world = default_world(SEATS, limits, 1_500, 7);
     world.run(READY_MS);
-    publish(&mut world, Seat(0), "first", 0, &Sections::new(), SPA);
+    publish(
+        &mut world,
+        Seat(0),
+        "first",
+        0,
+        &Sections::new(),
+        SPA_INVENTORY,
+    );
     world.run(2_000);
     for fault in faults {
         inflict(&mut world, *fault);
@@ -310,9 +317,9 @@
 }
 
 fn publish_change(world: &mut World, via: u16, base: u64, id: u8) {
-    let (old, _) = load_sections("inventory.ini", SPA).expect("the inventory is sound");
+    let (old, _) = load_sections("inventory.ini", SPA_INVENTORY).expect("the inventory is sound");
     let text = format!(
-        "{SPA}\n[rule quota-desk]\nkind = quota\nteam = desk\ncores = {}\nmemory_mb = 100000\n",
+        "{SPA_INVENTORY}\n[rule quota-desk]\nkind = quota\nteam = desk\ncores = {}\nmemory_mb = 100000\n",
         40 + u32::from(id)
     );
     publish(world, Seat(via), &format!("change{id}"), base, &old, &text);
--- a/tests/inventories.rs
+++ b/tests/inventories.rs
@@ -1,6 +1,6 @@
 //! Bad inventories: each gets its own clear error, at its line, with a remedy.
 
-use crate::scenarios::SPA;
+use crate::scenarios::SPA_INVENTORY;
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::dangers;
 use goldcrestway_inventory::load;
@@ -313,7 +313,7 @@
 
 #[gtest]
 fn sound_inventories_load() {
-    for text in [SOUND, SPA] {
+    for text in [SOUND, SPA_INVENTORY] {
         expect_that!(load("sound.ini", text), ok(anything()));
     }
 }
@@ -360,9 +360,12 @@
 
 #[gtest]
 fn a_change_holds_only_what_differs() {
-    let (old, _) = load_sections("old.ini", SPA).expect("sound");
-    let (new, _) =
-        load_sections("new.ini", &SPA.replacen("cores = 32", "cores = 31", 1)).expect("sound");
+    let (old, _) = load_sections("old.ini", SPA_INVENTORY).expect("sound");
+    let (new, _) = load_sections(
+        "new.ini",
+        &SPA_INVENTORY.replacen("cores = 32", "cores = 31", 1),
+    )
+    .expect("sound");
     let changes = compare(&old, &new);
     expect_that!(changes.len(), eq(1));
     expect_that!(&*changes[0].name, eq("w1"));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -26,7 +26,7 @@
 use goldcrestway_inventory::load_sections;
 
 /// The inventory that scenarios publish unless they say otherwise.
-pub(crate) const SPA: &str = include_str!("../examples/spa/inventory.ini");
+pub(crate) const SPA_INVENTORY: &str = include_str!("../examples/spa/inventory.ini");
 
 #[test]
 fn scenarios_give_the_expected_output() {
@@ -40,7 +40,7 @@
 }
 
 /// Creates a world with `seats` entry hosts, nine workers and six instances.
-pub(crate) fn usual_world(seats: u16, limits: Limits, run_time_ms: u64, seed: u64) -> World {
+pub(crate) fn default_world(seats: u16, limits: Limits, run_time_ms: u64, seed: u64) -> World {
     let mut world = World::new(seats, limits, seed);
     for number in 1..=9 {
         let resources = if [3, 6, 9].contains(&number) {
@@ -177,7 +177,7 @@
                 let hosts = self.number("hosts", 3) as u16;
                 let run_time_ms = self.number("run_time_ms", 500);
                 let seed = self.number("seed", 1);
-                *world = Some(usual_world(hosts, limits, run_time_ms, seed));
+                *world = Some(default_world(hosts, limits, run_time_ms, seed));
                 String::new()
             }
             _ => {
@@ -246,13 +246,13 @@
         let input = self.case.input.clone();
         let text = match self.flag("only") {
             true => input,
-            false => format!("{SPA}\n{input}"),
+            false => format!("{SPA_INVENTORY}\n{input}"),
         };
         let removed_job = self.text("without");
         let mut old = match base {
             0 => Sections::new(),
             _ => {
-                load_sections("inventory.ini", SPA)
+                load_sections("inventory.ini", SPA_INVENTORY)
                     .expect("the inventory is valid")
                     .0
             }
