--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -214,17 +214,17 @@
             }
             "pause" => world.pause(self.seat("host"), true),
             "resume" => world.pause(self.seat("host"), false),
-            "cut" | "join" => self.cut(command == "cut", world),
+            "cut" | "reconnect" => self.cut(command == "cut", world),
             "log" => self.log(world),
             "worker" => self.worker(world),
             "upstream" => self.upstream(world),
-            "poison" => world.edges.poison = self.text("id"),
+            "crash_on" => world.edges.poison = self.text("id"),
             "crashes" => {
                 let (workers, upstreams) =
                     (world.edges.worker_crashes, world.edges.upstream_crashes);
                 return format!("{workers} of workers, {upstreams} of instances\n");
             }
-            "gone" => disconnect_callers(world, self.seat("via")),
+            "disconnect" => disconnect_callers(world, self.seat("via")),
             "running" => return running(world),
             "runs" => return self.runs(world),
             "appends" => return format!("{}\n", world.edges.log.appends),
@@ -232,7 +232,7 @@
             "jobs" => return jobs(world),
             "cells" => return cells(world),
             "versions" => return versions(world),
-            "promises" => return promises(world),
+            "guarantees" => return promises(world),
             other => panic!("unknown command `{other}`; see docs/SCENARIOS.md"),
         }
         String::new()
@@ -287,7 +287,7 @@
         let seat = self.seat("via");
         let id = self.text("id").unwrap_or_else(|| "r".into());
         let count = self.number("count", 1);
-        let timeout_ms = self.number("patience_ms", 3_000);
+        let timeout_ms = self.number("timeout_ms", 3_000);
         let every_ms = self.number("every_ms", 0);
         let is_once = self.flag("once");
         for number in 0..count {
@@ -354,7 +354,7 @@
     fn worker(&mut self, world: &mut World) {
         let name = self.text("name").expect("`worker` requires `name`");
         let now_ms = world.now_ms;
-        let resumes = self.flag("wakes");
+        let resumes = self.flag("resumes");
         let worker = world
             .edges
             .workers
@@ -370,7 +370,7 @@
         if self.flag("cut") {
             worker.is_cut = true;
         }
-        if self.flag("joined") {
+        if self.flag("reconnects") {
             worker.is_cut = false;
         }
         if self.flag("pauses") {
