--- a/crates/core/src/node/keys/intents.rs
+++ b/crates/core/src/node/keys/intents.rs
@@ -1,7 +1,10 @@
-//! Identities of non-idempotent requests, at their owner.
+//! Recording of non-idempotent requests by identity, at the owner of the cell of keys.
+//!
+//! An intent is recorded in the log before the request may run, so that a repeat under the same
+//! identity does not run a second time.
 
 use super::super::Node;
-use super::LOG_AWAY_RETRY_MS;
+use super::LOG_UNAVAILABLE_RETRY_MS;
 use crate::identity::Admission;
 use crate::identity::State;
 use crate::ids::Cell;
@@ -12,21 +15,25 @@
 use crate::record::Record;
 
 impl Node {
-    pub(super) fn intent_stands(&mut self, number: u16, identity: u128, fingerprint: u64) {
+    /// Tells the requester of a committed intent to proceed.
+    pub(super) fn apply_intent(&mut self, number: u16, identity: u128, fingerprint: u64) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let Some((asker, request)) = cell.intent_askers.get(&identity).copied() else {
-            // Its caller gave up meanwhile; the record of that follows.
+        let Some((requester, request)) = cell.intent_requesters.get(&identity).copied() else {
+            // The requester has reported an outcome meanwhile; the record of it follows.
             return;
         };
         cell.identities.begin(now_ms, identity, fingerprint);
         let verdict = IntentVerdict::Proceed;
-        self.send(asker.seat, Message::IntentResponse { request, verdict });
+        self.send(requester.seat, Message::IntentResponse { request, verdict });
     }
 
-    pub(super) fn ask_intent(
+    /// Admits a request with an identity, or returns why it may not run.
+    ///
+    /// Returns `None` if the intent is being recorded: the answer is sent once it is committed.
+    pub(super) fn handle_intent_request(
         &mut self,
         number: u16,
         from: Member,
@@ -35,25 +42,25 @@
         fingerprint: u64,
     ) -> Option<IntentVerdict> {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_unavailable();
+        let is_unavailable = self.claims_log.is_unavailable();
         let cell = self.keys.get_mut(&number)?;
-        let is_same = cell.intent_askers.get(&identity) == Some(&(from, request));
+        let is_same = cell.intent_requesters.get(&identity) == Some(&(from, request));
         match cell.identities.admit(now_ms, identity, fingerprint) {
             Admission::Conflict => Some(IntentVerdict::Conflict),
-            // The asker did not hear the first answer.
+            // The same request asks again: its first answer may have been lost.
             Admission::Known(State::Recording) if is_same => None,
             Admission::Known(State::Begun) if is_same => Some(IntentVerdict::Proceed),
             Admission::Known(State::Recording | State::Begun) => Some(IntentVerdict::Pending),
             Admission::Known(State::Ended { outcome, status }) => {
                 Some(IntentVerdict::Ended { outcome, status })
             }
-            Admission::New if is_away => {
+            Admission::New if is_unavailable => {
                 cell.identities.withdraw(identity);
-                let retry_after_ms = LOG_AWAY_RETRY_MS;
+                let retry_after_ms = LOG_UNAVAILABLE_RETRY_MS;
                 Some(IntentVerdict::Refused { retry_after_ms })
             }
             Admission::New => {
-                cell.intent_askers.insert(identity, (from, request));
+                cell.intent_requesters.insert(identity, (from, request));
                 let record = Record::Intent {
                     identity,
                     fingerprint,
@@ -64,14 +71,14 @@
         }
     }
 
-    /// Notes how a request with an identity ended.
+    /// Records the outcome of a request with an identity.
     ///
-    /// What goes wrong without the checks: a repeat that this owner's predecessor
-    /// never answered gives up and says that it did not run; the identity is freed
-    /// though the first request with it did run, and the next repeat runs again.
-    /// Only the request that was told to go may free an identity. After a take-over
-    /// the owner does not know which one that was, so it must say so itself.
-    pub(super) fn end_intent(&mut self, from: Member, ended: IntentEnded) {
+    /// Only the request that was told to proceed may end its identity. Otherwise a repeat
+    /// that the previous owner never answered could give up and report that it did not run:
+    /// the identity would be freed although the first request with it did run, and the next
+    /// repeat would run again. After a change of owner the new owner does not know which
+    /// request was admitted, so the message itself says whether it was.
+    pub(super) fn handle_intent_outcome(&mut self, from: Member, ended: ReportedOutcome) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         let identity = ended.identity;
         let Cell::Keys(number) = ended.cell else {
@@ -80,14 +87,14 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let is_let_go = match cell.intent_askers.get(&identity) {
-            Some((asker, request)) => (asker.seat, *request) == (from.seat, ended.request),
+        let is_admitted_request = match cell.intent_requesters.get(&identity) {
+            Some((requester, request)) => (requester.seat, *request) == (from.seat, ended.request),
             None => ended.was_admitted && cell.identities.state(identity) == Some(State::Begun),
         };
-        if !is_let_go {
+        if !is_admitted_request {
             return;
         }
-        cell.intent_askers.remove(&identity);
+        cell.intent_requesters.remove(&identity);
         cell.identities.end(identity, ended.outcome, ended.status);
         let record = Record::IntentEnded {
             identity,
@@ -98,9 +105,9 @@
     }
 }
 
-/// The end of a request with an identity, as its entry host tells it.
+/// Outcome of a request with an identity, as its entry host reports it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct IntentEnded {
+pub(super) struct ReportedOutcome {
     pub(super) cell: Cell,
     pub(super) request: u64,
     pub(super) identity: u128,
--- a/crates/core/src/node/keys/jobs.rs
+++ b/crates/core/src/node/keys/jobs.rs
@@ -1,11 +1,14 @@
-//! Jobs at their home: what stands in the log, and what cells of workers report.
+//! Jobs at the owner of their cell of keys.
+//!
+//! Each change of a job is committed to the log before it is acted on. Changes come from
+//! submissions and from what cells of workers report about attempts.
 
 use super::super::Node;
-use super::ANSWER_MS;
-use super::CRASHES;
-use super::FAILURES;
+use super::ANSWER_TIMEOUT_MS;
 use super::KeyCell;
-use super::LOG_AWAY_RETRY_MS;
+use super::LOG_UNAVAILABLE_RETRY_MS;
+use super::MAX_CRASHES;
+use super::MAX_FAILURES;
 use crate::ids::Cell;
 use crate::ids::Member;
 use crate::jobs::JobKey;
@@ -23,7 +26,7 @@
 use crate::record::Record;
 
 impl Node {
-    /// Cancels waiting jobs whose kind an operator has taken out of the inventory.
+    /// Cancels waiting jobs whose kind is no longer in the inventory.
     pub(in crate::node) fn cancel_unlisted(&mut self, number: u16) {
         let now_ms = self.now_ms;
         let Some(cell) = self.keys.get_mut(&number).filter(|cell| cell.is_open) else {
@@ -42,13 +45,14 @@
         }
     }
 
-    /// Tells whether a job of this cell overtakes others.
+    /// Returns whether a job of this cell is urgent and goes before others.
     pub(super) fn is_urgent_job(&self, number: u16, key: JobKey) -> bool {
         let job = self.keys.get(&number).and_then(|cell| cell.jobs.get(key));
         job.is_some_and(|job| self.is_urgent(&job.spec.job))
     }
 
-    pub(super) fn acceptance_stands(&mut self, number: u16, spec: &JobSpec) {
+    /// Queues a job whose acceptance is committed and answers its requester.
+    pub(super) fn apply_acceptance(&mut self, number: u16, spec: &JobSpec) {
         let now_ms = self.now_ms;
         let is_urgent = self.is_urgent(&spec.job);
         let Some(cell) = self.keys.get_mut(&number) else {
@@ -57,55 +61,64 @@
         if let Some((key, _)) = cell.jobs.find(&spec.id) {
             cell.jobs.enqueue(now_ms, key, is_urgent, false);
         }
-        if let Some((asker, request)) = cell.job_askers.remove(&spec.id) {
+        if let Some((requester, request)) = cell.job_requesters.remove(&spec.id) {
             let verdict = JobVerdict::Accepted(JobState::Queued);
-            self.send(asker.seat, Message::JobResponse { request, verdict });
+            self.send(requester.seat, Message::JobResponse { request, verdict });
         }
         self.note(Code::JobAccepted, &*spec.id, &*spec.job);
     }
 
-    pub(super) fn assignment_stands(&mut self, number: u16, id: &str, attempt: u32, workers: Cell) {
+    /// Orders the start of an attempt whose assignment is committed.
+    pub(super) fn apply_assignment(
+        &mut self,
+        number: u16,
+        id: &str,
+        attempt: u32,
+        worker_cell: Cell,
+    ) {
         let Some(key) = self.job_key(number, id) else {
             return;
         };
         self.note(
             Code::JobAssigned,
             id,
-            format!("attempt {attempt}, {workers}"),
+            format!("attempt {attempt}, {worker_cell}"),
         );
-        self.order_start_of(number, key, workers, false);
+        self.send_start_order(number, key, worker_cell, false);
     }
 
-    pub(super) fn order_start_of(
+    /// Sends the order to start a job's latest attempt to a cell of workers.
+    pub(super) fn send_start_order(
         &mut self,
         number: u16,
         key: JobKey,
-        workers: Cell,
+        worker_cell: Cell,
         is_repeat: bool,
     ) {
         let now_ms = self.now_ms;
-        let Some((order, is_urgent)) = self.order_of(number, key, 0) else {
+        let Some((order, is_urgent)) = self.make_order(number, key, 0) else {
             return;
         };
         if let Some(cell) = self.keys.get_mut(&number) {
             let state = JobState::Starting {
-                cell: workers,
+                cell: worker_cell,
                 asked_ms: now_ms,
             };
             cell.jobs.set_state(key, state);
         }
         let start = Message::Start {
             home: Cell::Keys(number),
-            cell: workers,
+            cell: worker_cell,
             order,
             is_urgent,
             is_repeat,
         };
-        self.send_to_owner(workers, start);
+        self.send_to_owner(worker_cell, start);
     }
 
-    /// Writes the order for a job's attempt, `ahead` of its latest one.
-    pub(super) fn order_of(
+    /// Returns the order for a job's attempt and whether the job is urgent; the attempt's number
+    /// is `ahead` above the latest one.
+    pub(super) fn make_order(
         &self,
         number: u16,
         key: JobKey,
@@ -125,7 +138,8 @@
         Some((order, kind.urgent))
     }
 
-    pub(super) fn eviction_stands(
+    /// Queues a job again whose eviction is committed.
+    pub(super) fn apply_eviction(
         &mut self,
         number: u16,
         id: &str,
@@ -150,7 +164,8 @@
         self.acknowledge_recorded_update(number, key, id, attempt);
     }
 
-    pub(super) fn end_stands(&mut self, number: u16, id: &str, attempt: u32, end: JobEnd) {
+    /// Ends a job whose end is committed.
+    pub(super) fn apply_end(&mut self, number: u16, id: &str, attempt: u32, end: JobEnd) {
         let now_ms = self.now_ms;
         let Some(key) = self.job_key(number, id) else {
             return;
@@ -161,11 +176,11 @@
         self.note(Code::JobEnded, id, format!("{end:?}"));
         self.acknowledge_recorded_update(number, key, id, attempt);
         if let Some(cell) = self.keys.get_mut(&number) {
-            cell.last_cell.remove(&key);
+            cell.last_worker_cell.remove(&key);
         }
     }
 
-    /// Tells the cell of workers that an attempt's end stands in the log.
+    /// Acknowledges to the cell of workers that an attempt's end is committed.
     pub(super) fn acknowledge_recorded_update(
         &mut self,
         number: u16,
@@ -176,7 +191,7 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let Some(workers) = cell.last_cell.get(&key).copied() else {
+        let Some(worker_cell) = cell.last_worker_cell.get(&key).copied() else {
             return;
         };
         let attempt = AttemptId {
@@ -184,13 +199,16 @@
             attempt,
         };
         let acknowledge_update = Message::TaskUpdateRecorded {
-            cell: workers,
+            cell: worker_cell,
             attempt,
         };
-        self.send_to_owner(workers, acknowledge_update);
+        self.send_to_owner(worker_cell, acknowledge_update);
     }
 
-    pub(super) fn ask_job(
+    /// Accepts a submitted job, or returns the verdict that is already known.
+    ///
+    /// Returns `None` if the acceptance is being recorded: the answer is sent once it is committed.
+    pub(super) fn handle_job_request(
         &mut self,
         number: u16,
         from: Member,
@@ -198,32 +216,32 @@
         spec: &JobSpec,
     ) -> Option<JobVerdict> {
         let now_ms = self.now_ms;
-        let is_away = self.claims_log.is_unavailable();
+        let is_unavailable = self.claims_log.is_unavailable();
         let cell = self.keys.get_mut(&number)?;
         match cell.jobs.submit(now_ms, spec) {
             Submitted::Known(JobState::Accepting) => {
-                cell.job_askers.insert(spec.id.clone(), (from, request));
+                cell.job_requesters.insert(spec.id.clone(), (from, request));
                 None
             }
             Submitted::Known(state) => Some(JobVerdict::Accepted(state)),
-            Submitted::New(_) if is_away => {
+            Submitted::New(_) if is_unavailable => {
                 cell.jobs.withdraw(&spec.id);
-                let retry_after_ms = LOG_AWAY_RETRY_MS;
+                let retry_after_ms = LOG_UNAVAILABLE_RETRY_MS;
                 Some(JobVerdict::Refused { retry_after_ms })
             }
             Submitted::New(_) => {
-                cell.job_askers.insert(spec.id.clone(), (from, request));
+                cell.job_requesters.insert(spec.id.clone(), (from, request));
                 cell.writer.push(now_ms, Record::Accepted(spec.clone()));
                 None
             }
         }
     }
 
-    /// A cell of workers says that an attempt runs or has ended.
-    pub(super) fn reported(
+    /// Handles the report of a cell of workers that an attempt runs or, with an `end`, has ended.
+    pub(super) fn handle_task_update(
         &mut self,
         home: Cell,
-        workers: Cell,
+        worker_cell: Cell,
         attempt: &AttemptId,
         end: Option<TaskEnd>,
     ) {
@@ -235,24 +253,24 @@
             return;
         };
         let Some((key, job)) = cell.jobs.find(&attempt.id) else {
-            self.acknowledge_update(workers, attempt, end.is_some());
+            self.acknowledge_update(worker_cell, attempt, end.is_some());
             return;
         };
         let (state, latest, name) = (job.state, job.attempt, job.spec.job.clone());
         let is_open = matches!(state, JobState::Starting { .. } | JobState::Running { .. });
         if attempt.attempt < latest || (!is_open && !matches!(state, JobState::Recording { .. })) {
-            // Its end stands in the log already: a late or repeated report.
-            self.acknowledge_update(workers, attempt, end.is_some());
+            // The end is committed already; the report is late or repeated.
+            self.acknowledge_update(worker_cell, attempt, end.is_some());
             return;
         }
         if !is_open {
             return;
         }
-        cell.last_cell.insert(key, workers);
+        cell.last_worker_cell.insert(key, worker_cell);
         let Some(end) = end else {
             if matches!(state, JobState::Starting { .. }) {
                 cell.jobs
-                    .set_state(key, JobState::Running { cell: workers });
+                    .set_state(key, JobState::Running { cell: worker_cell });
                 self.note(
                     Code::JobStarted,
                     &*attempt.id,
@@ -266,12 +284,13 @@
         let Some(cell) = self.keys.get_mut(&number) else {
             return;
         };
-        let record = record_of(cell, key, attempt, end, is_never_twice);
+        let record = make_end_record(cell, key, attempt, end, is_never_twice);
         cell.jobs
-            .set_state(key, JobState::Recording { cell: workers });
+            .set_state(key, JobState::Recording { cell: worker_cell });
         cell.writer.push(now_ms, record);
     }
 
+    /// Acknowledges a report of an end that needs no further record.
     pub(super) fn acknowledge_update(&mut self, cell: Cell, attempt: &AttemptId, is_end: bool) {
         if is_end {
             let attempt = attempt.clone();
@@ -279,8 +298,9 @@
         }
     }
 
-    /// Asks again where a cell of workers has not answered.
-    pub(super) fn chase_overdue(&mut self, number: u16) {
+    /// Repeats start orders that a cell of workers has not answered, and queues jobs again
+    /// whose reservation it has not answered.
+    pub(super) fn retry_overdue(&mut self, number: u16) {
         let now_ms = self.now_ms;
         if self.open_number(Cell::Keys(number)).is_none() {
             return;
@@ -291,29 +311,29 @@
         if cell.writer.has_pending_snapshot() {
             return;
         }
-        let overdue = cell.jobs.overdue(now_ms, ANSWER_MS);
-        let is_any_overdue = !overdue.is_empty();
+        let overdue = cell.jobs.overdue(now_ms, ANSWER_TIMEOUT_MS);
+        let has_overdue = !overdue.is_empty();
         for key in overdue {
             let job = self.keys.get(&number).and_then(|cell| cell.jobs.get(key));
             match job.map(|job| job.state) {
                 Some(JobState::Starting { cell, .. }) => {
-                    self.order_start_of(number, key, cell, true);
+                    self.send_start_order(number, key, cell, true);
                 }
                 Some(JobState::Reserving { .. }) => {
-                    self.room_refused(number, key);
+                    self.handle_refused_reservation(number, key);
                 }
                 _ => {}
             }
         }
-        if is_any_overdue {
-            // Its kind may have gone while a cell of workers was asked.
+        if has_overdue {
+            // A job's kind may have left the inventory while the reservation was pending.
             self.cancel_unlisted(number);
         }
     }
 }
 
-/// Decides what the end of an attempt means for its job.
-fn record_of(
+/// Returns the record of what the end of an attempt means for its job.
+fn make_end_record(
     cell: &KeyCell,
     key: JobKey,
     attempt: &AttemptId,
@@ -337,8 +357,8 @@
         checkpoint,
         failure_counts,
     };
-    let again = |failure_counts: FailureCounts| match failure_counts.failures >= FAILURES
-        || failure_counts.crashes >= CRASHES
+    let again = |failure_counts: FailureCounts| match failure_counts.failures >= MAX_FAILURES
+        || failure_counts.crashes >= MAX_CRASHES
     {
         true => ended(JobEnd::Failed),
         false => evicted(0, failure_counts),
@@ -348,7 +368,7 @@
         TaskEnd::Evicted { checkpoint } => evicted(checkpoint, failure_counts),
         TaskEnd::NotStarted => evicted(0, failure_counts),
         TaskEnd::Lost | TaskEnd::Forgotten if is_never_twice => ended(JobEnd::Unknown),
-        // A worker that can't be heard says nothing against the job.
+        // The job is not known to be the cause of a worker's silence, so no failure is counted.
         TaskEnd::Lost => evicted(0, failure_counts),
         TaskEnd::Forgotten => again(FailureCounts {
             crashes: failure_counts.crashes + 1,
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,11 +4,11 @@
 //! guarantees after each. A failing sequence is shrunk and printed. The environment
 //! variable `FAULT_SEQUENCES` sets another number of sequences.
 
-use crate::scenarios::SPA;
+use crate::scenarios::SPA_INVENTORY;
+use crate::scenarios::default_world;
 use crate::scenarios::publish;
 use crate::scenarios::send;
 use crate::scenarios::submit;
-use crate::scenarios::usual_world;
 use crate::world::LogMode;
 use crate::world::UpstreamMode;
 use crate::world::World;
@@ -192,9 +192,16 @@
         carry_records: 20,
         ..Limits::default()
     };
-    let mut world = usual_world(SEATS, limits, 1_500, 7);
+    let mut world = default_world(SEATS, limits, 1_500, 7);
     world.run(STARTUP_MS);
-    publish(&mut world, Seat(0), "first", 0, &Sections::new(), SPA);
+    publish(
+        &mut world,
+        Seat(0),
+        "first",
+        0,
+        &Sections::new(),
+        SPA_INVENTORY,
+    );
     world.run(2_000);
     for fault in faults {
         inject_fault(&mut world, *fault);
@@ -324,9 +331,9 @@
 }
 
 fn publish_change(world: &mut World, via: u16, base: u64, id: u8) {
-    let (old, _) = load_sections("inventory.ini", SPA).expect("the inventory is valid");
+    let (old, _) = load_sections("inventory.ini", SPA_INVENTORY).expect("the inventory is valid");
     let text = format!(
-        "{SPA}\n[rule quota-desk]\nkind = quota\nteam = desk\ncores = {}\nmemory_mb = 100000\n",
+        "{SPA_INVENTORY}\n[rule quota-desk]\nkind = quota\nteam = desk\ncores = {}\nmemory_mb = 100000\n",
         40 + u32::from(id)
     );
     publish(world, Seat(via), &format!("change{id}"), base, &old, &text);
--- a/tests/inventories.rs
+++ b/tests/inventories.rs
@@ -1,6 +1,6 @@
 //! Faulty inventories: each fault is reported with its own message, line and remedy.
 
-use crate::scenarios::SPA;
+use crate::scenarios::SPA_INVENTORY;
 use goldcrestway_inventory::compare;
 use goldcrestway_inventory::dangers;
 use goldcrestway_inventory::load;
@@ -313,7 +313,7 @@
 
 #[gtest]
 fn valid_inventories_load() {
-    for text in [VALID, SPA] {
+    for text in [VALID, SPA_INVENTORY] {
         expect_that!(load("valid.ini", text), ok(anything()));
     }
 }
@@ -364,9 +364,12 @@
 
 #[gtest]
 fn changes_contain_only_differing_sections() {
-    let (old, _) = load_sections("old.ini", SPA).expect("valid");
-    let (new, _) =
-        load_sections("new.ini", &SPA.replacen("cores = 32", "cores = 31", 1)).expect("valid");
+    let (old, _) = load_sections("old.ini", SPA_INVENTORY).expect("valid");
+    let (new, _) = load_sections(
+        "new.ini",
+        &SPA_INVENTORY.replacen("cores = 32", "cores = 31", 1),
+    )
+    .expect("valid");
     let changes = compare(&old, &new);
     expect_that!(changes.len(), eq(1));
     expect_that!(&*changes[0].name, eq("w1"));
