--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,9 +1,9 @@
-//! The configuration in force, as the log's order decides it.
+//! The configuration in force, as decided by the order of the log.
 //!
-//! A change names the version on which it was made and takes effect only if that
-//! version is current where the change stands in the log. Of two operators who
-//! publish at once exactly one wins; every process reaches the same verdict.
-//! Versions only grow, so nothing reverts.
+//! A change names the version that it is based on and takes effect only if that
+//! version is current at the change's position in the log. Of two operators who
+//! publish at the same time exactly one succeeds, and every process computes the same
+//! outcome. Versions only grow; the configuration never goes back to an earlier one.
 
 use crate::macros::plain;
 use crate::record::ConfigChange;
@@ -17,21 +17,21 @@
 use std::collections::VecDeque;
 
 plain! {
-    /// What became of a published change.
-    pub enum Fate {
-        /// It is the configuration with this version.
+    /// Outcome of publishing a change.
+    pub enum PublishOutcome {
+        /// The change is the configuration with this version.
         Accepted {
             /// The version.
             version: u64,
         },
         /// Another change came first.
         Overtaken {
-            /// Version that was current where the change stands.
+            /// Version that was current at the change's position.
             version: u64,
-            /// Who made that version.
+            /// Author of that version.
             author: Box<str>,
         },
-        /// The result would be faulty.
+        /// The resulting configuration would be faulty.
         Faulty {
             /// The faults, one a line.
             faults: Box<str>,
@@ -39,47 +39,48 @@
     }
 }
 
-/// Identities of changes whose fate is remembered for those who ask again.
-const REMEMBERED: usize = 1_000;
+/// Maximum number of changes whose outcome is remembered for operators that ask
+/// again.
+const MAX_OUTCOMES: usize = 1_000;
 
-/// The configuration and how it came about.
+/// The configuration and the outcomes of recent changes.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
     version: u64,
     author: Box<str>,
     sections: Sections,
     inventory: Inventory,
-    fates: HashMap<Box<str>, Fate>,
+    outcomes: HashMap<Box<str>, PublishOutcome>,
     order: VecDeque<Box<str>>,
 }
 
 impl Config {
-    /// Gives the version in force; 0 before the first one.
+    /// Returns the version in force; 0 before the first one.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Gives who made the version in force.
+    /// Returns the author of the version in force.
     pub fn author(&self) -> &str {
         &self.author
     }
 
-    /// Gives the inventory in force.
+    /// Returns the inventory in force.
     pub fn inventory(&self) -> &Inventory {
         &self.inventory
     }
 
-    /// Gives the sections in force.
+    /// Returns the sections in force.
     pub fn sections(&self) -> &Sections {
         &self.sections
     }
 
-    /// Tells what became of the change with this identity, if it was seen.
-    pub fn fate(&self, id: &str) -> Option<&Fate> {
-        self.fates.get(id)
+    /// Returns the outcome of the change with this identity, if it was seen.
+    pub fn publish_outcome(&self, id: &str) -> Option<&PublishOutcome> {
+        self.outcomes.get(id)
     }
 
-    /// Applies the record at `offset`; tells whether the configuration changed.
+    /// Applies the record at `offset`; returns whether the configuration changed.
     pub fn apply(&mut self, offset: u64, record: &Record) -> bool {
         match record {
             Record::Config(change) => self.change(offset, change),
@@ -88,18 +89,18 @@
     }
 
     fn change(&mut self, offset: u64, change: &ConfigChange) -> bool {
-        if self.fates.contains_key(&change.id) {
+        if self.outcomes.contains_key(&change.id) {
             return false;
         }
-        let fate = self.judge(offset, change);
-        let is_accepted = matches!(fate, Fate::Accepted { .. });
-        self.remember(change.id.clone(), fate);
+        let outcome = self.evaluate(offset, change);
+        let is_accepted = matches!(outcome, PublishOutcome::Accepted { .. });
+        self.remember(change.id.clone(), outcome);
         is_accepted
     }
 
-    fn judge(&mut self, offset: u64, change: &ConfigChange) -> Fate {
+    fn evaluate(&mut self, offset: u64, change: &ConfigChange) -> PublishOutcome {
         if change.base != self.version {
-            return Fate::Overtaken {
+            return PublishOutcome::Overtaken {
                 version: self.version,
                 author: self.author.clone(),
             };
@@ -109,18 +110,19 @@
                 self.inventory = inventory;
                 self.version = offset + 1;
                 self.author = change.author.clone();
-                Fate::Accepted {
+                PublishOutcome::Accepted {
                     version: self.version,
                 }
             }
-            Err(faults) => Fate::Faulty {
+            Err(faults) => PublishOutcome::Faulty {
                 faults: faults.to_string().into(),
             },
         }
     }
 
-    /// Takes over a configuration that was carried forward.
-    pub fn replace(&mut self, version: u64, changes: &[Change]) -> bool {
+    /// Replaces the configuration by a snapshot, if that is newer; returns whether it
+    /// was replaced.
+    pub fn restore(&mut self, version: u64, changes: &[Change]) -> bool {
         if version <= self.version {
             return false;
         }
@@ -134,20 +136,20 @@
         true
     }
 
-    fn remember(&mut self, id: Box<str>, fate: Fate) {
-        self.fates.insert(id.clone(), fate);
+    fn remember(&mut self, id: Box<str>, outcome: PublishOutcome) {
+        self.outcomes.insert(id.clone(), outcome);
         self.order.push_back(id);
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_OUTCOMES
             && let Some(oldest) = self.order.pop_front()
         {
-            self.fates.remove(&oldest);
+            self.outcomes.remove(&oldest);
         }
     }
 
-    /// Gives the whole configuration as a record that stands for all before
-    /// `as_of`.
-    pub fn carry(&self, as_of: u64) -> Record {
-        Record::ConfigCarried {
+    /// Returns the configuration as a snapshot record that replaces all records
+    /// before `as_of`.
+    pub fn snapshot(&self, as_of: u64) -> Record {
+        Record::ConfigSnapshot {
             as_of,
             version: self.version,
             changes: compare(&Sections::new(), &self.sections).into(),
--- a/crates/core/src/jobs/queues.rs
+++ b/crates/core/src/jobs/queues.rs
@@ -1,16 +1,17 @@
-//! Queues of teams: whose turn it is, within quotas.
+//! Queues of the teams, which are served in turn within their quotas.
 
 use super::JobKey;
 use super::JobState;
 use super::JobTable;
 use super::TeamKey;
-use crate::record::Tally;
+use crate::record::FailureCounts;
 use goldcrestway_inventory::Inventory;
 use goldcrestway_inventory::Resources;
 
 impl JobTable {
-    /// Puts a job at the end of its team's queue, or at its head if it had waited.
-    pub fn queue(&mut self, now_ms: u64, key: JobKey, is_urgent: bool, at_head: bool) {
+    /// Queues a job at the end of its team's queue, or at the head if it had waited
+    /// before.
+    pub fn enqueue(&mut self, now_ms: u64, key: JobKey, is_urgent: bool, at_head: bool) {
         self.discharge(key);
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -36,30 +37,31 @@
         }
     }
 
-    /// Takes the next job that its team's quota allows, urgent ones first.
+    /// Removes and returns the next job that its team's quota allows, urgent ones
+    /// first.
     ///
-    /// Teams take turns, so none starves behind a large one; within a team the
-    /// oldest goes first, and a job that must rest after a refusal keeps its place
-    /// without holding up teams behind it.
-    pub fn next(&mut self, now_ms: u64, inventory: &Inventory) -> Option<JobKey> {
+    /// Teams are served in turn, which prevents starvation behind a large one. Within
+    /// a team the oldest job is first; one that is delayed after a refusal keeps its
+    /// place without delaying other teams.
+    pub fn next_job(&mut self, now_ms: u64, inventory: &Inventory) -> Option<JobKey> {
         for wants_urgent in [true, false] {
             for _ in 0..self.ring.len() {
                 let team = self.ring.pop_front()?;
-                let taken = self.take(now_ms, team, wants_urgent, inventory);
+                let removed = self.take_from_team(now_ms, team, wants_urgent, inventory);
                 let entry = &mut self.teams[team];
                 entry.is_in_ring = !(entry.urgent.is_empty() && entry.batch.is_empty());
                 if entry.is_in_ring {
                     self.ring.push_back(team);
                 }
-                if taken.is_some() {
-                    return taken;
+                if removed.is_some() {
+                    return removed;
                 }
             }
         }
         None
     }
 
-    pub(super) fn take(
+    pub(super) fn take_from_team(
         &mut self,
         now_ms: u64,
         team_key: TeamKey,
@@ -74,7 +76,7 @@
         };
         let key = *queue.front()?;
         let job = &self.jobs[key];
-        if now_ms < job.rests_until_ms {
+        if now_ms < job.retry_at_ms {
             return None;
         }
         let need = inventory.jobs.get(&job.spec.job)?.need;
@@ -93,23 +95,23 @@
         Some(key)
     }
 
-    /// Takes the waiting jobs out of the queues whose kind is no longer listed.
+    /// Removes and returns waiting jobs whose kind is not in the inventory any more.
     ///
-    /// Left there, the first of them would hold up its team for ever.
-    pub fn take_unlisted(&mut self, inventory: &Inventory) -> Vec<JobKey> {
+    /// Otherwise the first of them would block its team forever.
+    pub fn remove_unlisted(&mut self, inventory: &Inventory) -> Vec<JobKey> {
         let jobs = &self.jobs;
         let is_listed = |key: &JobKey| {
             jobs.get(*key)
                 .is_some_and(|job| inventory.jobs.contains_key(&job.spec.job))
         };
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         for team in self.teams.values_mut() {
             for queue in [&mut team.urgent, &mut team.batch] {
-                taken.extend(queue.iter().copied().filter(|key| !is_listed(key)));
+                removed.extend(queue.iter().copied().filter(|key| !is_listed(key)));
                 queue.retain(is_listed);
             }
         }
-        taken
+        removed
     }
 
     pub(super) fn discharge(&mut self, key: JobKey) {
@@ -121,7 +123,8 @@
         job.charged = Resources::default();
     }
 
-    /// Charges a job's team for room that it already holds, after a take-over.
+    /// Charges a job's team for resources that the job already holds after a change
+    /// of owner.
     pub fn charge(&mut self, key: JobKey, need: Resources) {
         let job = &mut self.jobs[key];
         if job.charged != Resources::default() {
@@ -132,42 +135,44 @@
         team.held = team.held.plus(need);
     }
 
-    /// Notes a refusal; the job rests, longer with each one up to a second.
-    pub fn refused(&mut self, now_ms: u64, key: JobKey, is_urgent: bool) {
-        const REST_MS: u64 = 20;
-        const LONGEST_MS: u64 = 1_000;
-        const LONGEST_URGENT_MS: u64 = 100;
-        let longest = if is_urgent {
-            LONGEST_URGENT_MS
+    /// Records a refusal and queues the job again, with an exponential delay of up to
+    /// 1 s, or 100 ms if it is urgent.
+    pub fn requeue_refused(&mut self, now_ms: u64, key: JobKey, is_urgent: bool) {
+        const BACKOFF_MS: u64 = 20;
+        const MAX_BACKOFF_MS: u64 = 1_000;
+        const MAX_URGENT_BACKOFF_MS: u64 = 100;
+        let max_ms = if is_urgent {
+            MAX_URGENT_BACKOFF_MS
         } else {
-            LONGEST_MS
+            MAX_BACKOFF_MS
         };
         if let Some(job) = self.jobs.get_mut(key) {
             job.refusals += 1;
-            let rest_ms = (REST_MS << job.refusals.min(10)).min(longest);
-            job.rests_until_ms = now_ms + rest_ms;
+            let backoff_ms = (BACKOFF_MS << job.refusals.min(10)).min(max_ms);
+            job.retry_at_ms = now_ms + backoff_ms;
         }
-        self.queue(now_ms, key, is_urgent, true);
+        self.enqueue(now_ms, key, is_urgent, true);
     }
 
-    /// Notes that an attempt stopped; the job will resume at `checkpoint`.
-    pub fn evicted(
+    /// Records that an attempt stopped and queues the job, which will resume at
+    /// `checkpoint`.
+    pub fn requeue_evicted(
         &mut self,
         now_ms: u64,
         key: JobKey,
         checkpoint: u64,
-        tally: Tally,
+        failure_counts: FailureCounts,
         is_urgent: bool,
     ) {
         let job = &mut self.jobs[key];
-        job.tally = tally;
+        job.failure_counts = failure_counts;
         job.checkpoint = job.checkpoint.max(checkpoint);
         job.refusals = 0;
-        job.rests_until_ms = 0;
-        self.queue(now_ms, key, is_urgent, true);
+        job.retry_at_ms = 0;
+        self.enqueue(now_ms, key, is_urgent, true);
     }
 
-    /// Counts what the team holds and how many of its jobs wait.
+    /// Returns the resources that a team holds and the number of its waiting jobs.
     pub fn team_load(&self, name: &str) -> (Resources, usize) {
         let Some(team) = self.team_by_name.get(name).map(|key| &self.teams[*key]) else {
             return (Resources::default(), 0);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,16 @@
-//! The decisions of goldcrestway: who may act, where requests and jobs go, and
-//! what happens when hosts, links and the log fail.
+//! The decisions of goldcrestway: which host may act, where requests and jobs go, and
+//! how the system reacts when hosts, connections and the log fail.
 //!
-//! Nothing here does input or output, reads a clock or starts a thread. Events and
-//! a time go into a [`Node`], actions come out, and whoever embeds it carries them
-//! out. Times are milliseconds of any monotonic clock.
+//! Nothing in this crate does input or output, reads a clock or starts a thread. A
+//! [`Node`] is given events with the present time and returns actions, which the
+//! embedding process carries out. Times are milliseconds of any monotonic clock.
 //!
 //! ```
 //! use goldcrestway_core::{Action, Event, Limits, Member, Node, Seat};
 //!
 //! let me = Member { seat: Seat(0), incarnation: 1 };
 //! let mut node = Node::new(me, &[Seat(0)], Limits::default(), 0);
-//! // A lone member votes for itself once its former life's promises have ended.
+//! // A single member votes for itself once the votes of its previous incarnation have expired.
 //! let mut now_ms = 0;
 //! let mut is_ready = false;
 //! while !is_ready && now_ms < 10_000 {
@@ -24,9 +24,9 @@
 mod claims;
 mod config;
 mod event;
-mod guard;
 mod identity;
 mod ids;
+mod interference;
 mod jobs;
 mod layout;
 mod lease;
@@ -44,18 +44,14 @@
 pub use claims::ClaimTable;
 pub use claims::Owner;
 pub use config::Config;
-pub use config::Fate;
+pub use config::PublishOutcome;
 pub use event::Action;
 pub use event::Answer;
-pub use event::AttemptEnd;
+pub use event::AttemptOutcome;
 pub use event::Event;
-pub use event::Part;
 pub use event::PlatformHost;
 pub use event::Request;
-pub use guard::Guard;
-pub use guard::Load as GuardLoad;
-pub use guard::TEMPER;
-pub use guard::Temper;
+pub use event::StreamPage;
 pub use identity::Admission;
 pub use identity::IdentityTable;
 pub use identity::State;
@@ -65,8 +61,12 @@
 pub use ids::Stream;
 pub use ids::Term;
 pub use ids::hash;
-pub use ids::weight;
-pub use ids::wide_hash;
+pub use ids::identity_hash;
+pub use ids::rendezvous_weight;
+pub use interference::INTERFERENCE_SETTINGS;
+pub use interference::InterferenceControl;
+pub use interference::InterferenceSettings;
+pub use interference::Load as JobLoad;
 pub use jobs::Job;
 pub use jobs::JobKey;
 pub use jobs::JobState;
@@ -76,52 +76,52 @@
 pub use layout::Group;
 pub use layout::Layout;
 pub use lease::Lease;
-pub use lease::Standing;
+pub use lease::LeaseState;
 pub use lease::Voter;
 pub use limits::Limits;
 pub use message::GrantVerdict;
 pub use message::IntentVerdict;
 pub use message::JobVerdict;
 pub use message::Message;
-pub use node::HandedKeys;
 pub use node::Handover;
+pub use node::KeyHandover;
 pub use node::Node;
 pub use node::Status;
 pub use notes::Code;
 pub use notes::Note;
 pub use placement::AttemptId;
+pub use placement::HostEntry;
 pub use placement::HostKey;
-pub use placement::ListedHost;
-pub use placement::ListedState;
-pub use placement::ListedTask;
-pub use placement::Listing;
-pub use placement::Manner;
-pub use placement::Pace;
-pub use placement::Report;
+pub use placement::ReportedState;
 pub use placement::Reservation;
 pub use placement::StartAnswer;
+pub use placement::StartOptions;
 pub use placement::Task;
 pub use placement::TaskEnd;
 pub use placement::TaskKey;
 pub use placement::TaskOrder;
+pub use placement::TaskReport;
 pub use placement::TaskState;
+pub use placement::TaskUpdate;
 pub use placement::WorkerCall;
 pub use placement::WorkerCell;
+pub use placement::WorkerReport;
+pub use placement::WorkerTiming;
 pub use record::Batch;
 pub use record::BatchFilter;
 pub use record::ConfigChange;
+pub use record::FailureCounts;
 pub use record::JobEnd;
 pub use record::JobSpec;
 pub use record::Outcome;
 pub use record::Record;
-pub use record::Tally;
 pub use retry::Budget;
-pub use slots::Ask;
 pub use slots::Bounds;
-pub use slots::Ended;
 pub use slots::GrantKey;
+pub use slots::GrantOutcome;
 pub use slots::InstanceKey;
-pub use slots::Released;
+pub use slots::SlotRelease;
+pub use slots::SlotRequest;
 pub use slots::UpstreamCell;
 pub use slots::Verdict;
 pub use writer::Appends;
--- a/crates/core/src/node/claiming.rs
+++ b/crates/core/src/node/claiming.rs
@@ -1,34 +1,36 @@
-//! Claiming free cells, giving cells to a better owner, and a planned stop.
+//! Claims of free cells, transfers of cells to a better owner, and the planned stop.
 
 use super::Node;
 use crate::event::Action;
 use crate::ids::Cell;
 use crate::ids::Member;
-use crate::ids::weight;
+use crate::ids::rendezvous_weight;
 use crate::notes::Code;
 use crate::record::Record;
 
-/// Most cells in one claim, so that a record stays small.
-const CLAIM_CELLS: usize = 500;
-/// How long a member has been alive before cells move to it.
-const SETTLED_MS: u64 = 5_000;
-/// Cells that move to a better owner per heartbeat.
-const MOVES: usize = 1;
-/// How long a stopping host still takes requests, until the balancer has noticed.
-const GRACE_MS: u64 = 3_000;
-/// How long a stopping host tries to pass on its cells through the log.
-const RELEASE_MS: u64 = 10_000;
+/// Maximum number of cells in one claim, so that the record stays small.
+const MAX_CLAIM_CELLS: usize = 500;
+/// Time for which a member must have been alive before cells move to it.
+const MIN_ALIVE_MS: u64 = 5_000;
+/// Maximum number of cells that move to a better owner per heartbeat.
+const MAX_MOVES: usize = 1;
+/// Time for which a stopping host still accepts requests, because the load balancer
+/// takes a while to stop sending them.
+const STOP_GRACE_MS: u64 = 3_000;
+/// Time after the start of a planned stop until which a host tries to release its
+/// cells through the log.
+const MAX_RELEASE_MS: u64 = 10_000;
 
 impl Node {
-    /// Gives the member that should own `cell`.
+    /// Returns the live member that should own `cell`.
     fn best_owner(&self, cell: Cell) -> Option<Member> {
         let members = self.alive().iter().copied();
-        members.max_by_key(|member| weight(cell, member.seat))
+        members.max_by_key(|member| rendezvous_weight(cell, member.seat))
     }
 
-    /// Claims free cells of which this member is the best owner, and passes on
-    /// cells of which another is.
-    pub(super) fn claim_free(&mut self) {
+    /// Claims free cells of which this member is the best owner. If there are none,
+    /// releases cells of which another member is the best owner.
+    pub(super) fn claim_free_cells(&mut self) {
         let is_current = self.claims_log.is_current(self.now_ms, &self.limits);
         if !is_current || self.claims_writer.waiting() > 0 || self.is_stopping {
             return;
@@ -39,7 +41,7 @@
                 continue;
             }
             free.push(*cell);
-            if free.len() == CLAIM_CELLS {
+            if free.len() == MAX_CLAIM_CELLS {
                 break;
             }
         }
@@ -50,30 +52,31 @@
                 .push(self.now_ms, Record::Claim { member, cells });
             return;
         }
-        self.pass_on_misplaced();
+        self.release_misplaced();
     }
 
-    fn pass_on_misplaced(&mut self) {
+    fn release_misplaced(&mut self) {
         let mut moved = 0;
         for cell in self.owned_cells() {
             let Some(best) = self.best_owner(cell).filter(|best| *best != self.me) else {
                 continue;
             };
             let since_ms = self.alive_since_ms(best);
-            let is_settled = since_ms.is_some_and(|since| self.now_ms >= since + SETTLED_MS);
-            let is_carried = self.life_of(cell) != self.me;
-            if !is_settled || is_carried || !self.may_let_go(cell) {
+            let is_stable = since_ms.is_some_and(|since| self.now_ms >= since + MIN_ALIVE_MS);
+            let is_inherited = self.acting_member(cell) != self.me;
+            if !is_stable || is_inherited || !self.may_release(cell) {
                 continue;
             }
-            self.let_go(self.me, &[cell], Some(best));
+            self.release_cells(self.me, &[cell], Some(best));
             moved += 1;
-            if moved == MOVES {
+            if moved == MAX_MOVES {
                 return;
             }
         }
     }
 
-    /// Lists the cells that this member serves or is about to.
+    /// Returns the cells that this process owns, including those that are not open
+    /// yet and those of inherited members.
     pub(super) fn owned_cells(&self) -> Vec<Cell> {
         let keys = self.keys.keys().map(|number| Cell::Keys(*number));
         let workers = self.workers.keys().map(|number| Cell::Workers(*number));
@@ -81,29 +84,37 @@
         keys.chain(workers).chain(upstreams).collect()
     }
 
-    /// Tells whether nothing of `cell` is half written.
-    pub(super) fn may_let_go(&self, cell: Cell) -> bool {
+    /// Returns whether `cell` has no unfinished writes, so that it may be released.
+    pub(super) fn may_release(&self, cell: Cell) -> bool {
         match cell {
-            Cell::Keys(number) => self.keys.get(&number).is_some_and(|cell| cell.may_let_go()),
+            Cell::Keys(number) => self
+                .keys
+                .get(&number)
+                .is_some_and(|cell| cell.may_release()),
             _ => true,
         }
     }
 
-    /// Stops acting for `cells` and then says so in the log. The order matters:
-    /// the heir may act as soon as the record stands.
-    pub(super) fn let_go(&mut self, member: Member, cells: &[Cell], heir: Option<Member>) {
+    /// Stops acting for `cells` and then writes their release to the log. The order
+    /// matters: the successor may act as soon as the record is in the log.
+    pub(super) fn release_cells(
+        &mut self,
+        member: Member,
+        cells: &[Cell],
+        successor: Option<Member>,
+    ) {
         for cell in cells {
             self.drop_cell(*cell);
         }
         let release = Record::Release {
             member,
             cells: cells.into(),
-            heir,
+            successor,
         };
         self.claims_writer.push(self.now_ms, release);
     }
 
-    /// Begins or ends ownership of cells whose owner has changed in the log.
+    /// Opens or drops cells whose owner has changed in the log.
     pub(super) fn owners_changed(&mut self, cells: &[Cell]) {
         for cell in cells {
             let owner = self.claims.owner(*cell);
@@ -125,12 +136,12 @@
     }
 
     pub(super) fn drop_cell(&mut self, cell: Cell) {
-        let had = match cell {
+        let was_owned = match cell {
             Cell::Keys(number) => self.keys.remove(&number).is_some(),
             Cell::Workers(number) => self.workers.remove(&number).is_some(),
             Cell::Upstreams(number) => self.upstreams.remove(&number).is_some(),
         };
-        if had {
+        if was_owned {
             self.note(Code::CellGone, cell.to_string(), self.me.to_string());
         }
     }
@@ -151,10 +162,10 @@
         self.out.push(Action::Ready(false));
     }
 
-    /// Goes on with a planned stop: first the requests in flight end, then the
-    /// cells go to their heirs, then the process may end.
+    /// Continues a planned stop: once the requests in flight have ended, releases
+    /// the cells to their successors, and then reports that the process may exit.
     pub(super) fn tick_stop(&mut self) {
-        if !self.is_stopping || self.now_ms < self.stop_began_ms + GRACE_MS {
+        if !self.is_stopping || self.now_ms < self.stop_began_ms + STOP_GRACE_MS {
             return;
         }
         if !self.flights.is_empty() || !self.submissions.is_empty() || !self.publishing.is_empty() {
@@ -162,22 +173,23 @@
         }
         let may_write = self.acts_until_ms().is_some()
             && self.claims_log.is_current(self.now_ms, &self.limits)
-            && self.now_ms < self.stop_began_ms + RELEASE_MS;
+            && self.now_ms < self.stop_began_ms + MAX_RELEASE_MS;
         let owned = self.owned_cells();
         if may_write {
             for cell in &owned {
-                if self.may_let_go(*cell) {
-                    let heir = self.best_owner(*cell).filter(|best| *best != self.me);
-                    self.let_go(self.life_of(*cell), &[*cell], heir);
+                if self.may_release(*cell) {
+                    let successor = self.best_owner(*cell).filter(|best| *best != self.me);
+                    self.release_cells(self.acting_member(*cell), &[*cell], successor);
                 }
             }
             if !owned.is_empty() || self.claims_writer.waiting() > 0 {
                 return;
             }
         } else if !owned.is_empty() && self.hand_over() {
-            // The process lives on for a moment, until the message is on its way.
+            // The process must not exit before the handovers are sent. The stop
+            // completes at a later tick.
             return;
         }
-        self.stopped();
+        self.finish_stop();
     }
 }
--- a/crates/core/src/node/logs.rs
+++ b/crates/core/src/node/logs.rs
@@ -1,8 +1,8 @@
-//! Following the streams `claims` and `config`, and writing to all streams.
+//! Reading of the streams `claims` and `config`, and writing to all streams.
 
 use super::Node;
 use crate::event::Action;
-use crate::event::Part;
+use crate::event::StreamPage;
 use crate::ids::Cell;
 use crate::ids::Stream;
 use crate::limits::Limits;
@@ -11,22 +11,23 @@
 use crate::record::Record;
 use crate::writer::Step;
 
-/// Where a followed stream stands.
+/// Position and state of a stream that is read continuously.
 #[derive(Debug, Clone)]
 pub(super) struct Follower {
     position: u64,
+    /// Whether the answer to a read is outstanding.
     is_reading: bool,
-    asked_ms: u64,
-    next_ms: u64,
+    read_sent_ms: u64,
+    next_read_ms: u64,
     /// When the end of the stream was last reached.
-    at_end_ms: Option<u64>,
-    is_away: bool,
-    /// Records seen while waiting for state that was carried forward, because the
-    /// log no longer holds the stream's beginning.
-    behind: Option<Vec<(u64, Record)>>,
-    /// Records since state was last carried forward.
-    since_carried: u64,
-    carried_ms: u64,
+    end_reached_ms: Option<u64>,
+    is_unavailable: bool,
+    /// Records that were read but can be applied only after the next snapshot,
+    /// because the log no longer has the beginning of the stream.
+    unapplied: Option<Vec<(u64, Record)>>,
+    /// Records read since the last snapshot.
+    records_since_snapshot: u64,
+    last_snapshot_ms: u64,
 }
 
 impl Follower {
@@ -34,62 +35,63 @@
         Self {
             position: 0,
             is_reading: false,
-            asked_ms: 0,
-            next_ms: 0,
-            at_end_ms: None,
-            is_away: false,
-            behind: None,
-            since_carried: 0,
-            carried_ms: 0,
+            read_sent_ms: 0,
+            next_read_ms: 0,
+            end_reached_ms: None,
+            is_unavailable: false,
+            unapplied: None,
+            records_since_snapshot: 0,
+            last_snapshot_ms: 0,
         }
     }
 
-    /// Reads again at the next tick.
-    pub(super) fn hurry(&mut self) {
-        self.next_ms = 0;
+    /// Makes the next read due at the next tick.
+    pub(super) fn read_soon(&mut self) {
+        self.next_read_ms = 0;
     }
 
-    /// Gives the offset up to which the stream was read.
+    /// Returns the offset up to which the stream was read.
     pub(super) fn position(&self) -> u64 {
         self.position
     }
 
-    /// Tells whether the end of the stream was ever reached.
+    /// Returns whether the end of the stream was ever reached.
     pub(super) fn was_read(&self) -> bool {
-        self.at_end_ms.is_some()
+        self.end_reached_ms.is_some()
     }
 
-    /// Goes on from an offset up to which a peer has read.
+    /// Continues from the offset up to which a peer has read.
     pub(super) fn start_at(&mut self, position: u64) {
         self.position = position;
-        self.behind = None;
+        self.unapplied = None;
     }
 
-    /// Tells whether the log has not answered the latest read. A lost answer to an
-    /// append alone says little: reading on settles it.
-    pub(super) fn is_away(&self) -> bool {
-        self.is_away
+    /// Returns whether the latest read of the stream failed. A lost answer to an
+    /// append is no sign of an outage by itself: the next read resolves it.
+    pub(super) fn is_unavailable(&self) -> bool {
+        self.is_unavailable
     }
 
-    /// Tells whether the end of the stream was reached just now.
+    /// Returns whether the end of the stream was reached within the last
+    /// `POLL_INTERVALS` poll intervals and no records wait for a snapshot.
     pub(super) fn is_current(&self, now_ms: u64, limits: &Limits) -> bool {
-        const POLLS: u64 = 4;
-        let patience_ms = limits.poll_ms * POLLS;
-        self.at_end_ms
-            .is_some_and(|at_ms| now_ms < at_ms + patience_ms)
-            && self.behind.is_none()
+        const POLL_INTERVALS: u64 = 4;
+        let max_age_ms = limits.poll_ms * POLL_INTERVALS;
+        self.end_reached_ms
+            .is_some_and(|at_ms| now_ms < at_ms + max_age_ms)
+            && self.unapplied.is_none()
     }
 
     fn is_due(&mut self, now_ms: u64, limits: &Limits) -> bool {
-        if self.is_reading && now_ms < self.asked_ms + limits.append_timeout_ms * 4 {
+        if self.is_reading && now_ms < self.read_sent_ms + limits.append_timeout_ms * 4 {
             return false;
         }
-        if now_ms < self.next_ms {
+        if now_ms < self.next_read_ms {
             return false;
         }
         self.is_reading = true;
-        self.asked_ms = now_ms;
-        self.next_ms = now_ms + limits.poll_ms;
+        self.read_sent_ms = now_ms;
+        self.next_read_ms = now_ms + limits.poll_ms;
         true
     }
 }
@@ -115,7 +117,7 @@
         (self.now_ms, &self.limits, follower)
     }
 
-    /// Lets the writer of `stream` go on.
+    /// Performs the next step of the writer of `stream`.
     pub(super) fn step_writer(&mut self, stream: Stream) {
         let (now_ms, limits) = (self.now_ms, &self.limits);
         let writer = match stream {
@@ -129,18 +131,18 @@
         match writer.step(now_ms, limits, &mut self.appends) {
             None => {}
             Some(Step::Append(batch)) => self.out.push(Action::Append { stream, batch }),
-            Some(Step::ReadOn) => self.read_on(stream),
+            Some(Step::ReadOn) => self.continue_reading(stream),
         }
     }
 
-    fn read_on(&mut self, stream: Stream) {
+    fn continue_reading(&mut self, stream: Stream) {
         match stream {
             Stream::Keys(number) => self.read_keys(number),
-            _ => self.follower(stream).2.hurry(),
+            _ => self.follower(stream).2.read_soon(),
         }
     }
 
-    pub(super) fn appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
+    pub(super) fn handle_appended(&mut self, stream: Stream, sequence: u64, offset: Option<u64>) {
         let (now_ms, limits) = (self.now_ms, self.limits);
         match stream {
             Stream::Keys(number) => self.keys_appended(number, sequence, offset),
@@ -153,58 +155,58 @@
                     Some(_) => drop(writer.committed(sequence)),
                     None => writer.lost(now_ms, &limits),
                 }
-                self.follower(stream).2.hurry();
+                self.follower(stream).2.read_soon();
             }
         }
         self.step_writer(stream);
     }
 
-    pub(super) fn read(&mut self, stream: Stream, part: Option<Part>) {
+    pub(super) fn handle_read(&mut self, stream: Stream, page: Option<StreamPage>) {
         if let Stream::Keys(number) = stream {
-            self.keys_read(number, part);
+            self.keys_read(number, page);
             return;
         }
         let (now_ms, limits, follower) = self.follower(stream);
         follower.is_reading = false;
-        let Some(part) = part else {
-            follower.next_ms = now_ms + limits.poll_ms;
-            if !std::mem::replace(&mut follower.is_away, true) {
+        let Some(page) = page else {
+            follower.next_read_ms = now_ms + limits.poll_ms;
+            if !std::mem::replace(&mut follower.is_unavailable, true) {
                 self.note(Code::LogAway, stream.to_string(), "reading failed");
             }
             return;
         };
-        if part.next < follower.position {
-            // An answer to an earlier read came late.
+        if page.next < follower.position {
+            // This is the late answer to an earlier read.
             return;
         }
-        if part.oldest > follower.position {
-            follower.behind = Some(Vec::new());
-            follower.position = part.oldest;
+        if page.oldest > follower.position {
+            follower.unapplied = Some(Vec::new());
+            follower.position = page.oldest;
         }
-        if !part.is_end {
-            follower.next_ms = now_ms;
+        if !page.is_end {
+            follower.next_read_ms = now_ms;
         }
-        if std::mem::replace(&mut follower.is_away, false) {
+        if std::mem::replace(&mut follower.is_unavailable, false) {
             self.note(Code::LogBack, stream.to_string(), "");
         }
-        for (offset, batch) in &part.batches {
-            self.read_batch(stream, *offset, batch.as_ref());
+        for (offset, batch) in &page.batches {
+            self.apply_batch(stream, *offset, batch.as_ref());
         }
-        self.finish_part(stream, &part);
+        self.finish_page(stream, &page);
     }
 
-    fn finish_part(&mut self, stream: Stream, part: &Part) {
+    fn finish_page(&mut self, stream: Stream, page: &StreamPage) {
         let (now_ms, _, follower) = self.follower(stream);
-        follower.position = follower.position.max(part.next);
-        if !part.is_end {
+        follower.position = follower.position.max(page.next);
+        if !page.is_end {
             return;
         }
-        follower.at_end_ms = Some(now_ms);
-        let is_behind = follower.behind.is_some();
-        let is_empty = part.oldest == part.next;
-        if is_behind && is_empty {
-            // Everything has expired and nothing was carried forward.
-            follower.behind = None;
+        follower.end_reached_ms = Some(now_ms);
+        let lacks_snapshot = follower.unapplied.is_some();
+        let is_empty = page.oldest == page.next;
+        if lacks_snapshot && is_empty {
+            // All records have expired and there is no snapshot.
+            follower.unapplied = None;
             self.note(
                 Code::StateMissing,
                 stream.to_string(),
@@ -221,7 +223,7 @@
         }
     }
 
-    fn read_batch(&mut self, stream: Stream, offset: u64, batch: Option<&Batch>) {
+    fn apply_batch(&mut self, stream: Stream, offset: u64, batch: Option<&Batch>) {
         if offset < self.follower(stream).2.position {
             return;
         }
@@ -233,15 +235,16 @@
             );
             return;
         };
-        self.resolve_shared(stream, batch);
+        self.resolve_own_batch(stream, batch);
         for record in &batch.records {
-            self.read_record(stream, offset, record);
+            self.handle_record(stream, offset, record);
         }
     }
 
-    /// In a stream with many writers a batch is this member's if it holds the
-    /// very records that are unresolved.
-    fn resolve_shared(&mut self, stream: Stream, batch: &Batch) {
+    /// Resolves an unresolved append if `batch` is the appended one. A stream with
+    /// several writers has no sequence to tell that by, so the batch must contain
+    /// exactly the same records.
+    fn resolve_own_batch(&mut self, stream: Stream, batch: &Batch) {
         let writer = match stream {
             Stream::Config => &mut self.config_writer,
             _ => &mut self.claims_writer,
@@ -251,55 +254,56 @@
         }
     }
 
-    fn read_record(&mut self, stream: Stream, offset: u64, record: &Record) {
-        let is_carried = matches!(
+    fn handle_record(&mut self, stream: Stream, offset: u64, record: &Record) {
+        let is_snapshot = matches!(
             record,
-            Record::ClaimsCarried { .. } | Record::ConfigCarried { .. }
+            Record::ClaimsSnapshot { .. } | Record::ConfigSnapshot { .. }
         );
         let (now_ms, _, follower) = self.follower(stream);
-        if is_carried {
-            follower.since_carried = 0;
-            follower.carried_ms = now_ms;
-            self.take_carried(stream, record);
+        if is_snapshot {
+            follower.records_since_snapshot = 0;
+            follower.last_snapshot_ms = now_ms;
+            self.apply_snapshot(stream, record);
             return;
         }
-        follower.since_carried += 1;
-        if let Some(behind) = &mut follower.behind {
-            behind.push((offset, record.clone()));
+        follower.records_since_snapshot += 1;
+        if let Some(unapplied) = &mut follower.unapplied {
+            unapplied.push((offset, record.clone()));
             return;
         }
         self.apply_record(stream, offset, record);
     }
 
-    /// Takes over carried state if the stream's beginning was not read. Records
-    /// that others wrote while it was on its way stand before it, and count.
-    fn take_carried(&mut self, stream: Stream, record: &Record) {
+    /// Restores the state of a snapshot if the beginning of the stream was not read.
+    /// Other writers may have appended records between the offset that the snapshot
+    /// covers and the snapshot itself; these are applied as well.
+    fn apply_snapshot(&mut self, stream: Stream, record: &Record) {
         let follower = self.follower(stream).2;
-        let Some(behind) = follower.behind.take() else {
+        let Some(unapplied) = follower.unapplied.take() else {
             return;
         };
         let as_of = match record {
-            Record::ClaimsCarried {
+            Record::ClaimsSnapshot {
                 as_of,
                 owners,
                 deposed,
             } => {
-                self.claims.replace(owners, deposed);
+                self.claims.restore(owners, deposed);
                 *as_of
             }
-            Record::ConfigCarried {
+            Record::ConfigSnapshot {
                 as_of,
                 version,
                 changes,
             } => {
-                if self.config.replace(*version, changes) {
-                    self.config_changed();
+                if self.config.restore(*version, changes) {
+                    self.apply_new_config();
                 }
                 *as_of
             }
             _ => return,
         };
-        for (offset, record) in behind {
+        for (offset, record) in unapplied {
             if offset >= as_of {
                 self.apply_record(stream, offset, &record);
             }
@@ -323,17 +327,18 @@
             return;
         };
         if self.config.apply(offset, record) {
-            self.config_changed();
+            self.apply_new_config();
             return;
         }
         let id = change.id.to_string();
-        let detail = format!("{:?}", self.config.fate(&change.id));
+        let detail = format!("{:?}", self.config.publish_outcome(&change.id));
         self.note(Code::ConfigRefused, id, detail);
     }
 
-    /// Carries state forward in the shared streams before retention passes it.
-    /// The owner of the first cell of keys does it for all.
-    pub(super) fn carry_shared(&mut self) {
+    /// Writes snapshots to the shared streams before retention removes the records
+    /// that they stand for. The owner of the first cell of keys writes them for all
+    /// members.
+    pub(super) fn snapshot_shared_streams(&mut self) {
         let owner = self.claims.owner(Cell::Keys(0)).map(|owner| owner.member);
         let is_mine = owner.is_some_and(|owner| self.is_mine(owner));
         if !is_mine || self.acts_until_ms().is_none() {
@@ -341,17 +346,17 @@
         }
         for stream in [Stream::Claims, Stream::Config] {
             let (now_ms, limits, follower) = self.follower(stream);
-            let is_due = follower.since_carried >= limits.carry_records
-                || now_ms >= follower.carried_ms + limits.carry_ms;
+            let is_due = follower.records_since_snapshot >= limits.carry_records
+                || now_ms >= follower.last_snapshot_ms + limits.carry_ms;
             if !is_due || !follower.is_current(now_ms, limits) {
                 continue;
             }
             let as_of = follower.position;
-            follower.since_carried = 0;
-            follower.carried_ms = now_ms;
+            follower.records_since_snapshot = 0;
+            follower.last_snapshot_ms = now_ms;
             let (record, writer) = match stream {
-                Stream::Config => (self.config.carry(as_of), &mut self.config_writer),
-                _ => (self.claims.carry(as_of), &mut self.claims_writer),
+                Stream::Config => (self.config.snapshot(as_of), &mut self.config_writer),
+                _ => (self.claims.snapshot(as_of), &mut self.claims_writer),
             };
             writer.push(now_ms, record);
             self.note(
--- a/crates/core/src/node/members.rs
+++ b/crates/core/src/node/members.rs
@@ -1,11 +1,15 @@
-//! Heartbeats, promises, consents, and who lives.
+//! Cluster membership: heartbeats, lease votes, consents to depose, and the set of
+//! live members.
+//!
+//! Owners that are not alive are deposed by a record in the log, which is written
+//! only after a majority of voters has consented.
 
 use super::Node;
 use crate::event::Action;
 use crate::ids::Member;
 use crate::ids::Seat;
 use crate::lease::Lease;
-use crate::lease::Standing;
+use crate::lease::LeaseState;
 use crate::message::Message;
 use crate::notes::Code;
 use crate::record::Record;
@@ -14,69 +18,73 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a consent counts, from when it was asked for.
+/// How long a consent is valid, from the time at which it was requested.
 const CONSENT_MS: u64 = 1_000;
 
-/// What a member knows of the others.
+/// What this member knows about the other members.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peers {
-    /// As a voter: when each member was heard last.
-    heard: HashMap<Seat, Heard>,
-    /// As a voter: which lives are carried on by another seat, and when that was
-    /// heard last.
-    carried: BTreeMap<Member, (Seat, u64)>,
-    /// As a member: who lives, by each voter's account.
-    accounts: HashMap<Seat, Account>,
-    /// Union of the voters' accounts.
+    /// As a voter: the latest heartbeat from each seat.
+    last_heartbeats: HashMap<Seat, LastHeartbeat>,
+    /// As a voter: members that another seat has inherited, with that seat and the
+    /// time of its latest heartbeat for them.
+    inherited: BTreeMap<Member, (Seat, u64)>,
+    /// As a member: the live members according to each voter.
+    voter_reports: HashMap<Seat, VoterReport>,
+    /// Live members according to the current reports of all voters.
     alive: BTreeSet<Member>,
-    /// Since when each of them has been alive.
+    /// Time since which each of them has been alive.
     alive_since_ms: HashMap<Member, u64>,
     next_heartbeat_ms: u64,
-    /// Newest configuration that each voter has in force.
-    pub(super) versions: HashMap<Seat, u64>,
+    /// Configuration version that each voter had in force at its latest vote.
+    pub(super) config_versions: HashMap<Seat, u64>,
 }
 
+/// The latest heartbeat that a voter received from a seat.
 #[derive(Debug, Clone)]
-struct Heard {
+struct LastHeartbeat {
     incarnation: u64,
     at_ms: u64,
     is_leaving: bool,
 }
 
+/// The live and inherited members as one voter reports them.
 #[derive(Debug, Clone, Default)]
-struct Account {
+struct VoterReport {
     at_ms: u64,
     digest: u64,
     members: Box<[Member]>,
-    carried: Box<[(Member, Seat)]>,
+    inherited: Box<[(Member, Seat)]>,
 }
 
 /// An attempt to depose a member.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Deposing {
-    /// Consents with the time at which they were asked for.
+pub(super) struct DeposeAttempt {
+    /// Voters that consented, with the time at which each consent was requested.
     consents: HashMap<Member, u64>,
+    /// When this member first found the target dead.
     since_ms: u64,
-    is_written: bool,
+    /// Whether the record that deposes the target was passed to the writer.
+    is_submitted: bool,
 }
 
-/// Gives a digest of who lives and which lives are carried where.
-fn digest_of(members: &[Member], carried: &[(Member, Seat)]) -> u64 {
+/// Returns a digest of the live members and of the members inherited by each seat.
+fn membership_digest(members: &[Member], inherited: &[(Member, Seat)]) -> u64 {
     let mut bytes = Vec::with_capacity(members.len() * 10);
     for member in members {
         bytes.extend(member.seat.0.to_le_bytes());
         bytes.extend(member.incarnation.to_le_bytes());
     }
-    for (life, seat) in carried {
+    for (original, seat) in inherited {
         bytes.extend(seat.0.to_le_bytes());
-        bytes.extend(life.seat.0.to_le_bytes());
-        bytes.extend(life.incarnation.to_le_bytes());
+        bytes.extend(original.seat.0.to_le_bytes());
+        bytes.extend(original.incarnation.to_le_bytes());
     }
     xxh3_64(&bytes)
 }
 
 impl Node {
-    /// Lists the seats that vote.
+    /// Returns the seats that vote.
     pub(super) fn voters(&self) -> &[Seat] {
         &self.seats[..self.seats.len().min(self.limits.voters)]
     }
@@ -85,71 +93,74 @@
         count > self.voters().len() / 2
     }
 
-    /// Lists the members that are taken to live.
+    /// Returns the members that are considered alive.
     pub(super) fn alive(&self) -> &BTreeSet<Member> {
         &self.peers.alive
     }
 
-    /// Since when `member` has been alive in this member's eyes.
+    /// Returns the time since which this member has considered `member` alive.
     pub(super) fn alive_since_ms(&self, member: Member) -> Option<u64> {
         self.peers.alive_since_ms.get(&member).copied()
     }
 
-    /// Counts the voters that have a configuration of at least `version` in force.
+    /// Returns whether a majority of voters has at least configuration `version` in
+    /// force.
     pub(super) fn has_majority_in_force(&self, version: u64) -> bool {
         let count = self
             .peers
-            .versions
+            .config_versions
             .values()
             .filter(|voter| **voter >= version)
             .count();
         self.is_quorum(count)
     }
 
-    /// Ends this life if its lease has lapsed, and notes when one is gained.
+    /// Ends this incarnation if its lease has expired, and reports a lease that is
+    /// gained.
     pub(super) fn check_lease(&mut self) {
-        match self.lease.standing(self.now_ms) {
-            Standing::Joining => {}
-            Standing::InForce { .. } => {
+        match self.lease.state(self.now_ms) {
+            LeaseState::Joining => {}
+            LeaseState::InForce { .. } => {
                 if !self.was_in_force {
                     self.was_in_force = true;
                     self.note(Code::LeaseGained, self.me.to_string(), "");
                     self.out.push(Action::Ready(!self.is_stopping));
                 }
             }
-            Standing::Over => self.begin_new_life(),
+            LeaseState::Expired => self.begin_new_incarnation(),
         }
     }
 
-    /// Starts another life if the log says that this one is deposed.
+    /// Starts a new incarnation if the log says that this one is deposed.
     ///
-    /// What goes wrong without it: a replaced host's wall clock runs behind that of
-    /// its predecessor, so its incarnation is lower than one that was deposed. Its
-    /// claims have no effect, for ever. One notices by cells that nobody owns while
-    /// everybody is alive.
-    fn outlive_deposed(&mut self) {
+    /// The wall clock of a replacement host may run behind that of its predecessor.
+    /// Its incarnation is then lower than one that was deposed, and without this
+    /// step none of its claims would ever have an effect. The symptom is cells
+    /// without an owner while all members are alive.
+    fn replace_deposed_incarnation(&mut self) {
         if !self.claims.is_deposed(self.me) {
             return;
         }
-        self.me.incarnation = self.claims.deposed_at(self.me.seat);
-        self.begin_new_life();
+        self.me.incarnation = self.claims.deposed_incarnation(self.me.seat);
+        self.begin_new_incarnation();
     }
 
-    /// Starts another life without cells. Requests in flight go on: what is on
-    /// its way to an instance still gets its caller the answer.
-    fn begin_new_life(&mut self) {
-        let former = self.me;
+    /// Starts a new incarnation, which owns no cells. Requests in flight continue,
+    /// so that callers still receive the answers to attempts that were already sent
+    /// to an instance.
+    fn begin_new_incarnation(&mut self) {
+        let previous = self.me;
         self.me.incarnation += 1;
-        self.life_began_ms = self.now_ms;
+        self.incarnation_began_ms = self.now_ms;
         self.lease = Lease::new(self.voters().len());
         self.was_in_force = false;
         self.drop_all_cells();
-        self.drop_all_carried();
-        self.deposing.clear();
+        self.drop_all_inherited();
+        self.depose_attempts.clear();
         self.peers.next_heartbeat_ms = self.now_ms;
         self.note(
             Code::LeaseLost,
-            former.to_string(),
+            previous.to_string(),
             "acts for nothing any more",
         );
         self.out.push(Action::Ready(false));
@@ -160,23 +171,23 @@
             return;
         }
         self.peers.next_heartbeat_ms = self.now_ms + self.limits.heartbeat_ms;
-        self.outlive_deposed();
-        self.beat(self.me);
-        self.beat_for_carried();
-        self.ask_for_state();
-        self.join_accounts();
+        self.replace_deposed_incarnation();
+        self.send_heartbeat(self.me);
+        self.heartbeat_inherited();
+        self.request_state();
+        self.merge_voter_reports();
         if self.acts_until_ms().is_none() {
             return;
         }
-        self.depose_dead();
-        self.claim_free();
-        self.settle_carried();
+        self.depose_dead_owners();
+        self.claim_free_cells();
+        self.claim_inherited_cells();
     }
 
-    /// Asks all voters for promises to a life.
-    pub(super) fn beat(&mut self, life: Member) {
+    /// Requests lease votes for `member` from all voters.
+    pub(super) fn send_heartbeat(&mut self, member: Member) {
         let heartbeat = Message::Heartbeat {
-            life,
+            member,
             sent_ms: self.now_ms,
             config_version: self.config.version(),
             is_leaving: self.is_stopping,
@@ -186,66 +197,68 @@
         }
     }
 
-    /// Sends the next heartbeats at once.
-    pub(super) fn hurry_heartbeat(&mut self) {
+    /// Makes the next heartbeats due at once.
+    pub(super) fn send_heartbeat_soon(&mut self) {
         self.peers.next_heartbeat_ms = self.now_ms;
     }
 
     pub(super) fn receive_membership(&mut self, from: Member, message: Message) {
         match message {
             Message::Heartbeat {
-                life,
+                member,
                 sent_ms,
                 config_version,
                 is_leaving,
             } => {
-                self.heard(from, life, is_leaving);
-                self.heartbeat(from, life, sent_ms, config_version);
+                self.record_heartbeat(from, member, is_leaving);
+                self.answer_heartbeat(from, member, sent_ms, config_version);
             }
-            Message::Promise {
-                life,
+            Message::LeaseVote {
+                member,
                 sent_ms,
                 is_granted,
                 config_version,
                 alive,
             } => {
-                self.promised(from, life, sent_ms, is_granted);
-                self.told_alive(from, config_version, alive);
+                self.record_vote(from, member, sent_ms, is_granted);
+                self.handle_alive_digest(from, config_version, alive);
             }
-            Message::AliveAsk => {
-                let (members, carried) = (self.heard_alive(), self.heard_carried());
+            Message::AliveRequest => {
+                let (members, inherited) = (self.heard_alive(), self.heard_inherited());
                 let alive = Message::Alive {
-                    digest: digest_of(&members, &carried),
+                    digest: membership_digest(&members, &inherited),
                     members: members.into(),
-                    carried: carried.into(),
+                    inherited: inherited.into(),
                 };
                 self.send(from.seat, alive);
             }
-            Message::StateAsk => self.tell_state(from.seat),
-            Message::State { claims, config } => self.take_state(&claims, &config),
-            Message::Handover(handover) => self.take_over(handover),
+            Message::StateRequest => self.send_state(from.seat),
+            Message::State { claims, config } => self.apply_state(&claims, &config),
+            Message::Handover(handover) => self.accept_handover(handover),
             Message::Alive {
                 digest,
                 members,
-                carried,
+                inherited,
             } => {
-                let account = Account {
+                let report = VoterReport {
                     at_ms: self.now_ms,
                     digest,
                     members,
-                    carried,
+                    inherited,
                 };
-                self.peers.accounts.insert(from.seat, account);
-                self.join_accounts();
+                self.peers.voter_reports.insert(from.seat, report);
+                self.merge_voter_reports();
             }
-            Message::ConsentAsk { target, asked_ms } => self.consent_asked(from, target, asked_ms),
-            Message::Consent { target, asked_ms } => self.consented(from, target, asked_ms),
+            Message::ConsentRequest { target, asked_ms } => {
+                self.handle_consent_request(from, target, asked_ms)
+            }
+            Message::Consent { target, asked_ms } => self.handle_consent(from, target, asked_ms),
             _ => {}
         }
     }
 
-    /// As a voter: somebody wants to depose `target`.
-    fn consent_asked(&mut self, from: Member, target: Member, asked_ms: u64) {
+    /// As a voter: handles a request to consent to deposing `target`.
+    fn handle_consent_request(&mut self, from: Member, target: Member, asked_ms: u64) {
         if !self.voter.consent(self.now_ms, target) {
             return;
         }
@@ -253,103 +266,117 @@
         self.send(from.seat, Message::Consent { target, asked_ms });
     }
 
-    /// As a voter: notes who lives, and who carries on another's life.
-    fn heard(&mut self, from: Member, life: Member, is_leaving: bool) {
-        if life != from {
-            self.peers.carried.insert(life, (from.seat, self.now_ms));
+    /// As a voter: records that `from` is alive, or that it acts for the inherited
+    /// `member`.
+    fn record_heartbeat(&mut self, from: Member, member: Member, is_leaving: bool) {
+        if member != from {
+            self.peers
+                .inherited
+                .insert(member, (from.seat, self.now_ms));
             return;
         }
-        let heard = Heard {
+        let heartbeat = LastHeartbeat {
             incarnation: from.incarnation,
             at_ms: self.now_ms,
             is_leaving,
         };
-        self.peers.heard.insert(from.seat, heard);
+        self.peers.last_heartbeats.insert(from.seat, heartbeat);
     }
 
-    /// As a voter: a member asks for a promise to a life.
+    /// As a voter: answers a request for a lease vote for `member`.
     ///
-    /// A member whose configuration is older than this voter's gets none until it
-    /// has caught up. Once a majority of voters has a version in force, a process
-    /// that does not have it loses its lease and stops acting under the old one.
-    fn heartbeat(&mut self, from: Member, life: Member, sent_ms: u64, config_version: u64) {
+    /// A member whose configuration is older than that of this voter gets no vote
+    /// until it has caught up. Once a majority of voters has a version in force, a
+    /// process without that version therefore loses its lease and stops acting
+    /// under the old configuration.
+    fn answer_heartbeat(
+        &mut self,
+        from: Member,
+        member: Member,
+        sent_ms: u64,
+        config_version: u64,
+    ) {
         let is_current = config_version >= self.config.version();
-        let is_granted = is_current && self.voter.promise(self.now_ms, life, &self.limits);
-        let promise = Message::Promise {
-            life,
+        let is_granted = is_current && self.voter.grant_vote(self.now_ms, member, &self.limits);
+        let vote = Message::LeaseVote {
+            member,
             sent_ms,
             is_granted,
             config_version: self.config.version(),
-            alive: digest_of(&self.heard_alive(), &self.heard_carried()),
+            alive: membership_digest(&self.heard_alive(), &self.heard_inherited()),
         };
-        self.send(from.seat, promise);
+        self.send(from.seat, vote);
     }
 
-    fn heard_carried(&self) -> Vec<(Member, Seat)> {
-        let carried = self.peers.carried.iter();
-        let fresh = carried.filter(|(_, (_, at_ms))| self.now_ms < at_ms + self.limits.suspect_ms);
-        fresh.map(|(life, (seat, _))| (*life, *seat)).collect()
+    fn heard_inherited(&self) -> Vec<(Member, Seat)> {
+        let inherited = self.peers.inherited.iter();
+        let fresh =
+            inherited.filter(|(_, (_, at_ms))| self.now_ms < at_ms + self.limits.suspect_ms);
+        fresh.map(|(member, (seat, _))| (*member, *seat)).collect()
     }
 
     fn heard_alive(&self) -> Vec<Member> {
         let mut members = Vec::new();
-        for (seat, heard) in &self.peers.heard {
-            if heard.is_leaving || self.now_ms >= heard.at_ms + self.limits.suspect_ms {
+        for (seat, heartbeat) in &self.peers.last_heartbeats {
+            if heartbeat.is_leaving || self.now_ms >= heartbeat.at_ms + self.limits.suspect_ms {
                 continue;
             }
             members.push(Member {
                 seat: *seat,
-                incarnation: heard.incarnation,
+                incarnation: heartbeat.incarnation,
             });
         }
         members.sort_unstable();
         members
     }
 
-    fn promised(&mut self, voter: Member, life: Member, sent_ms: u64, is_granted: bool) {
+    fn record_vote(&mut self, voter: Member, member: Member, sent_ms: u64, is_granted: bool) {
         let lease_ms = self.limits.lease_ms;
         if !is_granted {
             return;
         }
-        if life != self.me {
-            // A promise to a former life of this process is worth nothing.
-            if let Some(carried) = self.carried.get_mut(&life) {
-                carried.lease.promised(voter.seat, sent_ms, lease_ms);
-                self.check_carried();
+        if member != self.me {
+            // The vote is for an inherited member, or for a previous incarnation
+            // of this process, which no longer counts.
+            if let Some(inherited) = self.inherited.get_mut(&member) {
+                inherited.lease.record_vote(voter.seat, sent_ms, lease_ms);
+                self.check_inherited();
             }
             return;
         }
-        if sent_ms >= self.life_began_ms {
-            self.lease.promised(voter.seat, sent_ms, lease_ms);
+        if sent_ms >= self.incarnation_began_ms {
+            self.lease.record_vote(voter.seat, sent_ms, lease_ms);
             self.check_lease();
         }
     }
 
-    fn told_alive(&mut self, voter: Member, config_version: u64, alive: u64) {
-        self.peers.versions.insert(voter.seat, config_version);
+    fn handle_alive_digest(&mut self, voter: Member, config_version: u64, alive_digest: u64) {
+        self.peers
+            .config_versions
+            .insert(voter.seat, config_version);
         if config_version > self.config.version() {
-            self.config_log.hurry();
+            self.config_log.read_soon();
         }
-        let account = self.peers.accounts.entry(voter.seat).or_default();
-        account.at_ms = self.now_ms;
-        if account.digest != alive {
-            self.send(voter.seat, Message::AliveAsk);
+        let report = self.peers.voter_reports.entry(voter.seat).or_default();
+        report.at_ms = self.now_ms;
+        if report.digest != alive_digest {
+            self.send(voter.seat, Message::AliveRequest);
         }
     }
 
-    /// Joins what the voters say of who lives. A voter that is silent itself says
-    /// nothing.
-    fn join_accounts(&mut self) {
+    /// Merges the voters' reports of live members. Reports of a voter that has been
+    /// silent for too long are ignored.
+    fn merge_voter_reports(&mut self) {
         let mut alive = BTreeSet::new();
-        self.carriers.clear();
-        for account in self.peers.accounts.values() {
-            if self.now_ms >= account.at_ms + self.limits.suspect_ms {
+        self.successors.clear();
+        for report in self.peers.voter_reports.values() {
+            if self.now_ms >= report.at_ms + self.limits.suspect_ms {
                 continue;
             }
-            alive.extend(account.members.iter().copied());
-            self.carriers.extend(account.carried.iter().copied());
+            alive.extend(report.members.iter().copied());
+            self.successors.extend(report.inherited.iter().copied());
         }
-        // Of two lives at one seat only the later one lives.
+        // Of two incarnations at one seat only the newest is alive.
         let newest: HashMap<Seat, u64> = alive
             .iter()
             .map(|member| (member.seat, member.incarnation))
@@ -364,9 +391,10 @@
         self.peers.alive = alive;
     }
 
-    /// Asks for consents to depose owners that are not alive. Members take turns
-    /// by rank, so that usually only one writes the record.
-    fn depose_dead(&mut self) {
+    /// Requests consents to depose owners that are not alive. Members start one
+    /// after the other by rank, `TURN_MS` apart, so that usually only one writes
+    /// the record.
+    fn depose_dead_owners(&mut self) {
         const TURN_MS: u64 = 1_000;
         if self.peers.alive.is_empty() || !self.claims_log.is_current(self.now_ms, &self.limits) {
             return;
@@ -384,46 +412,52 @@
             .owners()
             .map(|(_, owner)| owner.member)
             .collect();
-        self.deposing.retain(|target, _| owners.contains(target));
+        self.depose_attempts
+            .retain(|target, _| owners.contains(target));
         for target in owners {
-            let lives = self.peers.alive.contains(&target) || self.carriers.contains_key(&target);
-            if self.is_mine(target) || lives {
-                self.deposing.remove(&target);
+            let is_alive =
+                self.peers.alive.contains(&target) || self.successors.contains_key(&target);
+            if self.is_mine(target) || is_alive {
+                self.depose_attempts.remove(&target);
                 continue;
             }
             let now_ms = self.now_ms;
-            let entry = self.deposing.entry(target).or_insert_with(|| Deposing {
-                since_ms: now_ms,
-                ..Deposing::default()
-            });
-            if entry.is_written || now_ms < entry.since_ms + rank as u64 * TURN_MS {
+            let attempt = self
+                .depose_attempts
+                .entry(target)
+                .or_insert_with(|| DeposeAttempt {
+                    since_ms: now_ms,
+                    ..DeposeAttempt::default()
+                });
+            if attempt.is_submitted || now_ms < attempt.since_ms + rank as u64 * TURN_MS {
                 continue;
             }
             let asked_ms = now_ms;
             for voter in self.voters().to_vec() {
-                self.send(voter, Message::ConsentAsk { target, asked_ms });
+                self.send(voter, Message::ConsentRequest { target, asked_ms });
             }
         }
     }
 
-    fn consented(&mut self, voter: Member, target: Member, asked_ms: u64) {
+    fn handle_consent(&mut self, voter: Member, target: Member, asked_ms: u64) {
         let now_ms = self.now_ms;
         let quorum = self.voters().len() / 2 + 1;
-        let Some(entry) = self.deposing.get_mut(&target) else {
+        let Some(attempt) = self.depose_attempts.get_mut(&target) else {
             return;
         };
-        entry.consents.insert(voter, asked_ms);
-        // A voter that restarts forgets its consent but abstains for longer than
-        // a consent counts, so the majority below held at one moment.
-        entry
+        attempt.consents.insert(voter, asked_ms);
+        // A voter that restarts loses its record of a consent, but then abstains
+        // for longer than a consent is valid. All consents counted below were
+        // therefore in effect at the same time.
+        attempt
             .consents
             .retain(|_, asked_ms| now_ms < *asked_ms + CONSENT_MS);
-        let count = entry.consents.len();
-        if entry.is_written || count < quorum {
+        let count = attempt.consents.len();
+        if attempt.is_submitted || count < quorum {
             return;
         }
-        entry.is_written = true;
-        let mut voters: Vec<Member> = entry.consents.keys().copied().collect();
+        attempt.is_submitted = true;
+        let mut voters: Vec<Member> = attempt.consents.keys().copied().collect();
         voters.sort_unstable();
         let voters = voters.into();
         self.claims_writer
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! One entry host: all decisions of one process, driven by events and time.
+//! The decisions of one entry host, as a state machine driven by events and time.
 //!
-//! Every entry host runs the same node. It takes requests and jobs, follows the
-//! log, votes on leases, and owns the cells that the log's order gives it.
+//! Every entry host runs the same node. It accepts requests and jobs, follows the
+//! log, votes on leases if its seat has a vote, and owns the cells that the order
+//! of records in the log assigns to it.
 
 mod claiming;
 mod keys;
@@ -26,7 +27,7 @@
 use crate::ids::Term;
 use crate::layout::Layout;
 use crate::lease::Lease;
-use crate::lease::Standing;
+use crate::lease::LeaseState;
 use crate::lease::Voter;
 use crate::limits::Limits;
 use crate::message::Message;
@@ -47,19 +48,19 @@
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 use std::collections::VecDeque;
-pub use succession::HandedKeys;
 pub use succession::Handover;
+pub use succession::KeyHandover;
 
-/// How often things that are not urgent are looked at.
+/// Interval between two ticks of work that is not urgent.
 const SLOW_TICK_MS: u64 = 100;
 
-/// The decisions of one entry host.
+/// The state machine of one entry host.
 pub struct Node {
     me: Member,
     seats: Vec<Seat>,
     limits: Limits,
     now_ms: u64,
-    life_began_ms: u64,
+    incarnation_began_ms: u64,
     next_slow_tick_ms: u64,
     random: Pcg32,
 
@@ -71,16 +72,19 @@
     claims_log: Follower,
     claims_writer: Writer,
     appends: Appends,
-    deposing: BTreeMap<Member, members::Deposing>,
-    carried: BTreeMap<Member, succession::Carried>,
-    carriers: HashMap<Member, Seat>,
+    depose_attempts: BTreeMap<Member, members::DeposeAttempt>,
+    /// Members of other seats for which this process acts.
+    inherited: BTreeMap<Member, succession::Inherited>,
+    /// Seats that act for members that were handed over.
+    successors: HashMap<Member, Seat>,
 
     config: Config,
     config_log: Follower,
     config_writer: Writer,
     layout: Layout,
     runnable: publishing::Runnable,
-    publishing: Vec<publishing::Pending>,
+    publishing: Vec<publishing::PendingChange>,
+    /// The platform's latest list of hosts and instances, by name.
     platform: HashMap<Box<str>, PlatformHost>,
 
     keys: BTreeMap<u16, KeyCell>,
@@ -88,6 +92,7 @@
     upstreams: BTreeMap<u64, UpstreamCell>,
 
     flights: BTreeMap<u64, Flight>,
+    /// Requests of callers at this host that wait for a slot of a cell.
     waiting: HashMap<Cell, VecDeque<u64>>,
     budgets: HashMap<Box<str>, Budget>,
     hints: HashMap<Cell, requests::Hint>,
@@ -95,14 +100,17 @@
 
     is_stopping: bool,
     stop_began_ms: u64,
-    local: VecDeque<Message>,
+    /// Messages of this process to itself.
+    local_messages: VecDeque<Message>,
+    /// Actions that the current call of [`Node::handle`] will return.
     out: Vec<Action>,
 }
 
 impl Node {
-    /// Starts the node of `me` among the processes at `seats`.
+    /// Creates the node of member `me` in a cluster with the given `seats`.
     ///
-    /// `now_ms` is any monotonic clock; all later times must come from it.
+    /// `now_ms` is the time of any monotonic clock, in milliseconds. All later
+    /// times must come from the same clock.
     pub fn new(me: Member, seats: &[Seat], limits: Limits, now_ms: u64) -> Self {
         let voters = seats.len().min(limits.voters);
         let seed = u64::from(me.seat.0) ^ me.incarnation;
@@ -110,7 +118,7 @@
             me,
             seats: seats.to_vec(),
             now_ms,
-            life_began_ms: now_ms,
+            incarnation_began_ms: now_ms,
             next_slow_tick_ms: now_ms,
             random: Pcg32::seed_from_u64(seed),
             lease: Lease::new(voters),
@@ -121,9 +129,9 @@
             claims_log: Follower::new(),
             claims_writer: Writer::new(Term(0), 0),
             appends: Appends::default(),
-            deposing: BTreeMap::new(),
-            carried: BTreeMap::new(),
-            carriers: HashMap::new(),
+            depose_attempts: BTreeMap::new(),
+            inherited: BTreeMap::new(),
+            successors: HashMap::new(),
             config: Config::default(),
             config_log: Follower::new(),
             config_writer: Writer::new(Term(0), 0),
@@ -141,63 +149,63 @@
             submissions: BTreeMap::new(),
             is_stopping: false,
             stop_began_ms: 0,
-            local: VecDeque::new(),
+            local_messages: VecDeque::new(),
             out: Vec::new(),
             limits,
         }
     }
 
-    /// Gives the life that this process is in.
+    /// Returns the seat and current incarnation of this process.
     pub fn me(&self) -> Member {
         self.me
     }
 
-    /// Gives the configuration in force here.
+    /// Returns the configuration in force in this process.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Gives the table of claims as far as it was read.
+    /// Returns the table of claims, as of the position up to which the log was read.
     pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// Takes in an event at `now_ms` and gives what is to be done.
+    /// Handles an event at `now_ms` and returns the actions to perform.
     pub fn handle(&mut self, now_ms: u64, event: Event) -> Vec<Action> {
-        // A paused process wakes here: its lease is looked at before anything
-        // else, so that nothing is done on the strength of an old one.
+        // The process may have been paused before this event. The leases are
+        // therefore checked first, so that no action relies on an expired one.
         self.now_ms = self.now_ms.max(now_ms);
         self.check_lease();
-        self.check_carried();
-        self.take_in(event);
-        while let Some(message) = self.local.pop_front() {
+        self.check_inherited();
+        self.apply_event(event);
+        while let Some(message) = self.local_messages.pop_front() {
             self.receive(self.me, message);
         }
         std::mem::take(&mut self.out)
     }
 
-    fn take_in(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
             Event::Peer { from, message } => self.receive(from, message),
             Event::Request(request) => self.request(request),
             Event::CallerGone { request } => self.caller_gone(request),
-            Event::AttemptEnded { request, end } => self.attempt_ended(request, end),
+            Event::AttemptEnded { request, outcome } => self.attempt_ended(request, outcome),
             Event::Submit { request, spec } => self.submit(request, spec),
-            Event::Publish { request, change } => self.publish(request, change),
+            Event::Publish { request, change } => self.handle_publish(request, change),
             Event::Appended {
                 stream,
                 sequence,
                 offset,
-            } => self.appended(stream, sequence, offset),
-            Event::Read { stream, part } => self.read(stream, part),
-            Event::Worker {
+            } => self.handle_appended(stream, sequence, offset),
+            Event::Read { stream, page } => self.handle_read(stream, page),
+            Event::WorkerAnswered {
                 cell,
                 host,
                 token,
-                listing,
-            } => self.worker_answered(cell, host, token, listing),
-            Event::Hosts(list) => self.platform_listed(&list),
+                report,
+            } => self.handle_worker_answer(cell, host, token, report),
+            Event::Hosts(list) => self.apply_host_list(&list),
             Event::Stop => self.begin_stop(),
         }
     }
@@ -221,41 +229,41 @@
     fn receive(&mut self, from: Member, message: Message) {
         match message {
             Message::Heartbeat { .. }
-            | Message::Promise { .. }
-            | Message::AliveAsk
+            | Message::LeaseVote { .. }
+            | Message::AliveRequest
             | Message::Alive { .. }
-            | Message::ConsentAsk { .. }
-            | Message::StateAsk
+            | Message::ConsentRequest { .. }
+            | Message::StateRequest
             | Message::State { .. }
             | Message::Handover(_)
             | Message::Consent { .. } => self.receive_membership(from, message),
-            Message::GrantAsk { .. } | Message::GrantCancel { .. } | Message::Release { .. } => {
-                self.receive_as_upstream_owner(from, message)
-            }
-            Message::GrantAnswer { .. }
-            | Message::IntentAnswer { .. }
+            Message::GrantRequest { .. }
+            | Message::GrantCancel { .. }
+            | Message::Release { .. } => self.receive_as_upstream_owner(from, message),
+            Message::GrantResponse { .. }
+            | Message::IntentResponse { .. }
             | Message::NotOwner { .. }
-            | Message::JobAnswer { .. } => self.receive_as_entry(message),
-            Message::IntentAsk { .. }
-            | Message::IntentEnd { .. }
-            | Message::JobAsk { .. }
+            | Message::JobResponse { .. } => self.receive_as_entry(message),
+            Message::IntentRequest { .. }
+            | Message::IntentOutcome { .. }
+            | Message::JobRequest { .. }
             | Message::Reserved { .. }
-            | Message::Report { .. } => self.receive_as_key_owner(from, message),
+            | Message::TaskUpdate { .. } => self.receive_as_key_owner(from, message),
             Message::Reserve { .. }
             | Message::Unreserve { .. }
             | Message::Start { .. }
-            | Message::ReportNoted { .. } => self.receive_as_worker_owner(from, message),
+            | Message::TaskUpdateRecorded { .. } => self.receive_as_worker_owner(from, message),
         }
     }
 
-    /// Gives the end of the lease if this member may act now, for itself and for
-    /// the lives that it carries.
+    /// Returns the time until which this member may act, both for itself and for
+    /// the members that it has inherited, or `None` if it may not act now.
     fn acts_until_ms(&mut self) -> Option<u64> {
-        let Standing::InForce { mut until_ms } = self.lease.standing(self.now_ms) else {
+        let LeaseState::InForce { mut until_ms } = self.lease.state(self.now_ms) else {
             return None;
         };
-        for carried in self.carried.values_mut() {
-            if let Standing::InForce { until_ms: other_ms } = carried.lease.standing(self.now_ms) {
+        for inherited in self.inherited.values_mut() {
+            if let LeaseState::InForce { until_ms: other_ms } = inherited.lease.state(self.now_ms) {
                 until_ms = until_ms.min(other_ms);
             }
         }
@@ -264,13 +272,13 @@
 
     fn send(&mut self, to: Seat, message: Message) {
         if to == self.me.seat {
-            self.local.push_back(message);
+            self.local_messages.push_back(message);
             return;
         }
         self.out.push(Action::Send { to, message });
     }
 
-    /// Sends to the owner of `cell`; tells whether one is known.
+    /// Sends `message` to the owner of `cell`. Returns whether an owner is known.
     fn send_to_owner(&mut self, cell: Cell, message: Message) -> bool {
         let Some(owner) = self.claims.owner(cell) else {
             return false;
--- a/crates/core/src/placement/orders.rs
+++ b/crates/core/src/placement/orders.rs
@@ -1,21 +1,21 @@
 //! Orders to start, and the ends of attempts.
 
+use super::AVOID_MS;
 use super::Contact;
-use super::FAILURES_BORNE;
 use super::Host;
 use super::HostKey;
-use super::SET_ASIDE_MS;
+use super::MAX_FAILURES;
 use super::TOMBSTONE_MS;
 use super::TaskKey;
 use super::WorkerCell;
 use super::types::AttemptId;
-use super::types::Manner;
-use super::types::Report;
 use super::types::Reservation;
 use super::types::StartAnswer;
+use super::types::StartOptions;
 use super::types::TaskEnd;
 use super::types::TaskOrder;
 use super::types::TaskState;
+use super::types::TaskUpdate;
 
 impl WorkerCell {
     pub(super) fn evict_all(&mut self, key: HostKey) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Has a running task checkpointed and stopped.
+    /// Orders a running task to write a checkpoint and stop.
     pub(super) fn evict(&mut self, key: TaskKey) {
         let task = &mut self.tasks[key];
         if !matches!(task.state, TaskState::Running | TaskState::Starting) {
@@ -34,20 +34,22 @@
         self.hosts[task.host].is_dirty = true;
     }
 
-    /// Orders an attempt to start; safe to repeat.
+    /// Orders an attempt to start; the order may be repeated.
     ///
-    /// What goes wrong without the last check: a former owner of the cell started
-    /// the attempt on a host that has since restarted and remembers nothing; a
-    /// repeated order would run it again. An attempt that this owner knows nothing
-    /// of therefore counts as lost if the order may have been given before. By then
-    /// every host was listed or its lease has lapsed, so it no longer runs.
-    pub fn start(&mut self, now_ms: u64, order: TaskOrder, manner: Manner) -> StartAnswer {
+    /// The last check guards against this fault: a previous owner of the cell started
+    /// the attempt on a host that has since restarted and does not know it; a
+    /// repeated order would run it again. An attempt that is unknown to this owner
+    /// therefore counts as lost if the order may have been given before. By then
+    /// every host has reported or its lease has expired, which means that the attempt
+    /// no longer runs.
+    pub fn start(&mut self, now_ms: u64, order: TaskOrder, manner: StartOptions) -> StartAnswer {
         let is_first = !manner.is_repeat;
-        match self.buried.get(&order.attempt) {
-            // Its reservation ran out, since the log was slow. It was never started,
-            // nor was its home told so: a first order may still find room.
+        match self.ended_attempts.get(&order.attempt) {
+            // Its reservation has expired because the log was slow. It was never
+            // started, and its home was not informed: a first order may still find
+            // resources.
             Some(TaskEnd::NotStarted) if is_first && self.expired.remove(&order.attempt) => {
-                self.buried.remove(&order.attempt);
+                self.ended_attempts.remove(&order.attempt);
             }
             Some(end) => {
                 let end = *end;
@@ -59,7 +61,7 @@
         if let Some(key) = self.by_attempt.get(&order.attempt).copied() {
             return self.start_known(key, order);
         }
-        let is_unlisted = |host: &Host| host.contact == Contact::Unlisted;
+        let is_unlisted = |host: &Host| host.contact == Contact::Unreported;
         if manner.is_repeat {
             return match self.hosts.values().any(is_unlisted) {
                 true => StartAnswer::Wait,
@@ -71,16 +73,16 @@
                 let key = self.by_attempt[&order.attempt];
                 self.start_known(key, order)
             }
-            Reservation::NoRoom => {
-                self.bury(now_ms, order.attempt, TaskEnd::NotStarted);
+            Reservation::Unavailable => {
+                self.record_end(now_ms, order.attempt, TaskEnd::NotStarted);
                 StartAnswer::Ended(TaskEnd::NotStarted)
             }
         }
     }
 
-    /// Remembers how an attempt ended, for orders and reports that come late.
-    pub(super) fn bury(&mut self, now_ms: u64, attempt: AttemptId, end: TaskEnd) {
-        self.buried.insert(attempt.clone(), end);
+    /// Records how an attempt ended, for orders and reports that arrive late.
+    pub(super) fn record_end(&mut self, now_ms: u64, attempt: AttemptId, end: TaskEnd) {
+        self.ended_attempts.insert(attempt.clone(), end);
         self.tombstones.push_back((now_ms, attempt));
     }
 
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Notes that the home has recorded an attempt's end.
+    /// Handles that the home has recorded an attempt's end.
     pub fn acknowledge(&mut self, now_ms: u64, attempt: &AttemptId) {
         let Some(key) = self.by_attempt.get(attempt).copied() else {
             return;
@@ -108,9 +110,9 @@
         let TaskState::Ended { end, .. } = self.tasks[key].state else {
             return;
         };
-        self.bury(now_ms, attempt.clone(), end);
+        self.record_end(now_ms, attempt.clone(), end);
         let host = self.tasks[key].host;
-        if self.hosts[host].contact == Contact::Lost {
+        if self.hosts[host].contact == Contact::Expired {
             self.remove(key);
             return;
         }
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Moves a task to its end and frees its room.
+    /// Ends a task, releases its resources and informs its home.
     pub(super) fn end(&mut self, now_ms: u64, key: TaskKey, end: TaskEnd) {
         let task = &mut self.tasks[key];
         if matches!(task.state, TaskState::Ended { .. } | TaskState::Forgetting) {
@@ -146,14 +148,14 @@
             TaskEnd::Finished => host.failures = 0,
             TaskEnd::Failed => {
                 host.failures += 1;
-                if host.failures >= FAILURES_BORNE {
-                    let doublings = (host.failures - FAILURES_BORNE).min(4);
-                    host.set_aside_until_ms = now_ms + (SET_ASIDE_MS << doublings);
+                if host.failures >= MAX_FAILURES {
+                    let doublings = (host.failures - MAX_FAILURES).min(4);
+                    host.avoided_until_ms = now_ms + (AVOID_MS << doublings);
                 }
             }
             _ => {}
         }
-        self.reports.push(Report {
+        self.reports.push(TaskUpdate {
             attempt: task.order.attempt.clone(),
             end: Some(end),
         });
@@ -171,21 +173,22 @@
         for key in stale {
             let attempt = self.tasks[key].order.attempt.clone();
             self.expired.insert(attempt.clone());
-            self.bury(now_ms, attempt, TaskEnd::NotStarted);
+            self.record_end(now_ms, attempt, TaskEnd::NotStarted);
             self.remove(key);
         }
-        let silence_ms = self.pace.lease_ms + self.pace.lease_ms * self.pace.skew_permille / 1_000;
+        let silence_ms =
+            self.timing.lease_ms + self.timing.lease_ms * self.timing.skew_permille / 1_000;
         let lost: Vec<HostKey> = self
             .hosts
             .iter()
             .filter(|(_, host)| {
                 let is_silent = now_ms >= host.renewed_ms + silence_ms;
-                is_silent && host.contact != Contact::Lost
+                is_silent && host.contact != Contact::Expired
             })
             .map(|(key, _)| key)
             .collect();
         for key in lost {
-            self.hosts[key].contact = Contact::Lost;
+            self.hosts[key].contact = Contact::Expired;
             for task in self.hosts[key].tasks.clone() {
                 self.end(now_ms, task, TaskEnd::Lost);
             }
@@ -195,7 +198,7 @@
                 break;
             }
             self.tombstones.pop_front();
-            self.buried.remove(&attempt);
+            self.ended_attempts.remove(&attempt);
             self.expired.remove(&attempt);
         }
     }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,10 +1,10 @@
-//! The slots of a service's instances in one failure domain, exactly counted by
-//! the one owner of their cell.
+//! The slots of a service's instances in one failure domain, counted exactly by the
+//! one owner of their cell.
 //!
-//! What goes wrong without one owner: several entry hosts each see a free slot
-//! and together send an instance more than it can work on. A slot is therefore
-//! granted, held and released here. It stays taken while the fate of an attempt
-//! is unknown, until the instance must have ended it.
+//! Without a single owner, several entry hosts could see the same free slot and
+//! together send an instance more requests than it can process. A slot is therefore
+//! granted, held and released here. It stays in use while the outcome of an attempt
+//! is unknown, until the instance must have ended the request.
 
 use crate::ids::Member;
 use crate::macros::plain;
@@ -19,70 +19,70 @@
     pub struct GrantKey;
 }
 
-/// How an attempt under a grant ended.
+/// Outcome of an attempt under a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    /// The instance gave a whole answer after `latency_ms`.
+pub enum GrantOutcome {
+    /// The instance gave a complete answer.
     Answered {
-        /// Time from sending to the whole answer.
+        /// Time from sending the request until the answer was complete.
         latency_ms: u64,
     },
-    /// The instance gave a whole answer that says it failed.
+    /// The instance gave a complete answer that reports a failure.
     Failed {
-        /// Time from sending to the whole answer.
+        /// Time from sending the request until the answer was complete.
         latency_ms: u64,
     },
-    /// Nothing reached the instance, though it was tried.
+    /// The attempt was made, but nothing reached the instance.
     NotStarted,
     /// The slot was not used.
     Unused,
-    /// The instance may still be working on it.
+    /// The outcome is unknown; the instance may still be working on the request.
     Unknown,
 }
 
-/// The end of an attempt under a grant.
+/// Release of a grant after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Released {
+pub struct SlotRelease {
     /// The grant.
     pub grant: GrantKey,
-    /// Who held it.
-    pub asker: Member,
-    /// The request that it was used for.
+    /// Member that held the grant.
+    pub requester: Member,
+    /// Request that the grant was used for.
     pub request: u64,
-    /// How the attempt ended.
-    pub ended: Ended,
-    /// Request for which the asker goes on to use the slot.
+    /// Outcome of the attempt.
+    pub ended: GrantOutcome,
+    /// Request for which the requester uses the slot next.
     pub next: Option<u64>,
 }
 
-/// A request that asks for a slot.
+/// A request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Entry host that will send the attempt.
-    pub asker: Member,
-    /// Its number there.
+    pub requester: Member,
+    /// Number of the request at that host.
     pub request: u64,
-    /// When its owner was first asked for it.
+    /// Time at which the owner of the cell was first asked.
     pub asked_ms: u64,
     /// Latest time at which an attempt may still begin.
     pub begin_by_ms: u64,
 }
 
 plain! {
-    /// What the owner of the cell answers.
+    /// Answer of the cell's owner.
     pub enum Verdict {
-        /// A slot is held for the asker.
+        /// A slot is granted to the requester.
         Granted {
-            /// Names the grant when it is released.
+            /// Key of the grant, which its release must name.
             grant: GrantKey,
             /// Address of the instance.
             address: Box<str>,
             /// How long the request had waited when the slot was granted.
             waited_ms: u64,
         },
-        /// No slot comes free in time.
+        /// No slot will be free in time.
         Refused {
-            /// When asking again makes sense.
+            /// Time after which it makes sense to ask again.
             retry_after_ms: u64,
         },
     }
@@ -95,18 +95,19 @@
     slots: u32,
     in_use: u32,
     is_leaving: bool,
-    /// Smoothed time of an answer, in microseconds; 0 before the first one.
+    /// Moving average of the latency in microseconds; 0 before the first answer.
     latency_us: u64,
     failures: u32,
-    shunned_until_ms: u64,
-    /// When a slot of it was granted last.
-    used_ms: u64,
+    avoided_until_ms: u64,
+    /// Time at which a slot of it was last granted.
+    last_granted_ms: u64,
 }
 
 impl Instance {
-    /// Gives the slots that may be used; one that failed often is only probed.
+    /// Returns the number of slots that may be used: only one, as a probe, after
+    /// [`MAX_FAILURES`] failures in a row.
     fn usable_slots(&self) -> u32 {
-        match self.failures >= FAILURES_BORNE {
+        match self.failures >= MAX_FAILURES {
             true => self.slots.min(1),
             false => self.slots,
         }
@@ -116,24 +117,25 @@
 #[derive(Debug, Clone)]
 struct Grant {
     instance: InstanceKey,
-    asker: Member,
+    requester: Member,
     request: u64,
     waited_ms: u64,
     ends_by_ms: u64,
 }
 
-/// Bounds of one cell of upstreams.
+/// Settings of one cell of upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Time within which an instance ends any request.
     pub timeout_ms: u64,
-    /// Time within which attempts under a grant begin.
+    /// Time within which attempts under a grant must begin.
     pub use_ms: u64,
-    /// Requests that may wait per slot.
+    /// Maximum number of requests that wait per slot.
     pub waiting_per_slot: u32,
 }
 
-/// The instances of one service in one failure domain, as their owner sees them.
+/// The instances of one service in one failure domain, with their slots, as tracked
+/// by the owner.
 #[derive(Debug, Clone)]
 pub struct UpstreamCell {
     bounds: Bounds,
@@ -142,21 +144,21 @@
     by_name: HashMap<Box<str>, InstanceKey>,
     grants: SlotMap<GrantKey, Grant>,
     by_request: HashMap<(Member, u64), GrantKey>,
-    waiting: VecDeque<Ask>,
+    waiting: VecDeque<SlotRequest>,
 }
 
-/// One failure in a row more than this and an instance is shunned.
-const FAILURES_BORNE: u32 = 3;
-/// An instance that takes this many times as long as the fastest one is slow.
+/// Number of failures in a row from which on an instance is avoided for a while.
+const MAX_FAILURES: u32 = 3;
+/// An instance whose latency is this many times that of the fastest one is slow.
 const SLOW_FACTOR: u64 = 3;
-/// Time after which a slow instance gets a request all the same.
+/// Time after which a slow instance gets a request even so.
 const PROBE_MS: u64 = 1_000;
-/// How long an instance is shunned at first; doubles up to eight times as long.
-const SHUN_MS: u64 = 500;
+/// Time for which an instance is avoided at first; doubles up to eight times as long.
+const AVOID_MS: u64 = 500;
 
 impl UpstreamCell {
-    /// Starts with no instances; nothing is granted before `opens_ms`, since a
-    /// former owner's grants may be in use until then.
+    /// Creates a cell without instances. Nothing is granted before `opens_ms`,
+    /// because grants of a previous owner may be in use until then.
     pub fn new(bounds: Bounds, opens_ms: u64) -> Self {
         Self {
             bounds,
@@ -169,18 +171,18 @@
         }
     }
 
-    /// Lists or updates an instance.
-    pub fn list(&mut self, name: &str, address: &str, slots: u32, is_leaving: bool) {
+    /// Adds or updates an instance.
+    pub fn update_instance(&mut self, name: &str, address: &str, slots: u32, is_leaving: bool) {
         if let Some(key) = self.by_name.get(name) {
             let instance = &mut self.instances[*key];
             instance.slots = slots;
             instance.is_leaving = is_leaving;
             if &*instance.address != address {
-                // A new process at another address: its record starts afresh,
-                // while slots of the old one stay taken until released.
+                // A new process at another address starts without failures, while
+                // slots of the old one stay in use until they are released.
                 instance.address = address.into();
                 instance.failures = 0;
-                instance.shunned_until_ms = 0;
+                instance.avoided_until_ms = 0;
             }
             return;
         }
@@ -192,21 +194,21 @@
             is_leaving,
             latency_us: 0,
             failures: 0,
-            shunned_until_ms: 0,
-            used_ms: 0,
+            avoided_until_ms: 0,
+            last_granted_ms: 0,
         });
         self.by_name.insert(name.into(), key);
     }
 
-    /// Stops granting slots of an instance that is no longer listed.
-    pub fn unlist(&mut self, name: &str) {
+    /// Stops granting slots of an instance that was removed from the inventory.
+    pub fn remove_instance(&mut self, name: &str) {
         if let Some(key) = self.by_name.get(name) {
             self.instances[*key].is_leaving = true;
         }
     }
 
-    /// Names the instances that are listed and not leaving.
-    pub fn names(&self) -> Vec<Box<str>> {
+    /// Returns the names of the instances that are not leaving.
+    pub fn instance_names(&self) -> Vec<Box<str>> {
         let staying = self
             .instances
             .values()
@@ -214,7 +216,8 @@
         staying.map(|instance| instance.name.clone()).collect()
     }
 
-    /// Counts the slots in use and those there are on staying instances.
+    /// Returns the number of slots in use and the number of slots of instances that
+    /// are not leaving.
     pub fn load(&self) -> (u32, u32) {
         let used = self
             .instances
@@ -228,13 +231,13 @@
         (used, staying.map(|instance| instance.slots).sum())
     }
 
-    /// Counts the slots of instances that take requests now. One that is shunned
-    /// counts for nothing, and one on probation for a single slot, so that a broken
-    /// cell does not look idle and draw the requests of the whole service.
-    fn open_slots(&self, now_ms: u64) -> u32 {
+    /// Returns the number of slots of instances that accept requests now. An avoided
+    /// instance has none, and one that is being probed a single one; otherwise a
+    /// broken cell would look idle and attract the requests of the whole service.
+    fn available_slots(&self, now_ms: u64) -> u32 {
         let mut sum = 0;
         for instance in self.instances.values() {
-            if instance.is_leaving || now_ms < instance.shunned_until_ms {
+            if instance.is_leaving || now_ms < instance.avoided_until_ms {
                 continue;
             }
             sum += instance.usable_slots();
@@ -242,11 +245,11 @@
         sum
     }
 
-    /// Gives the free slots in sight of new requests.
-    pub fn free(&self, now_ms: u64) -> u32 {
+    /// Returns the number of free slots that are left for new requests.
+    pub fn free_slots(&self, now_ms: u64) -> u32 {
         let mut free = 0;
         for instance in self.instances.values() {
-            if instance.is_leaving || now_ms < instance.shunned_until_ms {
+            if instance.is_leaving || now_ms < instance.avoided_until_ms {
                 continue;
             }
             free += instance.usable_slots().saturating_sub(instance.in_use);
@@ -254,21 +257,21 @@
         free.saturating_sub(self.waiting.len() as u32)
     }
 
-    /// Counts the requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Asks for a slot; `None` means that the request waits for one.
-    pub fn ask(&mut self, now_ms: u64, ask: Ask) -> Option<Verdict> {
-        if let Some(grant) = self.by_request.get(&(ask.asker, ask.request)) {
-            // The asker did not hear the first answer and asks again.
+    /// Requests a slot; returns `None` if the request waits for one.
+    pub fn request_slot(&mut self, now_ms: u64, entry: SlotRequest) -> Option<Verdict> {
+        if let Some(grant) = self.by_request.get(&(entry.requester, entry.request)) {
+            // The requester did not receive the first answer and asks again.
             return Some(self.granted(*grant));
         }
         if self
             .waiting
             .iter()
-            .any(|other| (other.asker, other.request) == (ask.asker, ask.request))
+            .any(|other| (other.requester, other.request) == (entry.requester, entry.request))
         {
             return None;
         }
@@ -277,105 +280,105 @@
             return Some(Verdict::Refused { retry_after_ms });
         }
         if self.waiting.is_empty()
-            && let Some(instance) = self.choose(now_ms)
+            && let Some(instance) = self.choose_instance(now_ms)
         {
-            return Some(self.grant(now_ms, instance, ask));
+            return Some(self.grant(now_ms, instance, entry));
         }
         let wait_ms = self.expected_wait_ms(now_ms);
-        let slots = self.open_slots(now_ms);
+        let slots = self.available_slots(now_ms);
         let is_full = self.waiting.len() as u32 >= slots * self.bounds.waiting_per_slot;
-        if is_full || slots == 0 || now_ms + wait_ms > ask.begin_by_ms {
+        if is_full || slots == 0 || now_ms + wait_ms > entry.begin_by_ms {
             let retry_after_ms = wait_ms.max(1);
             return Some(Verdict::Refused { retry_after_ms });
         }
-        self.waiting.push_back(ask);
+        self.waiting.push_back(entry);
         None
     }
 
-    /// Drops a request that waits, or that was granted and never sent.
-    pub fn cancel(&mut self, asker: Member, request: u64) {
+    /// Removes a request that waits, or that was granted a slot and never sent.
+    pub fn cancel(&mut self, requester: Member, request: u64) {
         self.waiting
-            .retain(|ask| (ask.asker, ask.request) != (asker, request));
-        if let Some(grant) = self.by_request.get(&(asker, request)).copied() {
-            self.free_slot(grant);
+            .retain(|entry| (entry.requester, entry.request) != (requester, request));
+        if let Some(grant) = self.by_request.get(&(requester, request)).copied() {
+            self.release_slot(grant);
         }
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt and frees its slot, unless the outcome is
+    /// unknown.
     ///
-    /// A release that names another request than the grant's comes from a time
-    /// before this owner, whose grants had the same names; it is passed over. With
-    /// `next` the asker goes on to use the slot for a request of its own that
-    /// waits, which saves the two messages in which the slot would stand idle. The
-    /// grant's end stays where it was, so that it is safe even if this message is
-    /// lost.
-    pub fn release(&mut self, now_ms: u64, released: Released) {
+    /// A release that names another request than the grant's is from a previous
+    /// owner, whose grants had the same keys; it is ignored. With `next` the
+    /// requester uses the slot for another of its waiting requests, which saves the
+    /// two messages during which the slot would be idle. The end of the grant does
+    /// not change, which keeps it safe even if this message is lost.
+    pub fn release(&mut self, now_ms: u64, released: SlotRelease) {
         let Some(held) = self.grants.get_mut(released.grant) else {
             return;
         };
-        if (held.asker.seat, held.request) != (released.asker.seat, released.request) {
+        if (held.requester.seat, held.request) != (released.requester.seat, released.request) {
             return;
         }
         let key = held.instance;
         match released.ended {
-            Ended::Answered { latency_ms } => self.note_answer(key, latency_ms),
-            Ended::Failed { .. } | Ended::NotStarted => self.note_failure(now_ms, key),
-            Ended::Unused => {}
-            Ended::Unknown => {
-                self.note_failure(now_ms, key);
+            GrantOutcome::Answered { latency_ms } => self.add_latency(key, latency_ms),
+            GrantOutcome::Failed { .. } | GrantOutcome::NotStarted => self.add_failure(now_ms, key),
+            GrantOutcome::Unused => {}
+            GrantOutcome::Unknown => {
+                self.add_failure(now_ms, key);
                 return;
             }
         }
         let Some(next) = released.next else {
-            self.free_slot(released.grant);
+            self.release_slot(released.grant);
             return;
         };
-        let asker = released.asker;
+        let requester = released.requester;
         self.waiting
-            .retain(|ask| (ask.asker.seat, ask.request) != (asker.seat, next));
+            .retain(|entry| (entry.requester.seat, entry.request) != (requester.seat, next));
         if let Some(held) = self.grants.get_mut(released.grant) {
-            self.by_request.remove(&(held.asker, held.request));
+            self.by_request.remove(&(held.requester, held.request));
             held.request = next;
         }
     }
 
-    /// Ends what has run out and serves those that wait; gives their verdicts.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<(Ask, Verdict)> {
+    /// Ends expired grants and serves waiting requests; returns their verdicts.
+    pub fn tick(&mut self, now_ms: u64) -> Vec<(SlotRequest, Verdict)> {
         let ended = self
             .grants
             .iter()
             .filter(|(_, grant)| now_ms >= grant.ends_by_ms);
         let ended: Vec<GrantKey> = ended.map(|(key, _)| key).collect();
         for grant in ended {
-            self.free_slot(grant);
+            self.release_slot(grant);
         }
         let mut verdicts = Vec::new();
-        while let Some(ask) = self.waiting.front().copied() {
-            if now_ms > ask.begin_by_ms {
+        while let Some(entry) = self.waiting.front().copied() {
+            if now_ms > entry.begin_by_ms {
                 self.waiting.pop_front();
                 let retry_after_ms = self.expected_wait_ms(now_ms).max(1);
-                verdicts.push((ask, Verdict::Refused { retry_after_ms }));
+                verdicts.push((entry, Verdict::Refused { retry_after_ms }));
                 continue;
             }
-            let Some(instance) = self.choose(now_ms) else {
+            let Some(instance) = self.choose_instance(now_ms) else {
                 break;
             };
             self.waiting.pop_front();
-            verdicts.push((ask, self.grant(now_ms, instance, ask)));
+            verdicts.push((entry, self.grant(now_ms, instance, entry)));
         }
         verdicts
     }
 
-    /// Picks the free slot where an answer is expected soonest.
+    /// Returns the instance with a free slot whose answer is expected first.
     ///
-    /// An instance that has become slow is passed over while a slot of a fast one
-    /// is expected to come free early enough. One request a second still goes
-    /// there, so that one notices when it has recovered.
-    fn choose(&self, now_ms: u64) -> Option<InstanceKey> {
+    /// A slow instance is skipped while a slot of a fast one is expected to be free
+    /// early enough. One request a second is still sent there, which shows when it
+    /// has recovered.
+    fn choose_instance(&self, now_ms: u64) -> Option<InstanceKey> {
         let mut best: Option<(u64, InstanceKey)> = None;
         let mut fastest_us = u64::MAX;
         for (key, instance) in &self.instances {
-            if instance.is_leaving || now_ms < instance.shunned_until_ms {
+            if instance.is_leaving || now_ms < instance.avoided_until_ms {
                 continue;
             }
             if instance.failures == 0 && instance.latency_us > 0 {
@@ -392,7 +395,7 @@
         let (_, key) = best?;
         let instance = &self.instances[key];
         let is_slow = instance.latency_us / SLOW_FACTOR > fastest_us;
-        if !is_slow || now_ms >= instance.used_ms + PROBE_MS {
+        if !is_slow || now_ms >= instance.last_granted_ms + PROBE_MS {
             return Some(key);
         }
         let wait_us = self.expected_wait_ms(now_ms) * 1_000;
@@ -404,18 +407,19 @@
         instance.latency_us.max(1) * (1_000 + busy)
     }
 
-    fn grant(&mut self, now_ms: u64, instance: InstanceKey, ask: Ask) -> Verdict {
+    fn grant(&mut self, now_ms: u64, instance: InstanceKey, entry: SlotRequest) -> Verdict {
         let held = &mut self.instances[instance];
         held.in_use += 1;
-        held.used_ms = now_ms;
+        held.last_granted_ms = now_ms;
         let grant = self.grants.insert(Grant {
             instance,
-            asker: ask.asker,
-            request: ask.request,
-            waited_ms: now_ms.saturating_sub(ask.asked_ms),
+            requester: entry.requester,
+            request: entry.request,
+            waited_ms: now_ms.saturating_sub(entry.asked_ms),
             ends_by_ms: now_ms + self.bounds.use_ms + self.bounds.timeout_ms,
         });
-        self.by_request.insert((ask.asker, ask.request), grant);
+        self.by_request
+            .insert((entry.requester, entry.request), grant);
         self.granted(grant)
     }
 
@@ -428,11 +432,11 @@
         }
     }
 
-    fn free_slot(&mut self, grant: GrantKey) {
+    fn release_slot(&mut self, grant: GrantKey) {
         let Some(held) = self.grants.remove(grant) else {
             return;
         };
-        let request = (held.asker, held.request);
+        let request = (held.requester, held.request);
         if self.by_request.get(&request) == Some(&grant) {
             self.by_request.remove(&request);
         }
@@ -440,7 +444,7 @@
         instance.in_use -= 1;
     }
 
-    fn note_answer(&mut self, key: InstanceKey, latency_ms: u64) {
+    fn add_latency(&mut self, key: InstanceKey, latency_ms: u64) {
         const WEIGHT: u64 = 8;
         let instance = &mut self.instances[key];
         let latest_us = latency_ms.max(1) * 1_000;
@@ -451,24 +455,24 @@
         instance.failures = 0;
     }
 
-    /// Counts a failure. An instance that fails everything at once would look
-    /// the fastest of all and draw all load; its failures shun it for a while,
-    /// after which one request probes it.
-    fn note_failure(&mut self, now_ms: u64, key: InstanceKey) {
+    /// Counts a failure. An instance that fails everything at once would appear to be
+    /// the fastest one and attract all load. It is therefore avoided for a while
+    /// after several failures; then one request probes it.
+    fn add_failure(&mut self, now_ms: u64, key: InstanceKey) {
         let instance = &mut self.instances[key];
         instance.failures += 1;
-        if instance.failures < FAILURES_BORNE {
+        if instance.failures < MAX_FAILURES {
             return;
         }
-        let doublings = (instance.failures - FAILURES_BORNE).min(3);
-        instance.shunned_until_ms = now_ms + (SHUN_MS << doublings);
+        let doublings = (instance.failures - MAX_FAILURES).min(3);
+        instance.avoided_until_ms = now_ms + (AVOID_MS << doublings);
     }
 
     fn expected_wait_ms(&self, now_ms: u64) -> u64 {
         const UNKNOWN_US: u64 = 10_000;
-        let slots = self.open_slots(now_ms);
+        let slots = self.available_slots(now_ms);
         if slots == 0 {
-            return SHUN_MS;
+            return AVOID_MS;
         }
         let known = self
             .instances
--- a/crates/daemon/src/chronicle.rs
+++ b/crates/daemon/src/event_log.rs
@@ -1,4 +1,5 @@
-//! The events of one process: stamped, logged and kept for the time line.
+//! The events of one process: stamped, written to the log, and retained for the
+//! timeline.
 
 use goldcrestway_core::Note;
 use goldcrestway_events::Clock;
@@ -12,27 +13,28 @@
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Gives the wall clock in milliseconds; only for stamps and incarnations.
+/// Returns the wall clock in milliseconds since the Unix epoch. Only stamps and
+/// incarnations use it.
 pub(crate) fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Clock and events of one process.
-pub(crate) struct Chronicle {
+/// Hybrid logical clock and retained events of one process.
+pub(crate) struct EventLog {
     process: Box<str>,
-    logs: bool,
+    is_logging: bool,
     inner: Mutex<(Clock, Recorder)>,
 }
 
-impl Chronicle {
-    /// Starts without events, keeping the latest `most`.
-    pub(crate) fn new(process: &str, most: usize, logs: bool) -> Self {
+impl EventLog {
+    /// Creates a log without events that retains the latest `capacity` ones.
+    pub(crate) fn new(process: &str, capacity: usize, is_logging: bool) -> Self {
         Self {
             process: process.into(),
-            logs,
-            inner: Mutex::new((Clock::default(), Recorder::new(most))),
+            is_logging,
+            inner: Mutex::new((Clock::default(), Recorder::new(capacity))),
         }
     }
 
@@ -40,18 +42,18 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Stamps a message that is sent now.
+    /// Returns the stamp for a message that is sent now.
     pub(crate) fn stamp(&self) -> Stamp {
         self.lock().0.tick(wall_ms())
     }
 
-    /// Takes in the stamp of a message that has arrived.
-    pub(crate) fn arrived(&self, sent: Stamp) {
+    /// Advances the clock past the stamp of a message that has arrived.
+    pub(crate) fn receive(&self, sent: Stamp) {
         self.lock().0.receive(wall_ms(), sent);
     }
 
-    /// Writes down what happened.
-    pub(crate) fn note(&self, note: &Note) {
+    /// Records an event.
+    pub(crate) fn record(&self, note: &Note) {
         let mut inner = self.lock();
         let entry = Entry {
             stamp: inner.0.tick(wall_ms()),
@@ -61,13 +63,13 @@
             subject: note.subject.clone(),
             detail: note.detail.clone(),
         };
-        if self.logs {
+        if self.is_logging {
             write_event(&entry);
         }
         inner.1.add(entry);
     }
 
-    /// Lists the events that are kept.
+    /// Returns the retained events, oldest first.
     pub(crate) fn list(&self) -> Vec<Entry> {
         self.lock().1.list()
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,12 +1,12 @@
-//! The side of operators: status, explanations, publishing, jobs, events.
+//! Serves operators: status, explanations, publishing, jobs and events.
 
 use crate::answers::Reply;
 use crate::answers::problem;
 use crate::answers::reply;
-use crate::answers::reply_of;
-use crate::chronicle::Chronicle;
-use crate::front::Desk;
-use crate::front::Step;
+use crate::answers::reply_for;
+use crate::callers::Step;
+use crate::callers::Waiters;
+use crate::event_log::EventLog;
 use crate::metrics::Metrics;
 use goldcrestway_core::Answer;
 use goldcrestway_core::ConfigChange;
@@ -30,50 +30,50 @@
 use tiny_http::Request;
 use tiny_http::Server;
 
-/// A look at the node, carried to the thread that has it.
-pub(crate) type Look = Box<dyn FnOnce(&mut Node) + Send>;
+/// A query on the node, run by the thread that owns the node.
+pub(crate) type NodeQuery = Box<dyn FnOnce(&mut Node) + Send>;
 
-/// How long an operator waits for a verdict.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// How long a look at the node may take.
-const LOOK: Duration = Duration::from_secs(2);
-/// Threads that serve operators.
+/// Longest time that an operator's request waits for the node's decision.
+const DECISION_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest time that a query on the node may take.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of threads that serve operators.
 const THREADS: usize = 8;
-/// Largest body that an operator may send.
-const MOST_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest request body of an operator; further bytes are not read.
+const MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A section that is published.
+/// One changed section of a [`PublishRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SectionChange {
     /// Kind of the section.
     pub kind: String,
     /// Name of the section.
     pub name: String,
-    /// Its values, or nothing if it goes.
+    /// Its values, or `None` if the section is removed.
     pub values: Option<BTreeMap<String, String>>,
 }
 
-/// What the tool sends to publish.
+/// Body of a request to publish changes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublishRequest {
-    /// Version on which the change was made.
+    /// Version that the change was made from.
     pub base: u64,
-    /// Identity of the change.
+    /// Identity of the change; a repeated request with the same one is applied once.
     pub id: String,
-    /// Who publishes.
+    /// Name of the person who publishes.
     pub author: String,
-    /// The sections that differ.
+    /// The changed sections.
     pub changes: Vec<SectionChange>,
 }
 
-/// What the tool is told when a change is accepted.
+/// Body of the reply when a change is accepted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PublishReply {
-    /// The version in force.
+    /// Version that is now in force.
     pub version: u64,
 }
 
-/// What the tool sends to submit a job.
+/// Body of a request to submit a job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRequest {
     /// Name of the job in the inventory.
@@ -82,27 +82,27 @@
     pub id: String,
 }
 
-/// Where an entry host stands.
+/// Status of an entry host.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// Its seat and life.
+    /// Its seat and incarnation.
     pub member: String,
-    /// Whether it may act.
+    /// Whether its lease is in force, so that it may act for its cells.
     pub acts: bool,
     /// Whether it is stopping.
     pub is_stopping: bool,
     /// Version of the configuration in force.
     pub config_version: u64,
-    /// Members that it takes to live.
+    /// Members that it considers alive.
     pub alive: Vec<String>,
-    /// Cells that it owns, with a description.
+    /// Cells that it owns, each with a description of its state.
     pub cells: Vec<(String, String)>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub requests: usize,
 }
 
-/// Turns changes into what is sent.
-pub fn changes_out(changes: &[Change]) -> Vec<SectionChange> {
+/// Converts changes of an inventory to the form of a [`PublishRequest`].
+pub fn changes_to_wire(changes: &[Change]) -> Vec<SectionChange> {
     let text = |text: &str| text.to_owned();
     changes
         .iter()
@@ -119,8 +119,8 @@
         .collect()
 }
 
-/// Turns what was sent into changes.
-pub fn changes_in(changes: &[SectionChange]) -> Vec<Change> {
+/// Converts the sections of a [`PublishRequest`] to changes of an inventory.
+pub fn changes_from_wire(changes: &[SectionChange]) -> Vec<Change> {
     changes
         .iter()
         .map(|change| Change {
@@ -136,29 +136,29 @@
         .collect()
 }
 
-/// What the threads that serve operators share.
-pub(crate) struct Operators {
-    pub(crate) desk: Arc<Desk>,
+/// State that the threads which serve operators share.
+pub(crate) struct OperatorServer {
+    pub(crate) waiters: Arc<Waiters>,
     pub(crate) events: Sender<Event>,
-    pub(crate) looks: Sender<Look>,
-    pub(crate) chronicle: Arc<Chronicle>,
+    pub(crate) queries: Sender<NodeQuery>,
+    pub(crate) event_log: Arc<EventLog>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) is_ready: Arc<AtomicBool>,
-    pub(crate) is_over: Arc<AtomicBool>,
+    pub(crate) is_stopped: Arc<AtomicBool>,
 }
 
-impl Operators {
-    /// Serves operators until the daemon is over.
+impl OperatorServer {
+    /// Serves operators until the daemon has stopped.
     pub(crate) fn serve(self: Arc<Self>, server: Server) {
-        const IDLE: Duration = Duration::from_millis(100);
+        const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
         let server = Arc::new(server);
         for _ in 0..THREADS {
-            let (operators, server) = (self.clone(), server.clone());
+            let (operator_server, server) = (self.clone(), server.clone());
             thread::spawn(move || {
-                while !operators.is_over.load(Ordering::Relaxed) {
-                    if let Ok(Some(mut request)) = server.recv_timeout(IDLE) {
-                        let reply = operators.reply(&mut request);
-                        // An operator who has gone needs no answer.
+                while !operator_server.is_stopped.load(Ordering::Relaxed) {
+                    if let Ok(Some(mut request)) = server.recv_timeout(IDLE_POLL_INTERVAL) {
+                        let reply = operator_server.reply(&mut request);
+                        // Responding fails if the operator has disconnected.
                         let _ = request.respond(reply);
                     }
                 }
@@ -177,10 +177,10 @@
             }
             "/readyz" => reply(503, "text/plain", "not ready\n"),
             "/metrics" => reply(200, "text/plain; version=0.0.4", self.metrics.render()),
-            "/v1/timeline" => json(&self.chronicle.list()),
-            "/v1/status" => self.look(status_of),
+            "/v1/timeline" => json(&self.event_log.list()),
+            "/v1/status" => self.query(status_of),
             "/v1/config" if is_post => self.publish(request),
-            "/v1/config" => self.look(config_of),
+            "/v1/config" => self.query(config_of),
             "/v1/jobs" if is_post => self.submit(request),
             "/v1/stop" if is_post => {
                 let _ = self.events.send(Event::Stop);
@@ -189,20 +189,20 @@
             _ => match path.strip_prefix("/v1/explain/") {
                 Some(name) => {
                     let name = name.to_owned();
-                    self.look(move |node| serde_json::json!(node.explain(&name)).to_string())
+                    self.query(move |node| serde_json::json!(node.explain(&name)).to_string())
                 }
                 None => problem(404, "no-such-path", "No such path", path.clone()),
             },
         }
     }
 
-    /// Has the thread of the decisions look at the node.
-    fn look(&self, look: impl FnOnce(&mut Node) -> String + Send + 'static) -> Reply {
-        let (sender, seen) = channel();
-        let look: Look = Box::new(move |node| {
-            let _ = sender.send(look(node));
+    /// Runs `query` on the thread that owns the node; replies with its result.
+    fn query(&self, query: impl FnOnce(&mut Node) -> String + Send + 'static) -> Reply {
+        let (sender, receiver) = channel();
+        let query: NodeQuery = Box::new(move |node| {
+            let _ = sender.send(query(node));
         });
-        if self.looks.send(look).is_err() {
+        if self.queries.send(query).is_err() {
             return problem(
                 503,
                 "ending",
@@ -210,7 +210,7 @@
                 "Ask another entry host.",
             );
         }
-        match seen.recv_timeout(LOOK) {
+        match receiver.recv_timeout(QUERY_TIMEOUT) {
             Ok(text) => reply(200, "application/json", text),
             Err(_) => problem(503, "busy", "The daemon is busy", "Ask again."),
         }
@@ -229,9 +229,9 @@
             base: publish.base,
             id: publish.id.into(),
             author: publish.author.into(),
-            changes: changes_in(&publish.changes).into(),
+            changes: changes_from_wire(&publish.changes).into(),
         };
-        self.ask(|request| Event::Publish { request, change })
+        self.request_decision(|request| Event::Publish { request, change })
     }
 
     fn submit(&self, request: &mut Request) -> Reply {
@@ -239,33 +239,33 @@
             let detail = "Send {\"job\": NAME, \"id\": IDENTITY}.";
             return problem(400, "unreadable", "The job can't be read", detail);
         };
-        let (sender, seen) = channel();
+        let (sender, receiver) = channel();
         let name = job.job.clone();
-        let look: Look = Box::new(move |node| {
+        let query: NodeQuery = Box::new(move |node| {
             let job = node.config().inventory().jobs.get(name.as_str());
             let _ = sender.send(job.map(|job| job.team.clone()));
         });
-        let _ = self.looks.send(look);
-        let Ok(Some(team)) = seen.recv_timeout(LOOK) else {
-            return reply_of(&Answer::NotListed).1;
+        let _ = self.queries.send(query);
+        let Ok(Some(team)) = receiver.recv_timeout(QUERY_TIMEOUT) else {
+            return reply_for(&Answer::NotListed).1;
         };
         let spec = JobSpec {
             id: format!("{team}/{}", job.id).into(),
             job: job.job.into(),
             team,
         };
-        self.ask(|request| Event::Submit { request, spec })
+        self.request_decision(|request| Event::Submit { request, spec })
     }
 
-    /// Asks the decisions and waits for their answer.
-    fn ask(&self, event: impl FnOnce(u64) -> Event) -> Reply {
-        let place = self.desk.take();
-        let _ = self.events.send(event(place.number));
-        match place.steps.recv_timeout(PATIENCE) {
-            Ok(Step::Answer(answer)) => reply_of(&answer).1,
+    /// Sends an event to the node and waits for the answer to it.
+    fn request_decision(&self, event: impl FnOnce(u64) -> Event) -> Reply {
+        let waiter = self.waiters.register();
+        let _ = self.events.send(event(waiter.number));
+        match waiter.steps.recv_timeout(DECISION_TIMEOUT) {
+            Ok(Step::Answer(answer)) => reply_for(&answer).1,
             _ => {
                 let reason = "no verdict in time; ask again with the same identity";
-                reply_of(&Answer::Unknown {
+                reply_for(&Answer::Unknown {
                     reason,
                     retry_after_ms: 0,
                 })
@@ -279,7 +279,7 @@
     let mut body = Vec::new();
     request
         .as_reader()
-        .take(MOST_BYTES)
+        .take(MAX_BODY_BYTES)
         .read_to_end(&mut body)
         .ok()?;
     serde_json::from_slice(&body).ok()
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,6 @@
 //! Settings of a daemon, read from an INI file.
+//!
+//! [`load`] reports every fault at once, each with file, line and remedy.
 
 use goldcrestway_core::Limits;
 use goldcrestway_core::Seat;
@@ -12,15 +14,15 @@
 use std::net::SocketAddr;
 
 const MILLISECONDS: Value = Value::Whole {
-    least: 1,
-    most: 86_400_000,
+    min: 1,
+    max: 86_400_000,
 };
 const COUNT: Value = Value::Whole {
-    least: 1,
-    most: 1_000_000,
+    min: 1,
+    max: 1_000_000,
 };
 
-/// What a settings file may hold, with defaults.
+/// Sections and keys that a settings file may have, with defaults.
 pub const SCHEMA: &[SectionSchema] = &[
     SectionSchema {
         kind: "daemon",
@@ -52,8 +54,8 @@
             Field::required(
                 "number",
                 Value::Whole {
-                    least: 0,
-                    most: 65_535,
+                    min: 0,
+                    max: 65_535,
                 },
             ),
             Field::required("failure_domain", Value::Text),
@@ -66,15 +68,15 @@
         kind: "limits",
         is_single: true,
         fields: &[
-            Field::optional("voters", Value::Whole { least: 1, most: 9 }, "5"),
+            Field::optional("voters", Value::Whole { min: 1, max: 9 }, "5"),
             Field::optional("lease_ms", MILLISECONDS, "1500"),
             Field::optional("heartbeat_ms", MILLISECONDS, "250"),
             Field::optional("suspect_ms", MILLISECONDS, "1000"),
             Field::optional(
                 "key_cells",
                 Value::Whole {
-                    least: 1,
-                    most: 65_535,
+                    min: 1,
+                    max: 65_535,
                 },
                 "16",
             ),
@@ -85,21 +87,14 @@
             Field::optional("identity_window_ms", MILLISECONDS, "600000"),
             Field::optional("worker_lease_ms", MILLISECONDS, "10000"),
             Field::optional("worker_poll_ms", MILLISECONDS, "1000"),
-            Field::optional(
-                "retry_permille",
-                Value::Whole {
-                    least: 0,
-                    most: 1_000,
-                },
-                "100",
-            ),
+            Field::optional("retry_permille", Value::Whole { min: 0, max: 1_000 }, "100"),
             Field::optional("waiting_per_slot", COUNT, "2"),
             Field::optional("carry_ms", MILLISECONDS, "600000"),
         ],
     },
 ];
 
-/// Where the process at one seat is reached.
+/// Addresses of the process at one seat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeatSettings {
     /// Its number.
@@ -108,11 +103,11 @@
     pub name: Box<str>,
     /// Its failure domain.
     pub failure_domain: Box<str>,
-    /// Where callers reach it.
+    /// Address at which it serves callers.
     pub caller_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address at which it serves operators.
     pub operator_address: SocketAddr,
-    /// Where other entry hosts reach it.
+    /// Address at which it accepts connections of other entry hosts.
     pub peer_address: SocketAddr,
 }
 
@@ -121,7 +116,7 @@
 pub struct Settings {
     /// Name that all entry hosts of one cluster share.
     pub cluster: Box<str>,
-    /// Its own seat, an index into `seats`.
+    /// Index of its own seat in `seats`.
     pub own: usize,
     /// All seats, in the order of their numbers.
     pub seats: Vec<SeatSettings>,
@@ -129,54 +124,55 @@
     pub log_url: Box<str>,
     /// URL of the platform's list of hosts.
     pub host_list_url: Box<str>,
-    /// `readable`, `json` or `off`.
+    /// Style of the log: `readable`, `json` or `off`.
     pub log_style: Box<str>,
-    /// Threads that serve callers, the most requests in flight.
+    /// Number of threads that serve callers, which is also the largest number of requests
+    /// in flight.
     pub caller_threads: usize,
-    /// Connections of callers that may be open at a time.
+    /// Largest number of open connections of callers.
     pub caller_connections: usize,
-    /// Threads that call workers.
+    /// Number of threads that call workers.
     pub worker_threads: usize,
-    /// Largest request that is accepted.
+    /// Largest request body that is accepted.
     pub request_max_bytes: u64,
-    /// How long a caller may take to send its request.
+    /// Time in which a caller must send the body of its request.
     pub caller_timeout_ms: u64,
-    /// How long a call to the platform may take.
+    /// Timeout of a call to the platform.
     pub platform_timeout_ms: u64,
-    /// Time between two looks at the platform's list of hosts.
+    /// Time between two reads of the platform's list of hosts.
     pub hosts_poll_ms: u64,
-    /// Events kept for the time line.
+    /// Number of events retained for the timeline.
     pub events_kept: usize,
-    /// Times and bounds of the decisions.
+    /// Times and limits of the node.
     pub limits: Limits,
 }
 
 impl Settings {
-    /// Lists the seats in the order in which they vote: one of each failure domain
-    /// in turn, so that losing a failure domain does not lose the majority.
+    /// Returns the seats in the order in which they become voters: one of each failure
+    /// domain in turn, so that the loss of one failure domain leaves a majority.
     pub fn seats_by_vote(&self) -> Vec<Seat> {
-        let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut seats_by_domain: BTreeMap<&str, usize> = BTreeMap::new();
         let mut order = Vec::new();
         for seat in &self.seats {
-            let turn = taken.entry(&seat.failure_domain).or_default();
-            order.push((*turn, seat.seat));
-            *turn += 1;
+            let round = seats_by_domain.entry(&seat.failure_domain).or_default();
+            order.push((*round, seat.seat));
+            *round += 1;
         }
         order.sort_unstable();
         order.into_iter().map(|(_, seat)| seat).collect()
     }
 
-    /// Gives the daemon's own seat.
+    /// Returns the daemon's own seat.
     pub fn own(&self) -> &SeatSettings {
         &self.seats[self.own]
     }
 }
 
-/// Reads and checks settings; `file` only names them in faults.
+/// Reads and checks settings from `text`; `file` is the name that faults show.
 ///
 /// # Errors
 ///
-/// All faults at once, in the order of their lines.
+/// All faults of the settings, in the order of their lines.
 pub fn load(file: &str, text: &str) -> Result<Settings, Faults> {
     let mut faults = Faults::new(file);
     let sections = read(text, SCHEMA, &mut faults);
@@ -189,13 +185,13 @@
     seats.sort_by_key(|(_, seat)| seat.seat);
     for pair in seats.windows(2) {
         if pair[0].1.seat == pair[1].1.seat {
-            let wrong = format!(
+            let problem = format!(
                 "seats `{}` and `{}` share a number",
                 pair[0].1.name, pair[1].1.name
             );
             faults.add(
                 pair[1].0,
-                wrong,
+                problem,
                 "Give each seat a number of its own, for good.",
             );
         }
@@ -212,19 +208,19 @@
     let own_name = text_of(daemon, "seat");
     let own = seats.iter().position(|seat| seat.name == own_name);
     if own.is_none() {
-        let wrong = format!("`seat = {own_name}` names no seat");
+        let problem = format!("`seat = {own_name}` names no seat");
         faults.add(
             daemon.line_of("seat"),
-            wrong,
+            problem,
             format!("Add a section `[seat {own_name}]`."),
         );
     }
     for key in ["log_url", "host_list_url"] {
         if !text_of(daemon, key).starts_with("http://") && daemon.values.contains_key(key) {
-            let wrong = format!("`{key}` is no URL of the platform");
+            let problem = format!("`{key}` is not a URL of the platform");
             faults.add(
                 daemon.line_of(key),
-                wrong,
+                problem,
                 "Write it as `http://ADDRESS:PORT`.",
             );
         }
@@ -239,8 +235,8 @@
         let line = sections
             .get(&("limits".into(), "".into()))
             .map_or(1, |section| section.line);
-        let wrong = "`lease_ms` and `suspect_ms` must be at least twice `heartbeat_ms`";
-        faults.add(line, wrong, "Raise them or lower `heartbeat_ms`.");
+        let problem = "`lease_ms` and `suspect_ms` must be at least twice `heartbeat_ms`";
+        faults.add(line, problem, "Raise them or lower `heartbeat_ms`.");
     }
     let Some(own) = own.filter(|_| faults.is_empty()) else {
         return Err(faults);
@@ -286,11 +282,11 @@
         let text = text_of(section, key);
         let parsed: Result<SocketAddr, _> = text.parse();
         if parsed.is_err() && !text.is_empty() {
-            let wrong = format!("`{key} = {text}` is no address");
+            let problem = format!("`{key} = {text}` is not an IP address and port");
             faults.add(
                 section.line_of(key),
-                wrong,
-                "Write an IP number and a port, such as 10.0.0.1:8080.",
+                problem,
+                "Write an IP address and a port, such as 10.0.0.1:8080.",
             );
         }
         parsed.ok()
--- a/crates/inventory/src/build.rs
+++ b/crates/inventory/src/build.rs
@@ -1,4 +1,4 @@
-//! Sections become a typed, checked inventory.
+//! Builds a typed, checked inventory from sections.
 
 use crate::check::check;
 use crate::fault::Faults;
@@ -10,29 +10,29 @@
 use crate::model::Service;
 use crate::model::Team;
 use crate::model::Upstream;
-use crate::schema::Kind;
+use crate::schema::InventorySchema;
 use crate::sections::Section;
 use crate::sections::Sections;
 use crate::sections::millicores;
 use crate::sections::read;
 
-/// Reads and checks an inventory; `file` only names it in faults.
+/// Reads and checks an inventory from `text`; `file` is the name that faults show.
 ///
 /// # Errors
 ///
-/// All faults at once, in the order of their lines.
+/// All faults of the inventory, in the order of their lines.
 pub fn load(file: &str, text: &str) -> Result<Inventory, Faults> {
     load_sections(file, text).map(|(_, inventory)| inventory)
 }
 
-/// Does as [`load`] and also gives the sections, for comparing and publishing.
+/// Like [`load`], but also returns the sections, which are compared and published.
 ///
 /// # Errors
 ///
-/// All faults at once, in the order of their lines.
+/// All faults of the inventory, in the order of their lines.
 pub fn load_sections(file: &str, text: &str) -> Result<(Sections, Inventory), Faults> {
     let mut faults = Faults::new(file);
-    let sections = read(text, Kind::ALL, &mut faults);
+    let sections = read(text, InventorySchema::SECTIONS, &mut faults);
     if !faults.is_empty() {
         return Err(faults);
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Builds the typed inventory from sections whose shape is already checked.
+/// Builds the typed inventory from sections whose keys and values are already checked.
 pub(crate) fn build(sections: &Sections) -> Inventory {
     let mut inventory = Inventory::default();
     for ((kind, name), section) in sections {
@@ -78,7 +78,7 @@
     value.unwrap_or(default)
 }
 
-fn need(section: &Section) -> Resources {
+fn resources(section: &Section) -> Resources {
     Resources {
         millicores: millicores(&text(section, "cores")).unwrap_or(0),
         memory_mb: number(section, "memory_mb", 0) as u32,
@@ -90,14 +90,14 @@
     Host {
         failure_domain: text(section, "failure_domain"),
         rack: text(section, "rack"),
-        need: need(section),
+        capacity: resources(section),
     }
 }
 
 fn service(section: &Section) -> Service {
     Service {
         team: text(section, "team"),
-        need: need(section),
+        need: resources(section),
         slots: number(section, "slots", 8) as u32,
         connections: number(section, "connections", 64) as u32,
         timeout_ms: number(section, "timeout_ms", 2_000),
@@ -116,7 +116,7 @@
     const MS_PER_S: u64 = 1_000;
     Job {
         team: text(section, "team"),
-        need: need(section),
+        need: resources(section),
         run_time_ms: number(section, "run_time_s", 60) * MS_PER_S,
         urgent: false,
         never_twice: false,
@@ -145,7 +145,7 @@
         }
         "quota" => {
             if let Some(team) = inventory.teams.get_mut(&text(section, "team")) {
-                team.quota = Some(need(section));
+                team.quota = Some(resources(section));
             }
         }
         _ => {}
--- a/crates/inventory/src/check.rs
+++ b/crates/inventory/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks between sections: references, rules and what can never run.
+//! Checks that need several sections: references, rules, and jobs that can never run.
 
 use crate::fault::Faults;
 use crate::model::Inventory;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 
-/// Adds every fault that only shows when sections are read together.
+/// Adds the faults that no section has by itself.
 pub(crate) fn check(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
     check_references(sections, inventory, faults);
     check_rules(sections, inventory, faults);
@@ -16,8 +16,8 @@
     check_jobs(sections, inventory, faults);
 }
 
-/// Tells whether something is listed; looks into the typed inventory, since looking
-/// up a section would copy both words.
+/// Returns whether the inventory lists `name`. This searches the typed inventory, since the
+/// key of a section would need copies of both strings.
 fn is_known(inventory: &Inventory, kind: &str, name: &str) -> bool {
     match kind {
         "failure-domain" => inventory.failure_domains.contains(name),
@@ -47,16 +47,16 @@
             }
             let names = sections.keys().filter(|(kind, _)| &**kind == *target);
             let remedy = match closest(value, names.map(|(_, name)| &**name)) {
-                Some(near) => format!("Did you mean `{near}`?"),
+                Some(suggestion) => format!("Did you mean `{suggestion}`?"),
                 None => format!("Add a section `[{target} {value}]` or correct the name."),
             };
-            let wrong = format!("{kind} `{name}` names {target} `{value}`, which is not listed");
-            faults.add(section.line_of(key), wrong, remedy);
+            let problem = format!("{kind} `{name}` names {target} `{value}`, which is not listed");
+            faults.add(section.line_of(key), problem, remedy);
         }
     }
 }
 
-/// Keys that each kind of rule needs; all others are refused.
+/// Kinds of rules, each with its required and its optional keys; other keys are faults.
 const RULE_KEYS: &[(&str, &[&str], &[&str])] = &[
     ("may-share", &["service", "job"], &[]),
     ("never-share", &["service", "job"], &[]),
@@ -68,11 +68,11 @@
     ("evacuate", &["failure_domain"], &[]),
 ];
 
-/// A service and a job that a rule speaks of.
-type Pair = (Box<str>, Box<str>);
+/// Names of the service and the job of a rule.
+type ServiceAndJob = (Box<str>, Box<str>);
 
 fn check_rules(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
-    let mut shares: BTreeMap<Pair, (Box<str>, Box<str>)> = BTreeMap::new();
+    let mut sharing_rules: BTreeMap<ServiceAndJob, (Box<str>, Box<str>)> = BTreeMap::new();
     let mut quotas: BTreeMap<Box<str>, Box<str>> = BTreeMap::new();
     for ((section_kind, name), section) in sections {
         if &**section_kind != "rule" {
@@ -84,7 +84,7 @@
         match &*kind {
             "may-share" | "never-share" => {
                 let pair = (value("service"), value("job"));
-                if let Some((other, other_kind)) = shares.get(&pair)
+                if let Some((other, other_kind)) = sharing_rules.get(&pair)
                     && *other_kind != kind
                 {
                     faults.add(
@@ -93,7 +93,7 @@
                         "Remove one of the two.",
                     );
                 }
-                shares.insert(pair, (name.clone(), kind));
+                sharing_rules.insert(pair, (name.clone(), kind));
             }
             "quota" => {
                 if let Some(other) = quotas.insert(value("team"), name.clone()) {
@@ -111,10 +111,11 @@
 }
 
 fn check_rule_keys(name: &str, kind: &str, section: &Section, faults: &mut Faults) {
-    let Some((_, needed, allowed)) = RULE_KEYS.iter().find(|(known, _, _)| *known == kind) else {
+    let Some((_, required, optional)) = RULE_KEYS.iter().find(|(known, _, _)| *known == kind)
+    else {
         return;
     };
-    for key in *needed {
+    for key in *required {
         if !section.values.contains_key(*key) {
             faults.add(
                 section.line,
@@ -124,7 +125,7 @@
         }
     }
     for key in section.values.keys() {
-        if &**key == "kind" || needed.contains(&&**key) || allowed.contains(&&**key) {
+        if &**key == "kind" || required.contains(&&**key) || optional.contains(&&**key) {
             continue;
         }
         faults.add(
@@ -138,7 +139,7 @@
 fn check_spread(name: &str, section: &Section, inventory: &Inventory, faults: &mut Faults) {
     let service = section.values.get("service").cloned().unwrap_or_default();
     let value = section.values.get("failure_domains");
-    let wanted: usize = value.and_then(|text| text.parse().ok()).unwrap_or(2);
+    let required: usize = value.and_then(|text| text.parse().ok()).unwrap_or(2);
     let mut domains = BTreeSet::new();
     for upstream in inventory.upstreams.values() {
         if upstream.service != service {
@@ -148,11 +149,11 @@
             domains.insert(host.failure_domain.clone());
         }
     }
-    if domains.len() < wanted {
+    if domains.len() < required {
         faults.add(
             section.line,
             format!(
-                "rule `{name}` spreads service `{service}` over {wanted} failure domains, but its upstreams stand in {}",
+                "rule `{name}` spreads service `{service}` over {required} failure domains, but its upstreams are in {}",
                 domains.len()
             ),
             "List upstreams on hosts of further failure domains or lower `failure_domains`.",
@@ -167,7 +168,7 @@
             let section = sections.get(&("host".into(), name.clone()));
             section.map_or(0, |section| section.line_of(key))
         };
-        if !inventory.reserved(name).fits(host.need) {
+        if !inventory.reserved(name).fits(host.capacity) {
             faults.add(
                 line_of(""),
                 format!("the services on host `{name}` need more than the host has"),
@@ -178,7 +179,7 @@
         if **domain != *host.failure_domain {
             faults.add(
                 line_of("rack"),
-                format!("rack `{}` stands in two failure domains", host.rack),
+                format!("rack `{}` is listed in two failure domains", host.rack),
                 "Give each rack a name of its own.",
             );
         }
@@ -187,7 +188,7 @@
 
 fn check_jobs(sections: &Sections, inventory: &Inventory, faults: &mut Faults) {
     for (name, job) in &inventory.jobs {
-        let Some(reason) = inventory.never_runs(name, job) else {
+        let Some(reason) = inventory.unplaceable_reason(name, job) else {
             continue;
         };
         faults.add(
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: runs tasks under the lease of whoever holds the highest token.
+//! A worker: it runs tasks under the lease of the caller with the highest fencing token.
 
 use goldcrestway_platform::WorkerOrder;
 use goldcrestway_platform::WorkerReply;
@@ -6,8 +6,9 @@
 use goldcrestway_platform::WorkerTask;
 use std::collections::VecDeque;
 
-/// Listings whose times are remembered.
-const LISTINGS: usize = 64;
+/// Maximum number of listings whose times are retained. A lease counts from the time of the listing
+/// that a call acknowledges.
+const MAX_LISTINGS: usize = 64;
 
 #[derive(Debug, Clone)]
 struct TaskState {
@@ -17,68 +18,68 @@
     run_time_ms: u64,
 }
 
-/// One stretch of a task's running, as the verdict sees it.
+/// One run of a task, as recorded for checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskRun {
     /// Identity of the job.
     pub id: String,
     /// Number of the attempt.
     pub attempt: u32,
-    /// When it began.
-    pub from_ms: u64,
-    /// When it ended, if it has.
-    pub to_ms: Option<u64>,
-    /// Whether the job finished then.
+    /// Start time, in milliseconds.
+    pub started_ms: u64,
+    /// End time, in milliseconds, if the run has ended.
+    pub ended_ms: Option<u64>,
+    /// Whether the run ended because the job finished.
     pub is_finished: bool,
-    /// When an answer first told of that.
-    pub heard_ms: Option<u64>,
-    /// What it used.
+    /// Time of the first answer that reported that the job finished, in milliseconds.
+    pub reported_ms: Option<u64>,
+    /// The order that started the run, with its resources.
     pub order: WorkerOrder,
 }
 
-/// One worker.
+/// The state of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerState {
-    /// What it holds beside its services: millicores, megabytes, accelerators.
-    pub room: (u32, u32, u32),
-    /// How long each job runs, in milliseconds.
+    /// Resources that its services leave: millicores, megabytes of memory, accelerators.
+    pub resources: (u32, u32, u32),
+    /// Run time of each job, in milliseconds.
     pub run_time_ms: u64,
-    /// Whether everything it starts fails.
+    /// Whether all tasks that it runs fail.
     pub fails_all: bool,
-    /// Slowdown of its services, as measured late.
+    /// Slowdown of its services in thousandths, which is measured with a delay.
     pub slowdown_permille: u32,
     token: u64,
-    number: u64,
+    last_listing: u64,
     listings: VecDeque<(u64, u64)>,
     lease_until_ms: u64,
     tasks: Vec<TaskState>,
     now_ms: u64,
-    /// All stretches of running so far.
+    /// All runs so far.
     pub runs: Vec<TaskRun>,
-    /// Orders to start that it had no room for.
-    pub refusals: u32,
+    /// Number of orders to start that exceeded its free resources.
+    pub refused_starts: u32,
 }
 
 impl WorkerState {
-    /// Makes an idle worker whose jobs run for `run_time_ms`.
-    pub fn new(room: (u32, u32, u32), run_time_ms: u64) -> Self {
+    /// Creates an idle worker whose jobs run for `run_time_ms`.
+    pub fn new(resources: (u32, u32, u32), run_time_ms: u64) -> Self {
         Self {
-            room,
+            resources,
             run_time_ms,
             fails_all: false,
             slowdown_permille: 0,
             token: 0,
-            number: 0,
+            last_listing: 0,
             listings: VecDeque::new(),
             lease_until_ms: 0,
             tasks: Vec::new(),
             now_ms: 0,
             runs: Vec::new(),
-            refusals: 0,
+            refused_starts: 0,
         }
     }
 
-    /// Moves time on: tasks progress, finish, or stop because the lease lapsed.
+    /// Advances the time. Tasks progress, finish, or end because the lease has expired.
     pub fn advance(&mut self, now_ms: u64) {
         let until_ms = now_ms.min(self.lease_until_ms);
         let passed_ms = until_ms.saturating_sub(self.now_ms);
@@ -104,20 +105,20 @@
         self.now_ms = self.now_ms.max(now_ms);
     }
 
-    /// Tells whether a job runs there whose name within its team begins so.
+    /// Returns whether the worker runs a job whose name within its team starts with `prefix`.
     pub fn runs_job(&self, prefix: &str) -> bool {
-        let is_so = |id: &str| {
+        let has_prefix = |id: &str| {
             id.rsplit('/')
                 .next()
                 .is_some_and(|name| name.starts_with(prefix))
         };
         self.tasks
             .iter()
-            .any(|task| task.state == "running" && is_so(&task.order.id))
+            .any(|task| task.state == "running" && has_prefix(&task.order.id))
     }
 
-    /// The host dies at `now_ms` and comes back empty.
-    pub fn die(&mut self, now_ms: u64) {
+    /// Crashes the worker at `now_ms`. It restarts at once without tasks.
+    pub fn crash(&mut self, now_ms: u64) {
         self.advance(now_ms);
         for task in self.tasks.iter().filter(|task| task.state == "running") {
             end_run(&mut self.runs, &task.order, now_ms, false);
@@ -127,8 +128,8 @@
         self.lease_until_ms = 0;
     }
 
-    /// Takes a call; `None` refuses its token.
-    pub fn call(&mut self, now_ms: u64, call: &WorkerRequest) -> Option<WorkerReply> {
+    /// Handles a call. Returns `None` if its fencing token is outdated.
+    pub fn handle_call(&mut self, now_ms: u64, call: &WorkerRequest) -> Option<WorkerReply> {
         self.advance(now_ms);
         if call.token < self.token {
             return None;
@@ -144,22 +145,22 @@
             self.lease_until_ms = self.lease_until_ms.max(listed_ms + call.lease_ms);
             self.apply(now_ms, call);
         }
-        self.number += 1;
-        self.listings.push_back((self.number, now_ms));
-        if self.listings.len() > LISTINGS {
+        self.last_listing += 1;
+        self.listings.push_back((self.last_listing, now_ms));
+        if self.listings.len() > MAX_LISTINGS {
             self.listings.pop_front();
         }
         Some(self.reply())
     }
 
-    /// Notes that the answer to the latest call arrives, so that the ends it tells
-    /// of are known from now on.
-    pub fn note_heard(&mut self) {
+    /// Records that the answer to the latest call arrives, which reports the jobs that have
+    /// finished.
+    pub fn record_reported_exits(&mut self) {
         for task in self.tasks.iter().filter(|task| task.state == "finished") {
-            let same =
+            let is_same =
                 |run: &&mut TaskRun| run.id == task.order.id && run.attempt == task.order.attempt;
-            if let Some(run) = self.runs.iter_mut().find(same) {
-                run.heard_ms.get_or_insert(self.now_ms);
+            if let Some(run) = self.runs.iter_mut().find(is_same) {
+                run.reported_ms.get_or_insert(self.now_ms);
             }
         }
     }
@@ -184,9 +185,9 @@
     }
 
     fn start(&mut self, now_ms: u64, order: &WorkerOrder) {
-        let same =
+        let is_same =
             |task: &TaskState| task.order.id == order.id && task.order.attempt == order.attempt;
-        if self.tasks.iter().any(same) {
+        if self.tasks.iter().any(is_same) {
             return;
         }
         let (mut cores, mut memory, mut accelerators) =
@@ -196,8 +197,10 @@
             memory += task.order.memory_mb;
             accelerators += task.order.accelerators;
         }
-        let fits = cores <= self.room.0 && memory <= self.room.1 && accelerators <= self.room.2;
-        self.refusals += u32::from(!fits);
+        let fits = cores <= self.resources.0
+            && memory <= self.resources.1
+            && accelerators <= self.resources.2;
+        self.refused_starts += u32::from(!fits);
         let state = if fits { "running" } else { "refused" };
         self.tasks.push(TaskState {
             order: order.clone(),
@@ -209,10 +212,10 @@
             self.runs.push(TaskRun {
                 id: order.id.clone(),
                 attempt: order.attempt,
-                from_ms: now_ms,
-                to_ms: None,
+                started_ms: now_ms,
+                ended_ms: None,
                 is_finished: false,
-                heard_ms: None,
+                reported_ms: None,
                 order: order.clone(),
             });
         }
@@ -225,7 +228,7 @@
             checkpoint: task.progress_ms,
         });
         WorkerReply {
-            number: self.number,
+            number: self.last_listing,
             tasks: tasks.collect(),
             service_slowdown_permille: self.slowdown_permille,
         }
@@ -233,11 +236,11 @@
 }
 
 fn end_run(runs: &mut [TaskRun], order: &WorkerOrder, at_ms: u64, is_finished: bool) {
-    let same = |run: &&mut TaskRun| run.id == order.id && run.attempt == order.attempt;
-    if let Some(run) = runs.iter_mut().rev().find(same)
-        && run.to_ms.is_none()
+    let is_same = |run: &&mut TaskRun| run.id == order.id && run.attempt == order.attempt;
+    if let Some(run) = runs.iter_mut().rev().find(is_same)
+        && run.ended_ms.is_none()
     {
-        run.to_ms = Some(at_ms);
+        run.ended_ms = Some(at_ms);
         run.is_finished = is_finished;
     }
 }
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,9 +1,9 @@
-//! `drain`: empty a host.
+//! `drain`: moves the work of a host elsewhere.
 
-use super::shared::Emptying;
-use super::shared::in_force;
-use super::shared::switch_emptying;
-use crate::entry::Entries;
+use super::shared::ExclusionRule;
+use super::shared::fetch_config;
+use super::shared::set_exclusion;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 
@@ -12,39 +12,40 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Arguments {
-    /// the host
+    /// name of the host
     #[argh(positional)]
     host: String,
-    /// let the host take work again
+    /// end the drain: the host gets new work again
     #[argh(switch)]
     undo: bool,
-    /// who drains; default: the name of the user
+    /// name recorded as author; default: the name of the user
     #[argh(option)]
     author: Option<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// Publishes or removes the rule.
+/// Publishes or removes the drain rule.
 pub(crate) fn execute(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     let host = &arguments.host;
-    let rule = Emptying {
+    let rule = ExclusionRule {
         kind: "drain",
         key: "host",
-        what: "host",
+        object: "host",
         name: host,
-        emptied: "is drained",
+        active_text: "is drained",
         is_listed: current.inventory.hosts.contains_key(host.as_str()),
-        is_emptied: current.inventory.drains(host),
+        is_active: current.inventory.drains(host),
     };
     let (undo, author) = (arguments.undo, &arguments.author);
-    if let Some(version) = switch_emptying(&entries, current.version, &rule, undo, author)? {
+    if let Some(version) = set_exclusion(&entry_hosts, current.version, &rule, undo, author)? {
         println!("version {version} is in force; follow with `goldcrestway explain {host}`");
     }
     Ok(())
--- a/src/cmd/evacuations.rs
+++ b/src/cmd/evacuations.rs
@@ -1,31 +1,33 @@
-//! `evacuations`: which failure domains are evacuated.
+//! `evacuations`: lists the evacuated failure domains.
 
-use super::shared::in_force;
-use crate::entry::Entries;
+use super::shared::fetch_config;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use argh::FromArgs;
 use serde::Deserialize;
 
-/// Show which failure domains are evacuated, and by which version of the rules.
+/// Show which failure domains are evacuated, and since which version of the rules.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "evacuations")]
 pub(crate) struct Arguments {
-    /// an entry host on the users' platform, as ADDRESS:PORT where it serves its
-    /// metrics; each tells what it goes by
+    /// metrics address of an entry host on the users' platform, as ADDRESS:PORT; may be
+    /// repeated; shows the rules that each host applies
     #[argh(option)]
     monitoring: Vec<String>,
-    /// an entry host, as ADDRESS:PORT; default 127.0.0.1:8081
+    /// operator address of an entry host, as ADDRESS:PORT; may be repeated; default
+    /// 127.0.0.1:8081
     #[argh(option)]
     entry: Vec<String>,
-    /// settings of a daemon, from which all entry hosts are taken
+    /// settings file of a daemon; the command uses all entry hosts that it lists
     #[argh(option)]
     settings: Option<String>,
 }
 
-/// What a host on the users' platform goes by.
+/// Evacuations that a host on the users' platform applies.
 #[derive(Debug, Deserialize)]
-struct Standing {
-    /// Time since it was certain that no newer rules were there; none if it has read none.
+struct EvacuationState {
+    /// Time in milliseconds since it last knew that its rules were the newest; `None` if it
+    /// has not read any.
     rules_age_ms: Option<u64>,
     evacuated: Vec<Evacuated>,
 }
@@ -41,15 +43,16 @@
     if arguments.monitoring.is_empty() {
         return show_inventory(arguments);
     }
-    let entries = Entries::new(&arguments.monitoring, &None)?;
-    let all: Vec<(String, Standing)> = entries.get_all("asking for evacuations", "/evacuations")?;
-    for (peer, standing) in all {
-        let age = match standing.rules_age_ms {
+    let entry_hosts = EntryHosts::new(&arguments.monitoring, &None)?;
+    let all: Vec<(String, EvacuationState)> =
+        entry_hosts.get_all("asking for evacuations", "/evacuations")?;
+    for (address, state) in all {
+        let age = match state.rules_age_ms {
             Some(age_ms) => format!("rules read {age_ms} ms ago"),
             None => "no rules read yet".into(),
         };
-        println!("{peer} ({age})");
-        for row in standing.evacuated {
+        println!("{address} ({age})");
+        for row in state.evacuated {
             let (domain, version) = (row.failure_domain, row.since_version);
             println!("    {domain} is evacuated since version {version}");
         }
@@ -58,8 +61,8 @@
 }
 
 fn show_inventory(arguments: &Arguments) -> Result<(), Fault> {
-    let entries = Entries::new(&arguments.entry, &arguments.settings)?;
-    let current = in_force(&entries)?;
+    let entry_hosts = EntryHosts::new(&arguments.entry, &arguments.settings)?;
+    let current = fetch_config(&entry_hosts)?;
     let version = current.version;
     println!("version {version} is in force");
     for domain in current.inventory.evacuated() {
--- a/src/cmd/shared.rs
+++ b/src/cmd/shared.rs
@@ -1,12 +1,12 @@
-//! What several commands need: the configuration in force, changes in words,
-//! publishing.
+//! Functions that several commands share: they fetch the configuration in force, format
+//! changes and publish them.
 
-use crate::entry::Entries;
+use crate::entry_hosts::EntryHosts;
 use crate::fault::Fault;
 use goldcrestway_core::hash;
 use goldcrestway_daemon::PublishReply;
 use goldcrestway_daemon::PublishRequest;
-use goldcrestway_daemon::changes_out;
+use goldcrestway_daemon::changes_to_wire;
 use goldcrestway_inventory::Change;
 use goldcrestway_inventory::Inventory;
 use goldcrestway_inventory::Sections;
@@ -15,14 +15,14 @@
 use std::collections::BTreeMap;
 
 /// The configuration in force.
-pub(crate) struct InForce {
-    /// Its version; 0 before the first one.
+pub(crate) struct CurrentConfig {
+    /// Its version; 0 before any was published.
     pub(crate) version: u64,
     /// Who published it.
     pub(crate) author: String,
     /// Its sections.
     pub(crate) sections: Sections,
-    /// The same, typed.
+    /// The inventory that the sections describe.
     pub(crate) inventory: Inventory,
 }
 
@@ -33,19 +33,23 @@
     inventory: String,
 }
 
-/// Gets the configuration in force.
-pub(crate) fn in_force(entries: &Entries) -> Result<InForce, Fault> {
+/// Fetches the configuration in force.
+///
+/// # Errors
+///
+/// No entry host answers, or the response can't be read.
+pub(crate) fn fetch_config(entry_hosts: &EntryHosts) -> Result<CurrentConfig, Fault> {
     const STEP: &str = "getting the configuration in force";
-    let answered = entries.get(STEP, "/v1/config")?;
-    let Ok(reply) = serde_json::from_str::<ConfigReply>(&answered.body) else {
+    let response = entry_hosts.get(STEP, "/v1/config")?;
+    let Ok(reply) = serde_json::from_str::<ConfigReply>(&response.body) else {
         return Err(Fault::Refused(
             STEP,
-            answered.peer.as_str().into(),
-            answered.detail(),
+            response.address.as_str().into(),
+            response.detail(),
         ));
     };
     let (sections, inventory) = load_sections("the configuration in force", &reply.inventory)?;
-    Ok(InForce {
+    Ok(CurrentConfig {
         version: reply.version,
         author: reply.author,
         sections,
@@ -53,8 +57,8 @@
     })
 }
 
-/// Writes changes as lines that begin with `+`, `-` or `~`.
-pub(crate) fn describe(old: &Sections, changes: &[Change]) -> String {
+/// Formats changes as lines that begin with `+`, `-` or `~`, followed by the changed keys.
+pub(crate) fn format_changes(old: &Sections, changes: &[Change]) -> String {
     let mut text = String::new();
     for change in changes {
         let before = old.get(&(change.kind.clone(), change.name.clone()));
@@ -75,19 +79,24 @@
     text
 }
 
-/// Publishes changes of `base` and gives the version that is now in force.
+/// Publishes changes to version `base` and returns the version that is then in force.
+///
+/// # Errors
+///
+/// The change was refused, with `advice` added if another version was first, or its
+/// outcome is unknown.
 pub(crate) fn publish(
-    entries: &Entries,
+    entry_hosts: &EntryHosts,
     base: u64,
     author: &str,
     changes: &[Change],
     advice: &str,
 ) -> Result<u64, Fault> {
     const STEP: &str = "publishing";
-    const OVERTAKEN: u16 = 409;
-    let sent = changes_out(changes);
-    // The identity follows from what is published, so that giving the same command
-    // again asks for the outcome and never publishes twice.
+    const CONFLICT: u16 = 409;
+    let sent = changes_to_wire(changes);
+    // The identity is derived from the content, so that a repeated command returns the
+    // outcome and never publishes twice.
     let content = serde_json::to_string(&sent).unwrap_or_default();
     let request = PublishRequest {
         base,
@@ -95,70 +104,72 @@
         author: author.into(),
         changes: sent,
     };
-    eprintln!("waiting until a majority of entry hosts has it in force (up to 15 s) ...");
-    let answered = entries.post(STEP, "/v1/config", &request)?;
-    if answered.status == 200
-        && let Ok(reply) = serde_json::from_str::<PublishReply>(&answered.body)
+    eprintln!("waiting until the change is in force at a majority of entry hosts (up to 15 s) ...");
+    let response = entry_hosts.post(STEP, "/v1/config", &request)?;
+    if response.status == 200
+        && let Ok(reply) = serde_json::from_str::<PublishReply>(&response.body)
     {
         return Ok(reply.version);
     }
-    let mut detail = answered.detail().to_string();
-    if answered.status == OVERTAKEN {
+    let mut detail = response.detail().to_string();
+    if response.status == CONFLICT {
         detail = format!("{detail} {advice}");
     }
     Err(Fault::Refused(
         STEP,
-        answered.peer.as_str().into(),
+        response.address.as_str().into(),
         detail.into(),
     ))
 }
 
-/// A rule that empties one listed object for as long as it stands.
-pub(crate) struct Emptying<'a> {
-    /// Kind of the rule, and what its name begins with.
+/// A rule that keeps work off one host or failure domain until the rule is removed.
+pub(crate) struct ExclusionRule<'a> {
+    /// Kind of the rule, which is also the prefix of its name.
     pub(crate) kind: &'a str,
     /// Key under which the rule names the object.
     pub(crate) key: &'a str,
-    /// What the object is, in words, and its name.
-    pub(crate) what: &'a str,
+    /// Kind of the object, in words.
+    pub(crate) object: &'a str,
+    /// Name of the object.
     pub(crate) name: &'a str,
-    /// What is said of an object that is emptied already.
-    pub(crate) emptied: &'a str,
-    /// The inventory in force lists the object, and has the rule.
+    /// State that is printed for an object that has the rule already.
+    pub(crate) active_text: &'a str,
+    /// Whether the inventory in force lists the object.
     pub(crate) is_listed: bool,
-    pub(crate) is_emptied: bool,
+    /// Whether the inventory in force has the rule.
+    pub(crate) is_active: bool,
 }
 
-/// Publishes the rule, or removes it to `undo` it, and gives the version that is then in force;
-/// `None` if nothing had to be done, which is said.
+/// Publishes the rule, or removes it with `undo`, and returns the version that is then in force;
+/// prints a message and returns `None` if there is nothing to do.
 ///
 /// # Errors
 ///
 /// The object is not listed, or the change was refused.
-pub(crate) fn switch_emptying(
-    entries: &Entries,
+pub(crate) fn set_exclusion(
+    entry_hosts: &EntryHosts,
     base: u64,
-    rule: &Emptying<'_>,
+    rule: &ExclusionRule<'_>,
     undo: bool,
     given_author: &Option<String>,
 ) -> Result<Option<u64>, Fault> {
-    let Emptying {
+    let ExclusionRule {
         kind,
         key,
-        what,
+        object,
         name,
-        emptied,
+        active_text,
         is_listed,
-        is_emptied,
+        is_active,
     } = *rule;
     if !is_listed {
         let detail = format!(
-            "the inventory in force lists no {what} `{name}`. Look with `goldcrestway get FILE`"
+            "the inventory in force lists no {object} `{name}`. List them with `goldcrestway get FILE`"
         );
-        return Err(Fault::Decide(detail.into()));
+        return Err(Fault::Declined(detail.into()));
     }
-    if is_emptied != undo {
-        let state = if undo { "takes work" } else { emptied };
+    if is_active != undo {
+        let state = if undo { "accepts work" } else { active_text };
         println!("nothing to do: {name} {state}");
         return Ok(None);
     }
@@ -168,11 +179,11 @@
         name: format!("{kind}-{name}").into(),
         values: (!undo).then_some(values),
     };
-    let advice = "Give the command again.";
-    publish(entries, base, &author(given_author), &[change], advice).map(Some)
+    let advice = "Run the command again.";
+    publish(entry_hosts, base, &author(given_author), &[change], advice).map(Some)
 }
 
-/// Names who publishes.
+/// Returns the given author, else the name of the user.
 pub(crate) fn author(given: &Option<String>) -> String {
     let from_system = || std::env::var("USER").ok();
     given
--- a/src/entry.rs
+++ b/src/entry_hosts.rs
@@ -1,4 +1,5 @@
-//! Talking to entry hosts: any of them serves any command.
+//! HTTP client of the entry hosts. Any entry host serves any command, so requests go to
+//! the first one that answers.
 
 use crate::fault::Fault;
 use crate::files;
@@ -6,27 +7,26 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// Where entry hosts are reached, as options that most commands share.
+/// Operator addresses of the entry hosts, from the options that most commands share.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Entries {
+pub(crate) struct EntryHosts {
     addresses: Vec<String>,
 }
 
-/// Where an entry host listens for operators unless options say otherwise.
-const DEFAULT_ENTRY: &str = "127.0.0.1:8081";
+/// Address of an entry host if no option gives one.
+const DEFAULT_ADDRESS: &str = "127.0.0.1:8081";
 
-/// What an entry host answered.
-pub(crate) struct Answered {
-    /// Its address.
-    pub(crate) peer: String,
-    /// HTTP status.
+/// Response of an entry host.
+pub(crate) struct HostResponse {
+    /// Address of the entry host.
+    pub(crate) address: String,
+    /// HTTP status code.
     pub(crate) status: u16,
-    /// Body.
     pub(crate) body: String,
 }
 
-impl Answered {
-    /// Gives the detail of problem details, or the body as it is.
+impl HostResponse {
+    /// Returns title and detail if the body has problem details, else the body.
     pub(crate) fn detail(&self) -> Box<str> {
         let value: Option<serde_json::Value> = serde_json::from_str(&self.body).ok();
         let part = |key: &str| {
@@ -40,10 +40,14 @@
     }
 }
 
-impl Entries {
-    /// Takes addresses from the options `--entry` and `--settings`.
-    pub(crate) fn new(entries: &[String], settings: &Option<String>) -> Result<Self, Fault> {
-        let mut addresses = entries.to_vec();
+impl EntryHosts {
+    /// Collects the addresses of the options `--entry` and `--settings`.
+    ///
+    /// # Errors
+    ///
+    /// The settings file can't be read or has faults.
+    pub(crate) fn new(given: &[String], settings: &Option<String>) -> Result<Self, Fault> {
+        let mut addresses = given.to_vec();
         if let Some(file) = settings {
             let settings = load_settings(file, &files::read(file)?)?;
             addresses.extend(
@@ -54,7 +58,7 @@
             );
         }
         if addresses.is_empty() {
-            addresses.push(DEFAULT_ENTRY.into());
+            addresses.push(DEFAULT_ADDRESS.into());
         }
         Ok(Self { addresses })
     }
@@ -68,19 +72,28 @@
             .new_agent()
     }
 
-    /// Asks the first entry host that answers.
-    pub(crate) fn get(&self, step: &'static str, path: &str) -> Result<Answered, Fault> {
+    /// Returns the response of the first entry host that answers.
+    ///
+    /// # Errors
+    ///
+    /// No entry host answers.
+    pub(crate) fn get(&self, step: &'static str, path: &str) -> Result<HostResponse, Fault> {
         let agent = Self::agent();
-        for peer in &self.addresses {
-            let sent = agent.get(format!("http://{peer}{path}")).call();
-            if let Some(answered) = answered(peer, sent) {
-                return Ok(answered);
+        for address in &self.addresses {
+            let sent = agent.get(format!("http://{address}{path}")).call();
+            if let Some(response) = read_response(address, sent) {
+                return Ok(response);
             }
         }
         Err(self.unreachable(step))
     }
 
-    /// Asks all entry hosts; those that do not answer are left out.
+    /// Returns the responses of all entry hosts, each with its address. Hosts that do not
+    /// answer are reported to standard error and left out.
+    ///
+    /// # Errors
+    ///
+    /// No entry host answers, or a response can't be read.
     pub(crate) fn get_all<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -88,19 +101,19 @@
     ) -> Result<Vec<(String, T)>, Fault> {
         let agent = Self::agent();
         let mut all = Vec::new();
-        for peer in &self.addresses {
-            let sent = agent.get(format!("http://{peer}{path}")).call();
-            let Some(answered) = answered(peer, sent) else {
-                eprintln!("no answer from {peer}; its part is missing below");
+        for address in &self.addresses {
+            let sent = agent.get(format!("http://{address}{path}")).call();
+            let Some(response) = read_response(address, sent) else {
+                eprintln!("no answer from {address}; its data is missing below");
                 continue;
             };
-            match serde_json::from_str(&answered.body) {
-                Ok(value) => all.push((peer.clone(), value)),
+            match serde_json::from_str(&response.body) {
+                Ok(value) => all.push((address.clone(), value)),
                 Err(_) => {
                     return Err(Fault::Refused(
                         step,
-                        peer.as_str().into(),
-                        answered.detail(),
+                        address.as_str().into(),
+                        response.detail(),
                     ));
                 }
             }
@@ -111,34 +124,40 @@
         }
     }
 
-    /// Sends to the first entry host that answers, then to the next ones while the
-    /// outcome is unknown. What is sent carries an identity, so that is safe.
+    /// Sends `body` to the first entry host that answers, and to the next ones while the
+    /// outcome is unknown. Sending it again is safe, as the body has an identity.
+    ///
+    /// # Errors
+    ///
+    /// No entry host answers, or none knows the outcome.
     pub(crate) fn post<T: serde::Serialize>(
         &self,
         step: &'static str,
         path: &str,
         body: &T,
-    ) -> Result<Answered, Fault> {
+    ) -> Result<HostResponse, Fault> {
         const UNKNOWN: u16 = 504;
         let agent = Self::agent();
         let mut unknown = None;
-        for peer in self
+        for address in self
             .addresses
             .iter()
             .cycle()
             .take(self.addresses.len().max(2))
         {
-            let sent = agent.post(format!("http://{peer}{path}")).send_json(body);
-            match answered(peer, sent) {
-                Some(answered) if answered.status == UNKNOWN => unknown = Some(answered),
-                Some(answered) => return Ok(answered),
+            let sent = agent
+                .post(format!("http://{address}{path}"))
+                .send_json(body);
+            match read_response(address, sent) {
+                Some(response) if response.status == UNKNOWN => unknown = Some(response),
+                Some(response) => return Ok(response),
                 None => {}
             }
         }
         match unknown {
             Some(last) => Err(Fault::Unknown(
                 step,
-                last.peer.as_str().into(),
+                last.address.as_str().into(),
                 last.detail(),
             )),
             None => Err(self.unreachable(step)),
@@ -150,21 +169,21 @@
     }
 }
 
-fn answered(
-    peer: &str,
+fn read_response(
+    address: &str,
     sent: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-) -> Option<Answered> {
-    const MOST_BYTES: u64 = 256 * 1024 * 1024;
+) -> Option<HostResponse> {
+    const MAX_BODY_BYTES: u64 = 256 * 1024 * 1024;
     let mut response = sent.ok()?;
     let status = response.status().as_u16();
     let body = response
         .body_mut()
         .with_config()
-        .limit(MOST_BYTES)
+        .limit(MAX_BODY_BYTES)
         .read_to_string()
         .ok()?;
-    Some(Answered {
-        peer: peer.into(),
+    Some(HostResponse {
+        address: address.into(),
         status,
         body,
     })
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,8 +1,8 @@
-//! Random sequences of faults against the real decisions, in virtual time.
+//! Random sequences of faults against real nodes, in virtual time.
 //!
-//! Each family draws at least a thousand sequences from a fixed seed and checks
-//! every promise after each. A failing sequence is shrunk and printed. Set
-//! `FAULT_SEQUENCES` for more.
+//! Each test runs a thousand sequences drawn from a fixed seed and checks all
+//! guarantees after each. A failing sequence is shrunk and printed. The environment
+//! variable `FAULT_SEQUENCES` sets another number of sequences.
 
 use crate::scenarios::SPA;
 use crate::scenarios::publish;
@@ -27,7 +27,7 @@
 use proptest::test_runner::TestRng;
 use proptest::test_runner::TestRunner;
 
-/// One thing that happens, after which some time passes.
+/// One step of a sequence: a fault, a repair, a request or a wait.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fault {
     Kill(u16),
@@ -35,8 +35,11 @@
     Stop(u16),
     Pause(u16),
     Resume(u16),
+    /// Drops all messages from the first seat to the second.
     Cut(u16, u16),
+    /// Cuts a seat off from the log.
     CutLog(u16),
+    /// Ends all cuts between seats and to the log.
     JoinAll,
     Log(LogMode),
     Send {
@@ -51,9 +54,12 @@
     },
     WorkerDies(u8),
     WorkerReturns(u8),
+    /// Drops all calls to a worker.
     WorkerCut(u8),
+    /// Ends the cut to a worker.
     WorkerJoined(u8),
     WorkerPauses(u8),
+    /// Resumes a paused worker.
     WorkerWakes(u8),
     WorkerLeaves(u8),
     Upstream(u8, UpstreamMode),
@@ -63,7 +69,9 @@
         base: u64,
         id: u8,
     },
+    /// Removes old records from the shared streams, as retention does.
     Expire,
+    /// Lets the given number of milliseconds pass.
     Wait(u64),
 }
 
@@ -73,7 +81,7 @@
     0..SEATS
 }
 
-fn hosts() -> BoxedStrategy<Fault> {
+fn host_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         1 => seat().prop_map(Fault::Kill),
         3 => seat().prop_map(Fault::Restart),
@@ -92,7 +100,7 @@
     .boxed()
 }
 
-fn requests() -> BoxedStrategy<Fault> {
+fn request_faults() -> BoxedStrategy<Fault> {
     let mode = prop_oneof![
         3 => Just(UpstreamMode::Answers),
         1 => Just(UpstreamMode::Fails),
@@ -108,7 +116,7 @@
     .boxed()
 }
 
-fn jobs() -> BoxedStrategy<Fault> {
+fn job_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         6 => (seat(), 0_u8..3, 0_u8..40).prop_map(|(via, kind, name)| Fault::Submit { via, kind, name }),
         1 => (1_u8..=9).prop_map(Fault::WorkerDies),
@@ -122,7 +130,7 @@
     .boxed()
 }
 
-fn operators() -> BoxedStrategy<Fault> {
+fn operator_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         6 => (seat(), 0_u64..6, 0_u8..8).prop_map(|(via, base, id)| Fault::Publish { via, base, id }),
         1 => Just(Fault::Expire),
@@ -130,8 +138,8 @@
     .boxed()
 }
 
-/// Planned stops and replacements while the log comes and goes.
-fn replacements() -> BoxedStrategy<Fault> {
+/// Planned stops and replacements of hosts while the log fails and recovers.
+fn replacement_faults() -> BoxedStrategy<Fault> {
     prop_oneof![
         3 => seat().prop_map(Fault::Stop),
         3 => seat().prop_map(Fault::Restart),
@@ -147,15 +155,15 @@
     .boxed()
 }
 
-/// Runs sequences drawn from two kinds of faults.
+/// Runs sequences of steps drawn from `first` and `second` with a fixed seed.
 fn run_family(seed: u8, first: BoxedStrategy<Fault>, second: BoxedStrategy<Fault>) {
-    const SEQUENCES: u32 = 1_000;
+    const DEFAULT_SEQUENCES: u32 = 1_000;
     const LENGTH: std::ops::Range<usize> = 4..24;
-    let wanted = std::env::var("FAULT_SEQUENCES")
+    let requested = std::env::var("FAULT_SEQUENCES")
         .ok()
         .and_then(|text| text.parse().ok());
     let config = Config {
-        cases: wanted.unwrap_or(SEQUENCES),
+        cases: requested.unwrap_or(DEFAULT_SEQUENCES),
         failure_persistence: None,
         max_shrink_iters: 400,
         ..Config::default()
@@ -163,43 +171,44 @@
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, random);
     let sequences = vec(prop_oneof![first, second], LENGTH);
-    let verdict = runner.run(&sequences, |faults| {
-        let broken = play(&faults);
-        match broken.is_empty() {
+    let result = runner.run(&sequences, |faults| {
+        let violations = run_sequence(&faults);
+        match violations.is_empty() {
             true => Ok(()),
-            false => Err(TestCaseError::fail(broken.join("; "))),
+            false => Err(TestCaseError::fail(violations.join("; "))),
         }
     });
-    if let Err(failure) = verdict {
+    if let Err(failure) = result {
         panic!("seed {seed}: {failure}");
     }
 }
 
-/// Plays a sequence, lets everything heal, and lists what broke.
-fn play(faults: &[Fault]) -> Vec<String> {
-    const READY_MS: u64 = 4_500;
-    const HEAL_MS: u64 = 14_000;
+/// Runs a sequence, ends all faults, waits for recovery, and returns the violated
+/// guarantees.
+fn run_sequence(faults: &[Fault]) -> Vec<String> {
+    const STARTUP_MS: u64 = 4_500;
+    const RECOVERY_MS: u64 = 14_000;
     let limits = Limits {
         carry_records: 20,
         ..Limits::default()
     };
     let mut world = usual_world(SEATS, limits, 1_500, 7);
-    world.run(READY_MS);
+    world.run(STARTUP_MS);
     publish(&mut world, Seat(0), "first", 0, &Sections::new(), SPA);
     world.run(2_000);
     for fault in faults {
-        inflict(&mut world, *fault);
+        inject_fault(&mut world, *fault);
         world.run(50);
     }
-    heal(&mut world);
-    world.run(HEAL_MS);
-    world.broken()
+    end_all_faults(&mut world);
+    world.run(RECOVERY_MS);
+    world.violations()
 }
 
-fn heal(world: &mut World) {
+fn end_all_faults(world: &mut World) {
     world.edges.log_mode = LogMode::Up;
     world.edges.log_cuts.clear();
-    world.cuts.clear();
+    world.cut_links.clear();
     for seat in 0..SEATS {
         world.pause(Seat(seat), false);
         if !world.runs(Seat(seat)) {
@@ -217,7 +226,7 @@
     }
 }
 
-fn inflict(world: &mut World, fault: Fault) {
+fn inject_fault(world: &mut World, fault: Fault) {
     let now_ms = world.now_ms;
     match fault {
         Fault::Kill(seat) => world.kill(Seat(seat)),
@@ -225,15 +234,15 @@
             world.kill(Seat(seat));
             world.start(Seat(seat));
         }
-        Fault::Stop(seat) => world.give(Seat(seat), goldcrestway_core::Event::Stop),
+        Fault::Stop(seat) => world.deliver(Seat(seat), goldcrestway_core::Event::Stop),
         Fault::Pause(seat) => world.pause(Seat(seat), true),
         Fault::Resume(seat) => world.pause(Seat(seat), false),
         Fault::Cut(one, other) => {
-            world.cuts.insert((Seat(one), Seat(other)));
+            world.cut_links.insert((Seat(one), Seat(other)));
         }
         Fault::CutLog(seat) => drop(world.edges.log_cuts.insert(Seat(seat))),
         Fault::JoinAll => {
-            world.cuts.clear();
+            world.cut_links.clear();
             world.edges.log_cuts.clear();
         }
         Fault::Log(mode) => world.edges.log_mode = mode,
@@ -243,8 +252,9 @@
             is_once,
         } => {
             let prefix = if is_once { "once" } else { "free" };
-            // An identity of a non-idempotent request may be repeated; others are
-            // each their own, as callers that may repeat freely need none.
+            // Identities of non-idempotent requests come from a small range, so that
+            // some are repeated. Idempotent requests need no identity and each gets
+            // a name of its own.
             let suffix = if is_once {
                 u64::from(identity)
             } else {
@@ -267,7 +277,7 @@
         }
         Fault::Wait(duration_ms) => world.run(duration_ms),
         Fault::WorkerWakes(number) => world.edges.wake_worker(now_ms, &format!("w{number}")),
-        _ => hurt_worker(world, fault),
+        _ => inject_worker_fault(world, fault),
     }
 }
 
@@ -277,10 +287,10 @@
         .edges
         .upstreams
         .get_mut(&*name)
-        .expect("such an instance")
+        .expect("the instance exists")
 }
 
-fn hurt_worker(world: &mut World, fault: Fault) {
+fn inject_worker_fault(world: &mut World, fault: Fault) {
     let now_ms = world.now_ms;
     let (Fault::WorkerDies(number)
     | Fault::WorkerReturns(number)
@@ -292,10 +302,14 @@
         return;
     };
     let name = format!("w{number}");
-    let worker = world.edges.workers.get_mut(&*name).expect("such a worker");
+    let worker = world
+        .edges
+        .workers
+        .get_mut(&*name)
+        .expect("the worker exists");
     match fault {
         Fault::WorkerDies(_) => {
-            worker.state.die(now_ms);
+            worker.state.crash(now_ms);
             worker.is_dead = true;
         }
         Fault::WorkerReturns(_) => worker.is_dead = false,
@@ -310,7 +324,7 @@
 }
 
 fn publish_change(world: &mut World, via: u16, base: u64, id: u8) {
-    let (old, _) = load_sections("inventory.ini", SPA).expect("the inventory is sound");
+    let (old, _) = load_sections("inventory.ini", SPA).expect("the inventory is valid");
     let text = format!(
         "{SPA}\n[rule quota-desk]\nkind = quota\nteam = desk\ncores = {}\nmemory_mb = 100000\n",
         40 + u32::from(id)
@@ -318,40 +332,57 @@
     publish(world, Seat(via), &format!("change{id}"), base, &old, &text);
 }
 
-/// Symptom: two members act for one cell. Sequence: hosts die, pause, lose links
-/// and the log in any order. Cause: ownership must outlive and survive them all.
+/// Guards against two members that act for one cell. Hosts die, pause and lose their
+/// connections to each other and to the log in any order; ownership must survive all
+/// of these faults and stay exclusive.
 #[test]
 fn ownership_is_exclusive_under_faults() {
-    run_family(1, hosts(), requests());
+    run_family(1, host_faults(), request_faults());
 }
 
-/// Symptom: a truck is sent twice, or "not run" is told of one that was sent.
-/// Sequence: callers repeat identities at other hosts while hosts and instances
-/// fail. Cause: the fate of an attempt must be told apart from hearsay.
+/// Guards against a non-idempotent request that runs twice (a truck is sent twice),
+/// and against the answer "not run" to one that has run. Callers repeat identities at
+/// other hosts while hosts and instances fail; an attempt whose outcome is unknown
+/// must not be treated as one that did not run.
 #[test]
 fn identities_run_at_most_once_under_faults() {
-    run_family(2, requests(), prop_oneof![hosts(), requests()].boxed());
+    run_family(
+        2,
+        request_faults(),
+        prop_oneof![host_faults(), request_faults()].boxed(),
+    );
 }
 
-/// Symptom: a job runs in two places, twice, or never. Sequence: workers and hosts
-/// die, pause, leave and lose links. Cause: each step must be recorded in order.
+/// Guards against a job that runs in two places at once, runs twice or never runs.
+/// Workers and hosts die, pause, leave and lose connections; each step of a job must
+/// be recorded in order.
 #[test]
 fn jobs_resume_once_under_faults() {
-    run_family(3, jobs(), prop_oneof![hosts(), jobs()].boxed());
+    run_family(
+        3,
+        job_faults(),
+        prop_oneof![host_faults(), job_faults()].boxed(),
+    );
 }
 
-/// Symptom: a configuration reverts, or two operators both win. Sequence: changes
-/// race while hosts restart and retention drops records. Cause: one order decides.
+/// Guards against a configuration that reverts, and against two conflicting changes
+/// that are both accepted. Changes race while hosts restart and retention removes
+/// records; the order of the log alone must decide.
 #[test]
 fn configuration_never_reverts_under_faults() {
-    run_family(4, operators(), hosts());
+    run_family(4, operator_faults(), host_faults());
 }
 
-/// Symptom: a life that was handed over acts in two places, or its jobs run twice.
-/// Sequence: hosts stop, are replaced, pause and die while the log comes and goes.
-/// Cause: the one who stops must let go first, and the carrier needs promises.
+/// Guards against a handed-over member that acts in two places, or whose jobs run
+/// twice. Hosts stop, are replaced, pause and die while the log fails and recovers;
+/// a stopping host must stop acting before it sends the handover, and the successor
+/// needs lease votes before it acts.
 #[test]
-fn lives_are_carried_once_under_faults() {
-    let work = prop_oneof![jobs(), requests()].boxed();
-    run_family(5, replacements(), prop_oneof![replacements(), work].boxed());
+fn handed_over_members_act_in_one_place_under_faults() {
+    let work = prop_oneof![job_faults(), request_faults()].boxed();
+    run_family(
+        5,
+        replacement_faults(),
+        prop_oneof![replacement_faults(), work].boxed(),
+    );
 }
--- a/tests/tallies.rs
+++ b/tests/tallies.rs
@@ -1,11 +1,11 @@
-//! What the counting commands of a scenario print.
+//! Output of the scenario commands that count.
 
 use crate::world::World;
 use goldcrestway_core::Answer;
 use goldcrestway_core::Seat;
 use std::collections::BTreeMap;
 
-/// Counts the running tasks by kind of job.
+/// Returns the number of running tasks of each kind of job.
 pub(crate) fn running(world: &World) -> String {
     let runs = world
         .edges
@@ -13,12 +13,12 @@
         .values()
         .flat_map(|worker| &worker.state.runs);
     let open = runs
-        .filter(|run| run.to_ms.is_none())
+        .filter(|run| run.ended_ms.is_none())
         .map(|run| run.order.job.as_str());
-    tally(open)
+    count_words(open)
 }
 
-/// Names what a caller was told, in a word.
+/// Returns the outcome that a caller got, as a word.
 pub(crate) fn word(answer: &Option<Answer>) -> &'static str {
     match answer {
         None => "open",
@@ -34,7 +34,7 @@
     }
 }
 
-pub(crate) fn tally<'a>(words: impl Iterator<Item = &'a str>) -> String {
+pub(crate) fn count_words<'a>(words: impl Iterator<Item = &'a str>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for word in words {
         *counts.entry(word).or_default() += 1;
@@ -50,15 +50,22 @@
 }
 
 pub(crate) fn requests(world: &World) -> String {
-    tally(world.edges.told.values().map(|told| word(&told.answer)))
+    count_words(
+        world
+            .edges
+            .caller_requests
+            .values()
+            .map(|record| word(&record.answer)),
+    )
 }
 
 pub(crate) fn jobs(world: &World) -> String {
-    let told = tally(world.edges.jobs.values().map(|(_, told)| word(told)));
-    format!("{}finished: {}\n", told, world.finished().len())
+    let record = count_words(world.edges.jobs.values().map(|(_, record)| word(record)));
+    format!("{}finished: {}\n", record, world.finished().len())
 }
 
-/// Counts the cells that each entry host serves and may act for.
+/// Returns whether each entry host may act, and the number of cells that all together
+/// serve.
 pub(crate) fn cells(world: &mut World) -> String {
     let mut lines = String::new();
     let mut all = 0;
@@ -66,7 +73,7 @@
         if !world.runs(Seat(seat)) {
             continue;
         }
-        let Some(status) = world.look(Seat(seat), |node| node.status()) else {
+        let Some(status) = world.inspect(Seat(seat), |node| node.status()) else {
             continue;
         };
         let count = if status.acts { status.cells.len() } else { 0 };
@@ -83,7 +90,7 @@
         if !world.runs(Seat(seat)) {
             continue;
         }
-        if let Some(status) = world.look(Seat(seat), |node| node.status()) {
+        if let Some(status) = world.inspect(Seat(seat), |node| node.status()) {
             let acts = if status.acts { "acts" } else { "does not act" };
             lines.push_str(&format!("e{} {} {acts}\n", seat + 1, status.config_version));
         }
@@ -91,12 +98,12 @@
     lines
 }
 
-pub(crate) fn promises(world: &World) -> String {
-    let broken = world.broken();
-    if broken.is_empty() {
+pub(crate) fn guarantees(world: &World) -> String {
+    let violations = world.violations();
+    if violations.is_empty() {
         return "kept\n".into();
     }
     const SHOWN: usize = 6;
-    let shown: Vec<&str> = broken.iter().take(SHOWN).map(String::as_str).collect();
-    format!("BROKEN, {} times\n{}\n", broken.len(), shown.join("\n"))
+    let shown: Vec<&str> = violations.iter().take(SHOWN).map(String::as_str).collect();
+    format!("BROKEN, {} times\n{}\n", violations.len(), shown.join("\n"))
 }
