--- a/tests/world/edges.rs
+++ b/tests/world/edges.rs
@@ -1,16 +1,16 @@
-//! The fakes: messages, log, workers, instances, callers.
+//! Fakes of the network, the log, workers, instances and callers.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Answer;
-use goldcrestway_core::AttemptEnd;
+use goldcrestway_core::AttemptOutcome;
 use goldcrestway_core::Event;
 use goldcrestway_core::Member;
 use goldcrestway_core::Message;
 use goldcrestway_core::PlatformHost;
 use goldcrestway_core::Seat;
-use goldcrestway_daemon::call_out;
-use goldcrestway_daemon::listing_in;
-use goldcrestway_daemon::part_in;
+use goldcrestway_daemon::listing_of;
+use goldcrestway_daemon::log_part_of;
+use goldcrestway_daemon::worker_request_of;
 use goldcrestway_standin::LogState;
 use goldcrestway_standin::UpstreamState;
 use goldcrestway_standin::WorkerState;
@@ -25,37 +25,37 @@
 pub(crate) enum LogMode {
     /// Answers within a few milliseconds.
     Up,
-    /// Takes that long for each call.
+    /// Delays each call by the given milliseconds.
     Slow(u64),
-    /// Answers nothing and takes nothing.
+    /// Answers no call and stores nothing.
     Down,
-    /// Takes appends, but their answers are lost.
+    /// Stores appends, but their answers are lost.
     LosesAnswers,
 }
 
 /// How an instance behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpstreamMode {
-    /// Answers after its time.
+    /// Answers after its processing time.
     Answers,
     /// Answers 503 at once.
     Fails,
-    /// Works, and its answer never arrives.
+    /// Processes the request, and its answer is lost.
     Cuts,
     /// Refuses connections.
     Refuses,
 }
 
-/// A caller's request and what its caller was told.
+/// A caller's request and the answer that the caller got.
 #[derive(Debug, Clone)]
-pub(crate) struct Told {
+pub(crate) struct RequestRecord {
     pub(crate) identity: String,
     pub(crate) is_once: bool,
     pub(crate) answer: Option<Answer>,
-    pub(crate) has_whole: bool,
+    pub(crate) has_complete_answer: bool,
     /// Attempts that reached an instance.
     pub(crate) attempts: u32,
-    pub(crate) told_ms: u64,
+    pub(crate) answer_ms: u64,
 }
 
 /// An instance with its behaviour.
@@ -75,9 +75,9 @@
     pub(crate) is_dead: bool,
     pub(crate) is_cut: bool,
     pub(crate) is_leaving: bool,
-    /// A paused worker takes calls in only when it wakes.
+    /// A paused worker processes calls only when it is resumed.
     pub(crate) is_paused: bool,
-    held: Vec<(Seat, Action)>,
+    delayed_calls: Vec<(Seat, Action)>,
 }
 
 enum Due {
@@ -97,13 +97,14 @@
     pub(crate) log_cuts: BTreeSet<Seat>,
     pub(crate) workers: BTreeMap<Box<str>, Worker>,
     pub(crate) upstreams: BTreeMap<Box<str>, Upstream>,
-    pub(crate) told: BTreeMap<u64, Told>,
+    pub(crate) caller_requests: BTreeMap<u64, RequestRecord>,
     pub(crate) jobs: BTreeMap<u64, (String, Option<Answer>)>,
     pub(crate) published: BTreeMap<u64, Option<Answer>>,
     pub(crate) ready: BTreeMap<Seat, bool>,
-    pub(crate) broken: Vec<String>,
-    /// Jobs and requests whose identity begins so take down whoever runs them, who is back at once.
-    pub(crate) poison: Option<String>,
+    pub(crate) violations: Vec<String>,
+    /// Prefix of identities of jobs and requests that crash the worker or instance
+    /// that runs them, which restarts at once.
+    pub(crate) crashing_prefix: Option<String>,
     pub(crate) worker_crashes: u32,
     pub(crate) upstream_crashes: u32,
     delayed_until_ms: BTreeMap<(Seat, Seat), u64>,
@@ -120,12 +121,12 @@
             log_cuts: BTreeSet::new(),
             workers: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            told: BTreeMap::new(),
+            caller_requests: BTreeMap::new(),
             jobs: BTreeMap::new(),
             published: BTreeMap::new(),
             ready: BTreeMap::new(),
-            broken: Vec::new(),
-            poison: None,
+            violations: Vec::new(),
+            crashing_prefix: None,
             worker_crashes: 0,
             upstream_crashes: 0,
             delayed_until_ms: BTreeMap::new(),
@@ -139,7 +140,7 @@
             is_cut: false,
             is_leaving: false,
             is_paused: false,
-            held: Vec::new(),
+            delayed_calls: Vec::new(),
         };
         self.workers.insert(name.into(), worker);
     }
@@ -155,7 +156,8 @@
         self.upstreams.insert(name.into(), upstream);
     }
 
-    /// Lists hosts and instances as the platform does; names serve as addresses.
+    /// Returns hosts and instances as the platform lists them; names serve as
+    /// addresses.
     pub(crate) fn hosts(&self) -> Box<[PlatformHost]> {
         let workers = self
             .workers
@@ -175,12 +177,13 @@
         listed.collect()
     }
 
-    fn put(&mut self, at_ms: u64, due: Due) {
+    fn schedule(&mut self, at_ms: u64, due: Due) {
         self.next += 1;
         self.due.insert((at_ms, self.next), due);
     }
 
-    /// Takes what is due by `now_ms`.
+    /// Removes what is due by `now_ms`, applies what concerns the fakes, and returns
+    /// the events for processes.
     pub(crate) fn due(&mut self, now_ms: u64) -> Vec<(Seat, Event)> {
         let mut events = Vec::new();
         while let Some(entry) = self.due.first_entry() {
@@ -200,34 +203,35 @@
         events
     }
 
-    /// Lets the workers go on.
+    /// Advances the workers to `now_ms`, and crashes those that run a crashing job.
     pub(crate) fn advance(&mut self, now_ms: u64) {
         for worker in self.workers.values_mut() {
             if !worker.is_dead {
                 worker.state.advance(now_ms);
             }
-            let poison = self.poison.as_deref();
-            if poison.is_some_and(|poison| worker.state.runs_job(poison)) {
-                worker.state.die(now_ms);
+            let crashing_prefix = self.crashing_prefix.as_deref();
+            if crashing_prefix.is_some_and(|crashing_prefix| worker.state.runs_job(crashing_prefix))
+            {
+                worker.state.crash(now_ms);
                 self.worker_crashes += 1;
             }
         }
     }
 
-    /// Drops what was on its way to a process that ended.
+    /// Drops events in flight to a process that has ended.
     pub(crate) fn forget_process(&mut self, seat: Seat) {
         self.due
             .retain(|_, due| !matches!(due, Due::Event(to, _) if *to == seat));
         self.ready.insert(seat, false);
     }
 
-    /// Sends a message; one link keeps its order, as TCP does.
+    /// Sends a message; each connection keeps the order of messages, as TCP does.
     pub(crate) fn send(&mut self, now_ms: u64, from: Member, to: Seat, message: Message) {
         let delay_ms = self.random.random_range(1..=5);
         let link = self.delayed_until_ms.entry((from.seat, to)).or_default();
         *link = (now_ms + delay_ms).max(*link);
         let at_ms = *link;
-        self.put(at_ms, Due::Event(to, Event::Peer { from, message }));
+        self.schedule(at_ms, Due::Event(to, Event::Peer { from, message }));
     }
 
     pub(crate) fn perform(&mut self, now_ms: u64, seat: Seat, action: Action) {
@@ -243,7 +247,7 @@
     }
 
     fn append(&mut self, now_ms: u64, seat: Seat, action: Action) {
-        const HANGS_MS: u64 = 1_000;
+        const APPEND_TIMEOUT_MS: u64 = 1_000;
         let Action::Append { stream, ref batch } = action else {
             return;
         };
@@ -258,10 +262,10 @@
             _ => self.random.random_range(2..=12),
         };
         if self.log_mode == LogMode::Down || self.log_cuts.contains(&seat) {
-            self.put(now_ms + HANGS_MS, Due::Event(seat, lost));
+            self.schedule(now_ms + APPEND_TIMEOUT_MS, Due::Event(seat, lost));
             return;
         }
-        self.put(now_ms + delay_ms, Due::Append(seat, action));
+        self.schedule(now_ms + delay_ms, Due::Append(seat, action));
     }
 
     fn finish_append(&mut self, now_ms: u64, seat: Seat, action: Action) {
@@ -278,7 +282,7 @@
             sequence,
             offset,
         };
-        self.put(now_ms + ANSWER_MS, Due::Event(seat, event));
+        self.schedule(now_ms + ANSWER_MS, Due::Event(seat, event));
     }
 
     fn read(&mut self, now_ms: u64, seat: Seat, stream: goldcrestway_core::Stream, from: u64) {
@@ -288,11 +292,11 @@
             _ => 3,
         };
         let is_down = self.log_mode == LogMode::Down || self.log_cuts.contains(&seat);
-        let part =
-            (!is_down).then(|| part_in(from, &self.log.read(&stream.to_string(), from, RECORDS)));
-        self.put(
+        let page = (!is_down)
+            .then(|| log_part_of(from, &self.log.read(&stream.to_string(), from, RECORDS)));
+        self.schedule(
             now_ms + delay_ms,
-            Due::Event(seat, Event::Read { stream, part }),
+            Due::Event(seat, Event::Read { stream, page }),
         );
     }
 
@@ -306,16 +310,16 @@
         else {
             return;
         };
-        let Some(told) = self.told.get_mut(&request) else {
+        let Some(record) = self.caller_requests.get_mut(&request) else {
             return;
         };
-        let identity = told.identity.clone();
+        let identity = record.identity.clone();
         let Some(upstream) = self.upstreams.get_mut(&address) else {
             return;
         };
-        const LEAVING_BORNE_MS: u64 = 3_000;
-        if upstream.is_leaving && now_ms > upstream.left_ms + LEAVING_BORNE_MS {
-            self.broken
+        const MAX_LEAVING_MS: u64 = 3_000;
+        if upstream.is_leaving && now_ms > upstream.left_ms + MAX_LEAVING_MS {
+            self.violations
                 .push(format!("{address} is leaving and got request {identity}"));
         }
         let mode = upstream.mode;
@@ -324,40 +328,42 @@
         } else {
             upstream.work_ms
         };
-        let is_poisoned = self
-            .poison
+        let is_crashing = self
+            .crashing_prefix
             .as_deref()
-            .is_some_and(|poison| identity.starts_with(poison));
-        self.upstream_crashes += u32::from(is_poisoned);
-        let end = match mode {
-            _ if is_poisoned => AttemptEnd::Cut,
-            UpstreamMode::Refuses => AttemptEnd::NotStarted,
-            UpstreamMode::Fails => AttemptEnd::Whole {
+            .is_some_and(|crashing_prefix| identity.starts_with(crashing_prefix));
+        self.upstream_crashes += u32::from(is_crashing);
+        let outcome = match mode {
+            _ if is_crashing => AttemptOutcome::Interrupted,
+            UpstreamMode::Refuses => AttemptOutcome::NotStarted,
+            UpstreamMode::Fails => AttemptOutcome::Complete {
                 status: 503,
                 latency_ms: work_ms,
             },
-            UpstreamMode::Answers if work_ms <= timeout_ms => AttemptEnd::Whole {
+            UpstreamMode::Answers if work_ms <= timeout_ms => AttemptOutcome::Complete {
                 status: 200,
                 latency_ms: work_ms,
             },
-            _ => AttemptEnd::Cut,
+            _ => AttemptOutcome::Interrupted,
         };
-        let answered_ms = match end {
-            AttemptEnd::NotStarted | AttemptEnd::Late => now_ms + 1,
-            AttemptEnd::Cut if is_poisoned => now_ms + 1,
-            AttemptEnd::Cut => now_ms + timeout_ms,
-            AttemptEnd::Whole { .. } => now_ms + work_ms,
+        let answered_ms = match outcome {
+            AttemptOutcome::NotStarted | AttemptOutcome::Expired => now_ms + 1,
+            AttemptOutcome::Interrupted if is_crashing => now_ms + 1,
+            AttemptOutcome::Interrupted => now_ms + timeout_ms,
+            AttemptOutcome::Complete { .. } => now_ms + work_ms,
         };
-        if end != AttemptEnd::NotStarted {
-            told.attempts += 1;
+        if outcome != AttemptOutcome::NotStarted {
+            record.attempts += 1;
             let until_ms = now_ms + work_ms;
             let run = upstream.state.begin(&identity, now_ms, until_ms);
-            self.put(until_ms, Due::EndRun(address, run));
+            self.schedule(until_ms, Due::EndRun(address, run));
         }
-        let event = Event::AttemptEnded { request, end };
-        self.put(answered_ms, Due::Event(seat, event));
-        if let (Some(told), AttemptEnd::Whole { .. }) = (self.told.get_mut(&request), end) {
-            told.has_whole = true;
+        let event = Event::AttemptEnded { request, outcome };
+        self.schedule(answered_ms, Due::Event(seat, event));
+        if let (Some(record), AttemptOutcome::Complete { .. }) =
+            (self.caller_requests.get_mut(&request), outcome)
+        {
+            record.has_complete_answer = true;
         }
     }
 
@@ -377,52 +383,52 @@
         let Some(worker) = self.workers.get_mut(address) else {
             return;
         };
-        let mut listing = None;
+        let mut report = None;
         let mut delay_ms = TIMEOUT_MS;
         if worker.is_paused {
-            worker.held.push((seat, action.clone()));
+            worker.delayed_calls.push((seat, action.clone()));
         } else if !worker.is_dead && !worker.is_cut {
             delay_ms = 3;
-            listing = worker
+            report = worker
                 .state
-                .call(now_ms, &call_out(call))
-                .and_then(listing_in);
-            worker.state.note_heard();
+                .handle_call(now_ms, &worker_request_of(call))
+                .and_then(listing_of);
+            worker.state.record_reported_exits();
         }
-        let event = Event::Worker {
+        let event = Event::WorkerAnswered {
             cell,
             host,
             token,
-            listing,
+            report,
         };
-        self.put(now_ms + delay_ms, Due::Event(seat, event));
+        self.schedule(now_ms + delay_ms, Due::Event(seat, event));
     }
 
-    /// Wakes a paused worker: calls that were waiting at it take effect late.
+    /// Resumes a paused worker, which then processes the delayed calls.
     pub(crate) fn wake_worker(&mut self, now_ms: u64, name: &str) {
         let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
         worker.is_paused = false;
-        for (_, action) in std::mem::take(&mut worker.held) {
+        for (_, action) in std::mem::take(&mut worker.delayed_calls) {
             if let Action::CallWorker { call, .. } = action {
-                worker.state.call(now_ms, &call_out(&call));
+                worker.state.handle_call(now_ms, &worker_request_of(&call));
             }
         }
     }
 
     fn answer(&mut self, now_ms: u64, request: u64, answer: Answer) {
-        if let Some(told) = self.told.get_mut(&request) {
-            if told.answer.is_some() {
-                self.broken
-                    .push(format!("request {} was answered twice", told.identity));
+        if let Some(record) = self.caller_requests.get_mut(&request) {
+            if record.answer.is_some() {
+                self.violations
+                    .push(format!("request {} was answered twice", record.identity));
             }
-            told.told_ms = now_ms;
-            told.answer = Some(answer);
-        } else if let Some((_, told)) = self.jobs.get_mut(&request) {
-            *told = Some(answer);
-        } else if let Some(told) = self.published.get_mut(&request) {
-            *told = Some(answer);
+            record.answer_ms = now_ms;
+            record.answer = Some(answer);
+        } else if let Some((_, record)) = self.jobs.get_mut(&request) {
+            *record = Some(answer);
+        } else if let Some(record) = self.published.get_mut(&request) {
+            *record = Some(answer);
         }
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! Several entry hosts in virtual time, with fakes at their edges.
+//! Several entry hosts in virtual time, with fakes for all that they communicate
+//! with.
 
 mod edges;
-mod promises;
+mod guarantees;
 
 use edges::Edges;
 use goldcrestway_core::Action;
@@ -25,14 +26,14 @@
 use std::time::Instant;
 
 pub(crate) use edges::LogMode;
-pub(crate) use edges::Told;
+pub(crate) use edges::RequestRecord;
 pub(crate) use edges::Upstream;
 pub(crate) use edges::UpstreamMode;
 
-/// What the node of one process wants done, collected by its edge.
+/// Actions of the node of one process, which the world performs.
 type Outbox = Rc<RefCell<Vec<Action>>>;
 
-/// One process at a seat.
+/// A process at a seat.
 struct Process {
     stakker: Stakker,
     actor: ActorOwn<NodeActor>,
@@ -40,29 +41,30 @@
     inbox: Vec<Event>,
     is_paused: bool,
     is_stopped: bool,
-    /// Configuration versions that it had in force, to see that none reverts.
+    /// Highest configuration version that it had in force, which shows whether one is
+    /// reverted.
     highest_config: u64,
 }
 
-/// The whole of a scenario.
+/// All hosts and fakes of a scenario.
 pub(crate) struct World {
     base: Instant,
     pub(crate) now_ms: u64,
     seats: Vec<Seat>,
     limits: Limits,
     processes: BTreeMap<Seat, Process>,
-    lives: u64,
+    incarnations: u64,
     pub(crate) edges: Edges,
-    /// Links that are cut, as ordered pairs of seats.
-    pub(crate) cuts: BTreeSet<(Seat, Seat)>,
-    /// Promises that were seen broken while running.
-    pub(crate) broken: Vec<String>,
+    /// Connections that are cut, as ordered pairs of seats.
+    pub(crate) cut_links: BTreeSet<(Seat, Seat)>,
+    /// Violated guarantees that were seen while running.
+    pub(crate) violations: Vec<String>,
     pub(crate) deposed: usize,
     pub(crate) messages: u64,
 }
 
 impl World {
-    /// Makes `seats` entry hosts that are not started yet.
+    /// Creates `seats` entry hosts that are not started yet.
     pub(crate) fn new(seats: u16, limits: Limits, seed: u64) -> Self {
         Self {
             base: Instant::now(),
@@ -70,23 +72,23 @@
             seats: (0..seats).map(Seat).collect(),
             limits,
             processes: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             edges: Edges::new(seed),
-            cuts: BTreeSet::new(),
-            broken: Vec::new(),
+            cut_links: BTreeSet::new(),
+            violations: Vec::new(),
             deposed: 0,
             messages: 0,
         }
     }
 
-    /// Starts a process at a seat, in place of one that was killed.
+    /// Starts a process at a seat, which replaces one that was killed.
     pub(crate) fn start(&mut self, seat: Seat) {
-        const LIFE: u64 = 1_000_000;
-        self.lives += 1;
-        self.start_as(seat, self.lives * LIFE);
+        const INCARNATION_STEP: u64 = 1_000_000;
+        self.incarnations += 1;
+        self.start_as(seat, self.incarnations * INCARNATION_STEP);
     }
 
-    /// Starts a process whose wall clock gives it a certain incarnation.
+    /// Starts a process with a given incarnation, as its wall clock would set it.
     pub(crate) fn start_as(&mut self, seat: Seat, incarnation: u64) {
         let me = Member { seat, incarnation };
         let node = Node::new(me, &self.seats, self.limits, self.now_ms);
@@ -112,42 +114,43 @@
         self.processes.insert(seat, process);
     }
 
-    /// Ends the process at a seat as a crash would.
+    /// Ends the process at a seat abruptly, as a crash does.
     pub(crate) fn kill(&mut self, seat: Seat) {
         self.processes.remove(&seat);
         self.edges.forget_process(seat);
     }
 
-    /// Tells whether a process runs at the seat.
+    /// Returns whether a process runs at the seat.
     pub(crate) fn runs(&self, seat: Seat) -> bool {
         self.processes
             .get(&seat)
             .is_some_and(|process| !process.is_stopped)
     }
 
-    /// Pauses or resumes the process at a seat; what arrives meanwhile waits.
+    /// Pauses or resumes the process at a seat; events that arrive while it is paused
+    /// are queued.
     pub(crate) fn pause(&mut self, seat: Seat, is_paused: bool) {
         if let Some(process) = self.processes.get_mut(&seat) {
             process.is_paused = is_paused;
         }
     }
 
-    /// Hands an event to the process at a seat.
-    pub(crate) fn give(&mut self, seat: Seat, event: Event) {
+    /// Delivers an event to the process at a seat.
+    pub(crate) fn deliver(&mut self, seat: Seat, event: Event) {
         if let Some(process) = self.processes.get_mut(&seat) {
             process.inbox.push(event);
         }
     }
 
-    /// Tells all processes what the platform lists.
+    /// Delivers the platform's list of hosts to all processes.
     pub(crate) fn list_hosts(&mut self) {
         for seat in self.seats.clone() {
             let hosts = self.edges.hosts();
-            self.give(seat, Event::Hosts(hosts));
+            self.deliver(seat, Event::Hosts(hosts));
         }
     }
 
-    /// Lets time pass.
+    /// Runs the scenario for a time.
     pub(crate) fn run(&mut self, duration_ms: u64) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
@@ -158,7 +161,7 @@
     fn step(&mut self) {
         self.now_ms += TICK.as_millis() as u64;
         for (seat, event) in self.edges.due(self.now_ms) {
-            self.give(seat, event);
+            self.deliver(seat, event);
         }
         let now = self.base + Duration::from_millis(self.now_ms);
         for seat in self.seats.clone() {
@@ -178,7 +181,7 @@
         }
         self.edges.advance(self.now_ms);
         if self.now_ms.is_multiple_of(100) {
-            self.watch();
+            self.check_invariants();
         }
     }
 
@@ -191,7 +194,7 @@
             match action {
                 Action::Send { to, message } => {
                     self.messages += 1;
-                    if !self.cuts.contains(&(seat, to)) && self.runs(to) {
+                    if !self.cut_links.contains(&(seat, to)) && self.runs(to) {
                         self.edges.send(self.now_ms, me, to, message);
                     }
                 }
@@ -208,8 +211,9 @@
         }
     }
 
-    /// Looks at the node at a seat.
-    pub(crate) fn look<T: 'static>(
+    /// Calls a function with the node at a seat; returns its result, or `None` if no
+    /// process is there.
+    pub(crate) fn inspect<T: 'static>(
         &mut self,
         seat: Seat,
         look: impl FnOnce(&mut Node) -> T + 'static,
@@ -221,8 +225,8 @@
             *slot.borrow_mut() = Some(look(node));
         });
         let actor = &process.actor;
-        call!([actor], look(look));
-        // The same time as at the last step, so that a paused process stays paused.
+        call!([actor], query(look));
+        // The time of the last step, which lets no time pass for a paused process.
         let now = process.stakker.now();
         process.stakker.run(now, false);
         let outbox = std::mem::take(&mut *process.outbox.borrow_mut());
@@ -233,7 +237,7 @@
     }
 
     fn member(&mut self, seat: Seat) -> Member {
-        self.look(seat, |node| node.me()).unwrap_or(Member {
+        self.inspect(seat, |node| node.me()).unwrap_or(Member {
             seat,
             incarnation: 0,
         })
