--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,10 +1,10 @@
-//! The loop itself: sockets in, arrivals out.
+//! The event loop: polls all sockets and returns what arrived on them.
 
 use crate::callers::Callers;
 use crate::calls::Call;
 use crate::calls::CallFault;
-use crate::links::Links;
-use crate::parse::Bounds;
+use crate::frames::Connections;
+use crate::parse::CallerLimits;
 use crate::parse::Request;
 use crate::parse::Response;
 use crate::pool::Pool;
@@ -26,52 +26,55 @@
 use std::time::Instant;
 
 new_key_type! {
-    /// A caller's connection.
+    /// Key of a connection from a caller.
     pub struct CallerKey;
-    /// A port that is listened on.
+    /// Key of a listening socket.
     pub struct ListenerKey;
-    /// A connection to another process of ours.
-    pub struct LinkKey;
+    /// Key of a frame connection with another process of this system.
+    pub struct ConnectionKey;
 }
 
-/// How often silent callers and connections that are not made are looked for. Their bounds are
-/// seconds, or most of one.
-const CALLERS_LOOK_MS: u64 = 200;
-/// Events taken at one look.
-const EVENTS_MOST: usize = 256;
+/// Interval between checks for callers and frame connections that have exceeded a timeout. The
+/// timeouts are seconds, or 700 ms for a connection attempt.
+const EXPIRY_CHECK_INTERVAL_MS: u64 = 200;
+/// Maximum number of events returned by one poll.
+const MAX_EVENTS: usize = 256;
 
-/// The loop's idea of the time.
+/// A reading of the loop's clock.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
-    /// Milliseconds since the loop was made.
+    /// Milliseconds since the loop was created.
     pub(crate) now_ms: u64,
 }
 
-/// What a token stands for; the kind is kept in its two lowest bits.
+/// Kind of socket that a token refers to, stored in the two lowest bits of the token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TokenKind {
     Listener,
     Caller,
-    Line,
-    Link,
+    Pooled,
+    Framed,
 }
 
 impl TokenKind {
-    /// Makes the token of a key. Keys count in 32 bits of index and 32 of version, of
-    /// which 30 are kept; a version comes again after a billion connections.
+    /// Returns the token of a key.
+    ///
+    /// A key has 32 bits of index and 32 bits of version, of which 30 are kept. A version
+    /// repeats only after a billion connections.
     pub(crate) fn token(self, key: u64) -> Token {
         Token(((key << 2) | self as u64) as usize)
     }
 
-    fn read(token: Token) -> (Self, u64) {
-        let number = token.0 as u64;
-        let kind = match number & 3 {
+    /// Returns the kind of socket and the bits of its key.
+    fn from_token(token: Token) -> (Self, u64) {
+        let bits = token.0 as u64;
+        let kind = match bits & 3 {
             0 => TokenKind::Listener,
             1 => TokenKind::Caller,
-            2 => TokenKind::Line,
-            _ => TokenKind::Link,
+            2 => TokenKind::Pooled,
+            _ => TokenKind::Framed,
         };
-        (kind, number >> 2)
+        (kind, bits >> 2)
     }
 }
 
@@ -89,70 +92,74 @@
     }
 }
 
-/// Something that came in.
+/// An event that [`Net::wait`] returns.
 #[derive(Debug)]
 #[expect(
     missing_docs,
     reason = "The comment of each variant covers its fields."
 )]
 pub enum Arrival {
-    /// A caller has sent a whole request, and awaits one answer.
+    /// A caller has sent a complete request and awaits one answer.
     Request {
         caller: CallerKey,
         listener: ListenerKey,
         request: Request,
     },
-    /// A caller has gone without awaiting its answer.
-    CallerGone { caller: CallerKey },
-    /// A call has ended.
+    /// A caller has disconnected before its request was answered.
+    CallerDisconnected { caller: CallerKey },
+    /// A call was answered or has failed.
     Answer {
         number: u64,
         answer: Result<Response, CallFault>,
     },
-    /// A connection to another process of ours was made.
-    LinkOpened { link: LinkKey },
-    /// Another process of ours has sent a frame.
-    Frame { link: LinkKey, bytes: Box<[u8]> },
-    /// A connection to another process of ours has ended, or could not be made.
-    LinkLost { link: LinkKey },
+    /// A frame connection opened by this process is established.
+    ConnectionOpened { conn: ConnectionKey },
+    /// A complete frame was received.
+    Frame {
+        conn: ConnectionKey,
+        bytes: Box<[u8]>,
+    },
+    /// A frame connection was closed, or could not be established.
+    ConnectionLost { conn: ConnectionKey },
 }
 
-/// The event loop.
+/// An event loop that owns all sockets of the process.
 pub struct Net {
     poll: Poll,
     registrar: Registrar,
     events: Events,
     listeners: SlotMap<ListenerKey, TcpListener>,
-    /// Those of them at which our own processes connect.
-    link_listeners: HashSet<ListenerKey>,
+    /// Listeners that accept frame connections instead of callers.
+    frame_listeners: HashSet<ListenerKey>,
     callers: Callers,
     pool: Pool,
-    links: Links,
+    connections: Connections,
     arrivals: Vec<Arrival>,
     started: Instant,
-    callers_look_ms: u64,
+    next_expiry_check_ms: u64,
 }
 
 impl Net {
-    /// Makes a loop without sockets.
+    /// Creates a loop without sockets.
     ///
     /// # Errors
-    /// The system has no event queue to give.
+    ///
+    /// Returns an error if the system cannot provide an event queue.
     pub fn new() -> io::Result<Self> {
         let poll = Poll::new()?;
         let registrar = Registrar(poll.registry().try_clone()?);
         Ok(Self {
             poll,
             registrar,
-            events: Events::with_capacity(EVENTS_MOST),
+            events: Events::with_capacity(MAX_EVENTS),
             listeners: SlotMap::with_key(),
-            link_listeners: HashSet::new(),
+            frame_listeners: HashSet::new(),
             callers: Callers::default(),
             pool: Pool::default(),
-            links: Links::default(),
+            connections: Connections::default(),
             arrivals: Vec::new(),
             started: Instant::now(),
-            callers_look_ms: 0,
+            next_expiry_check_ms: 0,
         })
     }
 
@@ -162,10 +169,11 @@
         }
     }
 
-    /// Listens for callers at an address.
+    /// Listens for HTTP/1.1 callers at `address`.
     ///
     /// # Errors
-    /// The address is not this host's, or is taken.
+    ///
+    /// Returns an error if the address does not belong to this host or is in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
         let mut listener = TcpListener::bind(address)?;
         let mut result = Ok(());
@@ -178,36 +186,44 @@
         result.map(|()| key)
     }
 
-    /// Listens for other processes of ours at an address.
+    /// Listens for frame connections of other processes of this system at `address`.
     ///
     /// # Errors
-    /// The address is not this host's, or is taken.
-    pub fn listen_for_links(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
+    ///
+    /// Returns an error if the address does not belong to this host or is in use.
+    pub fn listen_for_frames(&mut self, address: SocketAddr) -> io::Result<ListenerKey> {
         let key = self.listen(address)?;
-        self.link_listeners.insert(key);
+        self.frame_listeners.insert(key);
         Ok(key)
     }
 
-    /// Opens a connection to another process of ours; `None` if the system has none to give.
-    pub fn open_link(&mut self, peer: SocketAddr) -> Option<LinkKey> {
+    /// Opens a frame connection to another process of this system.
+    ///
+    /// Returns `None` if the system refuses a socket. Otherwise the outcome arrives as
+    /// [`Arrival::ConnectionOpened`] or [`Arrival::ConnectionLost`].
+    pub fn open_connection(&mut self, peer: SocketAddr) -> Option<ConnectionKey> {
         let clock = self.clock();
-        self.links.open(peer, clock, &self.registrar)
+        self.connections.open(peer, clock, &self.registrar)
     }
 
-    /// Sends a frame. A connection that can't take it is closed.
-    pub fn send_frame(&mut self, link: LinkKey, frame: &[u8]) {
-        self.links.send(link, frame, &mut self.arrivals);
+    /// Sends a frame, once the connection is established.
+    ///
+    /// Closes the connection if the frame exceeds 4 MiB, if the peer has left more than 8 MiB
+    /// unread, or if writing fails.
+    pub fn send_frame(&mut self, conn: ConnectionKey, frame: &[u8]) {
+        self.connections.send(conn, frame, &mut self.arrivals);
     }
 
-    /// Closes a connection to another process of ours.
-    pub fn close_link(&mut self, link: LinkKey) {
-        self.links.close(link, &mut self.arrivals);
+    /// Closes a frame connection; [`Arrival::ConnectionLost`] follows.
+    pub fn close_connection(&mut self, conn: ConnectionKey) {
+        self.connections.close(conn, &mut self.arrivals);
     }
 
-    /// Gives the address that a listener has got.
+    /// Returns the local address of a listener.
     ///
     /// # Errors
-    /// The system does not tell it.
+    ///
+    /// Returns an error if the listener is closed or the system cannot report its address.
     pub fn address(&self, listener: ListenerKey) -> io::Result<SocketAddr> {
         match self.listeners.get(listener) {
             Some(listener) => listener.local_addr(),
@@ -215,27 +231,28 @@
         }
     }
 
-    /// Takes no further connections.
+    /// Closes all listeners, so that no further connection is accepted.
     pub fn close_listeners(&mut self) {
         self.listeners.clear();
     }
 
-    /// Sets what callers may send.
-    pub fn set_bounds(&mut self, bounds: Bounds) {
-        self.callers.bounds = bounds;
+    /// Sets the limits on requests and idle times of callers.
+    pub fn set_caller_limits(&mut self, limits: CallerLimits) {
+        self.callers.limits = limits;
     }
 
-    /// Ends each connection with the next answer on it.
+    /// Closes the connection of each caller after the next answer on it.
     pub fn close_after_answers(&mut self) {
         self.callers.is_closing = true;
     }
 
-    /// Closes callers that await nothing, and tells how many are left.
+    /// Closes callers without a request or answer in progress, and returns the number of those
+    /// that remain.
     pub fn close_idle_callers(&mut self) -> usize {
         self.callers.close_idle()
     }
 
-    /// Answers a caller.
+    /// Answers the pending request of a caller. Does nothing if the caller has disconnected.
     pub fn answer(
         &mut self,
         caller: CallerKey,
@@ -248,28 +265,33 @@
             .answer(caller, status, headers, body, clock, &mut self.arrivals);
     }
 
-    /// Allows so many connections to a peer that answers several long polls at once. Without
-    /// that the polls would hold all connections, and short calls would wait for seconds.
-    pub fn allow_lines(&mut self, peer: SocketAddr, lines_most: usize) {
-        self.pool.allow_lines(peer, lines_most);
+    /// Sets the maximum number of connections to a peer; the default is 4.
+    ///
+    /// A peer that answers several long polls at once needs more. Otherwise the polls would
+    /// occupy all connections, and short calls would wait for seconds.
+    pub fn set_max_connections(&mut self, peer: SocketAddr, max_connections: usize) {
+        self.pool.set_max_connections(peer, max_connections);
     }
 
-    /// Makes a call; its end arrives under its number.
+    /// Starts a call; its outcome arrives as [`Arrival::Answer`] with the number of the call.
     pub fn call(&mut self, call: Call) {
         let clock = self.clock();
         self.pool.call(call, clock, &self.registrar);
     }
 
-    /// Closes the connections to a peer that is gone.
-    pub fn forget(&mut self, peer: SocketAddr) {
-        self.pool.forget(peer, &mut self.arrivals);
+    /// Closes all connections to a peer, for example one that was removed.
+    ///
+    /// Calls in flight on them end with a [`CallFault`].
+    pub fn disconnect(&mut self, peer: SocketAddr) {
+        self.pool.disconnect(peer, &mut self.arrivals);
     }
 
-    /// Waits until something arrives, or for the given time at most. A signal ends
-    /// the wait early.
-    pub fn wait(&mut self, most: Duration) -> Vec<Arrival> {
-        let wait = self.shorten(most);
-        // An interrupted wait is an early end, which the caller takes as any other.
+    /// Waits until something arrives, but no longer than `max_wait`, and returns all arrivals.
+    ///
+    /// A signal or an expired call ends the wait early, possibly with no arrivals.
+    pub fn wait(&mut self, max_wait: Duration) -> Vec<Arrival> {
+        let wait = self.limit_wait(max_wait);
+        // An interrupted poll is handled like one that ended early without events.
         let _ = self.poll.poll(&mut self.events, Some(wait));
         let clock = self.clock();
         let mut tokens = Vec::new();
@@ -277,52 +299,55 @@
             tokens.push(event.token());
         }
         for token in tokens {
-            let (kind, number) = TokenKind::read(token);
+            let (kind, raw_key) = TokenKind::from_token(token);
             match kind {
-                TokenKind::Listener => self.accept(number, clock),
-                TokenKind::Caller => self.callers.handle(number, clock, &mut self.arrivals),
-                TokenKind::Link => self.links.handle(number, clock, &mut self.arrivals),
-                TokenKind::Line => {
+                TokenKind::Listener => self.accept(raw_key, clock),
+                TokenKind::Caller => self.callers.handle(raw_key, clock, &mut self.arrivals),
+                TokenKind::Framed => self.connections.handle(raw_key, clock, &mut self.arrivals),
+                TokenKind::Pooled => {
                     self.pool
-                        .handle(number, clock, &self.registrar, &mut self.arrivals);
+                        .handle(raw_key, clock, &self.registrar, &mut self.arrivals);
                 }
             }
         }
         self.pool.expire(clock, &self.registrar, &mut self.arrivals);
-        if clock.now_ms >= self.callers_look_ms {
-            self.callers_look_ms = clock.now_ms + CALLERS_LOOK_MS;
+        if clock.now_ms >= self.next_expiry_check_ms {
+            self.next_expiry_check_ms = clock.now_ms + EXPIRY_CHECK_INTERVAL_MS;
             self.callers.expire(clock, &mut self.arrivals);
-            self.links.expire(clock, &mut self.arrivals);
+            self.connections.expire(clock, &mut self.arrivals);
         }
         std::mem::take(&mut self.arrivals)
     }
 
-    fn shorten(&self, most: Duration) -> Duration {
+    /// Shortens a wait to the next deadline of a call or connection attempt.
+    fn limit_wait(&self, max_wait: Duration) -> Duration {
         if !self.arrivals.is_empty() {
             return Duration::ZERO;
         }
         match self.pool.next_expiry_ms() {
-            Some(at_ms) => {
-                let left_ms = at_ms.saturating_sub(self.clock().now_ms);
-                most.min(Duration::from_millis(left_ms))
+            Some(expiry_ms) => {
+                let remaining_ms = expiry_ms.saturating_sub(self.clock().now_ms);
+                max_wait.min(Duration::from_millis(remaining_ms))
             }
-            None => most,
+            None => max_wait,
         }
     }
 
-    fn accept(&mut self, number: u64, clock: Clock) {
-        let key = ListenerKey::from(KeyData::from_ffi(number));
+    /// Accepts all waiting connections of the listener whose key has the bits `raw_key`.
+    fn accept(&mut self, raw_key: u64, clock: Clock) {
+        let key = ListenerKey::from(KeyData::from_ffi(raw_key));
         loop {
             let Some(listener) = self.listeners.get(key) else {
                 return;
             };
             match listener.accept() {
-                Ok((stream, _)) if self.link_listeners.contains(&key) => {
-                    self.links.admit(stream, clock, &self.registrar);
+                Ok((stream, _)) if self.frame_listeners.contains(&key) => {
+                    self.connections.admit(stream, clock, &self.registrar);
                 }
                 Ok((stream, _)) => self.callers.admit(stream, key, clock, &self.registrar),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                // Nothing waits, or descriptors are short; the next connection shows.
+                // No connection waits, or descriptors have run out. The next connection
+                // raises another event.
                 Err(_) => return,
             }
         }
