--- a/examples/first_week.rs
+++ b/examples/first_week.rs
@@ -31,12 +31,12 @@
         return ExitCode::FAILURE;
     }
     println!("published; sending 2000 requests and 200 jobs, killing e2 and w3 half way");
-    let told = callers::run(&mut fleet, seed);
-    let broken = verdict::judge(&fleet, &told);
-    for line in &broken {
+    let report = callers::run(&mut fleet, seed);
+    let violations = verdict::judge(&fleet, &report);
+    for line in &violations {
         println!("BROKEN: {line}");
     }
-    if broken.is_empty() {
+    if violations.is_empty() {
         println!("all promises were kept");
         return ExitCode::SUCCESS;
     }
--- a/examples/first_week/callers.rs
+++ b/examples/first_week/callers.rs
@@ -16,13 +16,13 @@
 const REQUESTS: usize = 2_000;
 const JOBS: usize = 200;
 /// Callers at a time.
-const CALLERS: usize = 24;
+const MAX_CONCURRENT_CALLERS: usize = 24;
 /// How long a caller goes on asking.
-const PATIENCE: Duration = Duration::from_secs(40);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// What a caller was told last of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum Outcome {
     /// Answered, whole.
     Answered,
     /// Not run, and the caller has given up.
@@ -34,19 +34,19 @@
 /// What callers were told of everything.
 pub(crate) struct Report {
     /// Requests by identity; `true` marks a non-idempotent one.
-    pub(crate) requests: BTreeMap<String, (bool, Told)>,
+    pub(crate) requests: BTreeMap<String, (bool, Outcome)>,
     /// Jobs that were accepted.
     pub(crate) jobs: Vec<String>,
     /// Never-twice jobs whose end is not known, because their host died.
     pub(crate) unknown_jobs: Vec<String>,
     /// Time to the final answer of idempotent requests, in microseconds.
-    pub(crate) free_us: Histogram<u64>,
+    pub(crate) idempotent_us: Histogram<u64>,
     /// The same of non-idempotent ones.
-    pub(crate) once_us: Histogram<u64>,
+    pub(crate) non_idempotent_us: Histogram<u64>,
     /// Answers "not run" on the way, after which the caller asked again.
     pub(crate) refusals: usize,
     /// Answers that did not belong to the request, or were not whole.
-    pub(crate) wrong: Vec<String>,
+    pub(crate) errors: Vec<String>,
 }
 
 /// Sends everything; kills e2 and w3 half way.
@@ -56,10 +56,10 @@
         requests: BTreeMap::new(),
         jobs: Vec::new(),
         unknown_jobs: Vec::new(),
-        free_us: new_histogram(),
-        once_us: new_histogram(),
+        idempotent_us: new_histogram(),
+        non_idempotent_us: new_histogram(),
         refusals: 0,
-        wrong: Vec::new(),
+        errors: Vec::new(),
     });
     let addresses: Vec<String> = fleet
         .settings
@@ -71,10 +71,10 @@
         .values()
         .map(|settings| settings.own().operator_address.to_string())
         .collect();
-    let victim = fleet.daemons.remove("e2");
+    let daemon = fleet.daemons.remove("e2");
     let worker = &fleet.workers["w3"];
     thread::scope(|scope| {
-        for _ in 0..CALLERS {
+        for _ in 0..MAX_CONCURRENT_CALLERS {
             scope.spawn(|| {
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
@@ -84,7 +84,7 @@
                     if number.is_multiple_of(REQUESTS / JOBS) {
                         submit(&operators, number, &report);
                     }
-                    ask(&addresses, number, seed, &report);
+                    send_request(&addresses, number, seed, &report);
                 }
             });
         }
@@ -92,7 +92,7 @@
             while next.load(Ordering::Relaxed) < REQUESTS / 2 {
                 thread::sleep(Duration::from_millis(2));
             }
-            drop(victim);
+            drop(daemon);
             worker.crash();
         });
     });
@@ -117,71 +117,73 @@
 }
 
 /// What one try brought.
-enum Try {
+enum Response {
     Whole(String),
     /// An outcome, and whether asking again makes sense.
     Header(String, bool),
-    Nothing,
+    NoAnswer,
 }
 
-fn ask(addresses: &[String], number: usize, seed: usize, report: &Mutex<Report>) {
+fn send_request(addresses: &[String], number: usize, seed: usize, report: &Mutex<Report>) {
     let identity = format!("r{seed}-{number}");
-    let is_once = number.is_multiple_of(3);
+    let is_non_idempotent = number.is_multiple_of(3);
     let agent = agent();
-    let began = Instant::now();
-    let mut told = Told::NotRun;
+    let started = Instant::now();
+    let mut last_outcome = Outcome::NotRun;
     let mut refusals = 0;
     let mut turn = number;
-    while began.elapsed() < PATIENCE {
+    while started.elapsed() < RETRY_TIMEOUT {
         // The balancer sends each try to some entry host.
         turn += 1;
         let url = format!(
             "http://{}/services/booking/slot",
             addresses[turn % addresses.len()]
         );
-        match try_once(&agent, &url, &identity, is_once) {
-            Try::Whole(body) => {
+        match try_once(&agent, &url, &identity, is_non_idempotent) {
+            Response::Whole(body) => {
                 if body != format!("answer to {identity}") {
                     let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
                     report
-                        .wrong
+                        .errors
                         .push(format!("request {identity} got `{body}`"));
                 }
-                told = Told::Answered;
+                last_outcome = Outcome::Answered;
                 break;
             }
-            Try::Header(outcome, _) if outcome == "answered" => {
-                told = Told::Answered;
+            Response::Header(outcome, _) if outcome == "answered" => {
+                last_outcome = Outcome::Answered;
                 break;
             }
-            Try::Header(outcome, may_repeat) if outcome == "unknown" => {
-                told = Told::Unknown;
-                if is_once && !may_repeat {
+            Response::Header(outcome, may_repeat) if outcome == "unknown" => {
+                last_outcome = Outcome::Unknown;
+                if is_non_idempotent && !may_repeat {
                     break;
                 }
             }
-            Try::Header(..) => {
+            Response::Header(..) => {
                 refusals += 1;
-                if told != Told::Unknown {
-                    told = Told::NotRun;
+                if last_outcome != Outcome::Unknown {
+                    last_outcome = Outcome::NotRun;
                 }
             }
-            Try::Nothing => told = Told::Unknown,
+            Response::NoAnswer => last_outcome = Outcome::Unknown,
         }
         thread::sleep(Duration::from_millis(50));
     }
     let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
-    let micros = began.elapsed().as_micros() as u64;
-    match is_once {
-        true => report.once_us.saturating_record(micros),
-        false => report.free_us.saturating_record(micros),
+    let micros = started.elapsed().as_micros() as u64;
+    match is_non_idempotent {
+        true => report.non_idempotent_us.saturating_record(micros),
+        false => report.idempotent_us.saturating_record(micros),
     }
     report.refusals += refusals;
-    report.requests.insert(identity, (is_once, told));
+    report
+        .requests
+        .insert(identity, (is_non_idempotent, last_outcome));
 }
 
-fn try_once(agent: &ureq::Agent, url: &str, identity: &str, is_once: bool) -> Try {
-    let sent = match is_once {
+fn try_once(agent: &ureq::Agent, url: &str, identity: &str, is_non_idempotent: bool) -> Response {
+    let sent = match is_non_idempotent {
         true => agent
             .post(url)
             .header("Idempotency-Key", identity)
@@ -192,21 +194,21 @@
             .send(identity),
     };
     let Ok(mut response) = sent else {
-        return Try::Nothing;
+        return Response::NoAnswer;
     };
     let outcome = response.headers().get("goldcrestway-outcome");
     let Some(outcome) = outcome
         .and_then(|value| value.to_str().ok())
         .map(str::to_owned)
     else {
-        return Try::Nothing;
+        return Response::NoAnswer;
     };
     let status = response.status().as_u16();
     let may_repeat = response.headers().contains_key("retry-after");
     match response.body_mut().read_to_string() {
-        Ok(body) if status == 200 && outcome == "answered" => Try::Whole(body),
-        Ok(_) => Try::Header(outcome, may_repeat),
-        Err(_) => Try::Nothing,
+        Ok(body) if status == 200 && outcome == "answered" => Response::Whole(body),
+        Ok(_) => Response::Header(outcome, may_repeat),
+        Err(_) => Response::NoAnswer,
     }
 }
 
@@ -222,9 +224,9 @@
         job: job.into(),
         id: format!("{prefix}{number}"),
     };
-    let began = Instant::now();
+    let started = Instant::now();
     let mut turn = number;
-    while began.elapsed() < PATIENCE {
+    while started.elapsed() < RETRY_TIMEOUT {
         turn += 1;
         let url = format!("http://{}/v1/jobs", operators[turn % operators.len()]);
         let is_accepted = agent
@@ -240,25 +242,25 @@
     }
     let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
     report
-        .wrong
+        .errors
         .push(format!("job j{number} was never accepted"));
 }
 
 /// Waits until every accepted job has finished, or is told to be of unknown end.
 fn wait_for_jobs(operators: &[String], fleet: &Fleet, report: &Mutex<Report>) {
-    let began = Instant::now();
-    while began.elapsed() < PATIENCE {
-        let done = crate::verdict::finished(fleet);
+    let started = Instant::now();
+    while started.elapsed() < RETRY_TIMEOUT {
+        let finished = crate::verdict::finished_jobs(fleet);
         let mut report = report.lock().unwrap_or_else(PoisonError::into_inner);
         let open: Vec<String> = report
             .jobs
             .iter()
-            .filter(|id| !done.contains(*id))
+            .filter(|id| !finished.contains(*id))
             .cloned()
             .collect();
         report.unknown_jobs = open
             .iter()
-            .filter(|id| is_of_unknown_end(operators, id))
+            .filter(|id| has_unknown_outcome(operators, id))
             .cloned()
             .collect();
         if report.unknown_jobs.len() == open.len() {
@@ -270,7 +272,7 @@
 }
 
 /// Asks for a never-twice job's state by submitting it again.
-fn is_of_unknown_end(operators: &[String], id: &str) -> bool {
+fn has_unknown_outcome(operators: &[String], id: &str) -> bool {
     let Some(name) = id
         .strip_prefix("desk/")
         .filter(|name| name.starts_with('c'))
--- a/examples/first_week/fleet.rs
+++ b/examples/first_week/fleet.rs
@@ -23,14 +23,14 @@
 use std::time::Instant;
 
 /// How long an append to the log takes.
-const APPEND_MS: u64 = 5;
+const APPEND_LATENCY_MS: u64 = 5;
 /// How long an instance works on a request.
-const WORK_MS: u64 = 8;
+const REQUEST_TIME_MS: u64 = 8;
 /// How long a job runs.
 const RUN_TIME_MS: u64 = 400;
 
 /// Result of a step of the example.
-pub(crate) type Step<T> = Result<T, Box<dyn Error>>;
+pub(crate) type SetupResult<T> = Result<T, Box<dyn Error>>;
 
 /// The whole fleet.
 pub(crate) struct Fleet {
@@ -50,23 +50,26 @@
 
 impl Fleet {
     /// Starts everything on loopback, on ports that the system picks.
-    pub(crate) fn start() -> Step<Self> {
-        let began = Instant::now();
-        let log = LogServer::start(APPEND_MS)?;
+    pub(crate) fn start() -> SetupResult<Self> {
+        let started = Instant::now();
+        let log = LogServer::start(APPEND_LATENCY_MS)?;
         let hosts = HostListServer::start()?;
         let mut workers = BTreeMap::new();
         for number in 1..=9 {
             let has_service = ![3, 6, 9].contains(&number);
-            let room = match has_service {
+            let resources = match has_service {
                 true => (28_000, 117_000, 0),
                 false => (32_000, 125_000, 0),
             };
-            let worker = WorkerServer::start(WorkerState::new(room, RUN_TIME_MS), began)?;
+            let worker = WorkerServer::start(WorkerState::new(resources, RUN_TIME_MS), started)?;
             workers.insert(format!("w{number}"), worker);
         }
         let mut upstreams = BTreeMap::new();
         for number in 1..=6 {
-            upstreams.insert(format!("b{number}"), UpstreamServer::start(WORK_MS, began)?);
+            upstreams.insert(
+                format!("b{number}"),
+                UpstreamServer::start(REQUEST_TIME_MS, started)?,
+            );
         }
         let mut list = Vec::new();
         let addresses = workers
@@ -102,13 +105,13 @@
         Ok(fleet)
     }
 
-    fn wait_until_ready(&self) -> Step<()> {
-        const PATIENCE: Duration = Duration::from_secs(30);
-        let began = Instant::now();
+    fn wait_until_ready(&self) -> SetupResult<()> {
+        const READY_TIMEOUT: Duration = Duration::from_secs(30);
+        let started = Instant::now();
         for settings in self.settings.values() {
             let url = format!("http://{}/readyz", settings.own().operator_address);
             while ureq::get(&url).call().is_err() {
-                if began.elapsed() > PATIENCE {
+                if started.elapsed() > READY_TIMEOUT {
                     return Err("the entry hosts did not get ready within 30 s".into());
                 }
                 thread::sleep(Duration::from_millis(50));
@@ -118,7 +121,7 @@
     }
 
     /// Publishes the inventory and waits until all cells are served.
-    pub(crate) fn publish(&self) -> Step<()> {
+    pub(crate) fn publish(&self) -> SetupResult<()> {
         let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/spa/inventory.ini");
         let text = std::fs::read_to_string(file)?;
         let (sections, _) = load_sections("examples/spa/inventory.ini", &text)?;
@@ -132,18 +135,18 @@
             "http://{}/v1/config",
             self.settings["e1"].own().operator_address
         );
-        let began = Instant::now();
+        let started = Instant::now();
         ureq::post(&url).send_json(&request)?;
-        println!("accepted after {} ms", began.elapsed().as_millis());
+        println!("accepted after {} ms", started.elapsed().as_millis());
         self.wait_until_served()
     }
 
     /// Waits until each of the 16 + 3 + 3 cells has an owner that serves it.
-    fn wait_until_served(&self) -> Step<()> {
-        const PATIENCE: Duration = Duration::from_secs(30);
+    fn wait_until_served(&self) -> SetupResult<()> {
+        const READY_TIMEOUT: Duration = Duration::from_secs(30);
         const CELLS: usize = 16 + 3 + 3;
-        let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+        let started = Instant::now();
+        while started.elapsed() < READY_TIMEOUT {
             let mut cells = 0;
             for settings in self.settings.values() {
                 let url = format!("http://{}/v1/status", settings.own().operator_address);
@@ -164,7 +167,7 @@
 }
 
 /// Writes the settings of three seats on addresses that are free now.
-fn settings(log: &LogServer, hosts: &HostListServer) -> Step<BTreeMap<String, Settings>> {
+fn settings(log: &LogServer, hosts: &HostListServer) -> SetupResult<BTreeMap<String, Settings>> {
     const SEATS: [(&str, &str, &str); 3] = [
         ("e1", "127.0.0.1", "espoo"),
         ("e2", "127.0.0.2", "vantaa"),
@@ -174,9 +177,9 @@
     for (index, (name, address, domain)) in SEATS.iter().enumerate() {
         // All three listeners live at once, so the three ports differ.
         let ports = [
-            free_port(address)?,
-            free_port(address)?,
-            free_port(address)?,
+            bind_free_port(address)?,
+            bind_free_port(address)?,
+            bind_free_port(address)?,
         ];
         let port = |listener: &TcpListener| listener.local_addr().map(|address| address.port());
         seats.push_str(&format!(
@@ -204,6 +207,6 @@
     Ok(all)
 }
 
-fn free_port(address: &str) -> Step<TcpListener> {
+fn bind_free_port(address: &str) -> SetupResult<TcpListener> {
     Ok(TcpListener::bind((address, 0))?)
 }
--- a/examples/first_week/verdict.rs
+++ b/examples/first_week/verdict.rs
@@ -1,7 +1,7 @@
 //! The verdict, by what the stand-ins recorded.
 
+use crate::callers::Outcome;
 use crate::callers::Report;
-use crate::callers::Told;
 use crate::fleet::Fleet;
 use goldcrestway_standin::TaskRun;
 use hdrhistogram::Histogram;
@@ -10,7 +10,7 @@
 use std::sync::PoisonError;
 
 /// Names the jobs that finished.
-pub(crate) fn finished(fleet: &Fleet) -> BTreeSet<String> {
+pub(crate) fn finished_jobs(fleet: &Fleet) -> BTreeSet<String> {
     let runs = task_runs(fleet);
     runs.into_iter()
         .filter(|(_, run)| run.is_finished)
@@ -28,8 +28,8 @@
 }
 
 /// Prints the table and lists what broke.
-pub(crate) fn judge(fleet: &Fleet, told: &Report) -> Vec<String> {
-    let mut broken = told.wrong.clone();
+pub(crate) fn judge(fleet: &Fleet, report: &Report) -> Vec<String> {
+    let mut violations = report.errors.clone();
     let mut executions: BTreeMap<String, Vec<(u64, u64)>> = BTreeMap::new();
     for (name, upstream) in &fleet.upstreams {
         let state = upstream
@@ -37,7 +37,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if state.max_in_use > 8 {
-            broken.push(format!(
+            violations.push(format!(
                 "instance {name} worked on {} requests at once",
                 state.max_in_use
             ));
@@ -51,40 +51,41 @@
     }
     let mut counts = [0_usize; 3];
     let (mut twice, mut lost) = (0, 0);
-    for (identity, (is_once, outcome)) in &told.requests {
+    for (identity, (is_non_idempotent, outcome)) in &report.requests {
         let runs = executions
             .get(identity)
             .map(|runs| &**runs)
             .unwrap_or_default();
         counts[*outcome as usize] += 1;
-        if *is_once && runs.len() > 1 {
+        if *is_non_idempotent && runs.len() > 1 {
             twice += 1;
-            broken.push(format!("request {identity} ran {} times", runs.len()));
+            violations.push(format!("request {identity} ran {} times", runs.len()));
         }
         if overlaps(runs) {
             twice += 1;
-            broken.push(format!("request {identity} ran in two places at once"));
+            violations.push(format!("request {identity} ran in two places at once"));
         }
-        if *outcome == Told::Answered && runs.is_empty() {
+        if *outcome == Outcome::Answered && runs.is_empty() {
             lost += 1;
-            broken.push(format!("request {identity} was answered but never ran"));
+            violations.push(format!("request {identity} was answered but never ran"));
         }
-        if *outcome == Told::NotRun && !runs.is_empty() {
-            broken.push(format!("request {identity} was told not run but ran"));
+        if *outcome == Outcome::NotRun && !runs.is_empty() {
+            violations.push(format!("request {identity} was told not run but ran"));
         }
-        if !*is_once && *outcome != Told::Answered {
+        if !*is_non_idempotent && *outcome != Outcome::Answered {
             lost += 1;
-            broken.push(format!("request {identity} was never answered"));
+            violations.push(format!("request {identity} was never answered"));
         }
     }
-    let (jobs_twice, evictions) = judge_jobs(fleet, told, &mut broken);
-    let done = finished(fleet);
-    let settled = |id: &&String| !done.contains(*id) && !told.unknown_jobs.contains(*id);
-    for id in told.jobs.iter().filter(settled) {
+    let (jobs_twice, evictions) = judge_jobs(fleet, report, &mut violations);
+    let finished = finished_jobs(fleet);
+    let is_unaccounted =
+        |id: &&String| !finished.contains(*id) && !report.unknown_jobs.contains(*id);
+    for id in report.jobs.iter().filter(is_unaccounted) {
         lost += 1;
-        broken.push(format!("job {id} did not finish"));
+        violations.push(format!("job {id} did not finish"));
     }
-    let spread = |times: &Histogram<u64>| {
+    let percentiles = |times: &Histogram<u64>| {
         let at = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
         format!("{:.1} / {:.1} / {:.1} ms", at(0.5), at(0.99), at(0.999))
     };
@@ -93,33 +94,40 @@
         .state
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
-    println!("asked              {}", told.requests.len());
-    println!("answered           {}", counts[Told::Answered as usize]);
+    println!("asked              {}", report.requests.len());
+    println!("answered           {}", counts[Outcome::Answered as usize]);
     println!(
         "not run            {} (and {} times on the way)",
-        counts[Told::NotRun as usize],
-        told.refusals
+        counts[Outcome::NotRun as usize],
+        report.refusals
     );
-    println!("unknown            {}", counts[Told::Unknown as usize]);
+    println!("unknown            {}", counts[Outcome::Unknown as usize]);
     println!("run twice          {}", twice + jobs_twice);
     println!("lost               {lost}");
-    println!("p50/p99/p99.9      {} idempotent", spread(&told.free_us));
+    println!(
+        "p50/p99/p99.9      {} idempotent",
+        percentiles(&report.idempotent_us)
+    );
     println!(
         "p50/p99/p99.9      {} non-idempotent",
-        spread(&told.once_us)
+        percentiles(&report.non_idempotent_us)
+    );
+    println!(
+        "jobs finished      {} of {}",
+        finished.len(),
+        report.jobs.len()
     );
-    println!("jobs finished      {} of {}", done.len(), told.jobs.len());
     println!(
         "jobs of unknown end {} (never-twice, their host or its owner died)",
-        told.unknown_jobs.len()
+        report.unknown_jobs.len()
     );
     println!("evictions          {evictions}");
     println!("appends to the log {} ({} bytes)", log.appends, log.bytes);
-    broken
+    violations
 }
 
 /// Judges the jobs: never two places at once, finished once.
-fn judge_jobs(fleet: &Fleet, told: &Report, broken: &mut Vec<String>) -> (usize, usize) {
+fn judge_jobs(fleet: &Fleet, report: &Report, violations: &mut Vec<String>) -> (usize, usize) {
     let mut by_job: BTreeMap<String, Vec<TaskRun>> = BTreeMap::new();
     for (_, run) in task_runs(fleet) {
         by_job.entry(run.id.clone()).or_default().push(run);
@@ -133,27 +141,27 @@
             .collect();
         if overlaps(&spans) {
             twice += 1;
-            broken.push(format!("job {id} ran in two places at once"));
+            violations.push(format!("job {id} ran in two places at once"));
         }
         // A run that finished on a host which died before it could tell is not
         // known to anybody; such a job runs again unless it is never-twice.
-        let heard_ms = runs.iter().filter_map(|run| run.reported_ms).min();
+        let reported_ms = runs.iter().filter_map(|run| run.reported_ms).min();
         if runs
             .iter()
-            .any(|run| heard_ms.is_some_and(|heard| run.started_ms > heard))
+            .any(|run| reported_ms.is_some_and(|reported_ms| run.started_ms > reported_ms))
         {
             twice += 1;
-            broken.push(format!("job {id} ran again after its end was known"));
+            violations.push(format!("job {id} ran again after its end was known"));
         }
         if id.starts_with("desk/c") && runs.len() > 1 {
             twice += 1;
-            broken.push(format!(
+            violations.push(format!(
                 "job {id} must not run twice but ran {} times",
                 runs.len()
             ));
         }
-        if !told.jobs.contains(id) {
-            broken.push(format!("job {id} ran but was never accepted"));
+        if !report.jobs.contains(id) {
+            violations.push(format!("job {id} ran but was never accepted"));
         }
     }
     (twice, evictions)
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -32,28 +32,28 @@
 }
 
 fn run(minutes: u64) -> std::io::Result<()> {
-    const APPEND_MS: u64 = 5;
-    const WORK_MS: u64 = 10;
+    const APPEND_LATENCY_MS: u64 = 5;
+    const REQUEST_TIME_MS: u64 = 10;
     const RUN_TIME_MS: u64 = 2_000;
     const SECONDS_PER_MINUTE: u64 = 60;
-    let began = Instant::now();
-    let log = LogServer::start_at("127.0.0.1:7000", APPEND_MS)?;
+    let started = Instant::now();
+    let log = LogServer::start_at("127.0.0.1:7000", APPEND_LATENCY_MS)?;
     let hosts = HostListServer::start_at("127.0.0.1:7001")?;
     let mut list = Vec::new();
     let mut workers = Vec::new();
     for number in 1..=9 {
-        let room = match number % 3 {
+        let resources = match number % 3 {
             0 => (32_000, 125_000, 0),
             _ => (28_000, 117_000, 0),
         };
-        let worker = WorkerServer::start(WorkerState::new(room, RUN_TIME_MS), began)?;
-        list.push(listed(format!("w{number}"), worker.address()));
+        let worker = WorkerServer::start(WorkerState::new(resources, RUN_TIME_MS), started)?;
+        list.push(listed_host(format!("w{number}"), worker.address()));
         workers.push(worker);
     }
     let mut upstreams = Vec::new();
     for number in 1..=6 {
-        let upstream = UpstreamServer::start(WORK_MS, began)?;
-        list.push(listed(format!("b{number}"), upstream.address()));
+        let upstream = UpstreamServer::start(REQUEST_TIME_MS, started)?;
+        list.push(listed_host(format!("b{number}"), upstream.address()));
         upstreams.push(upstream);
     }
     if let Ok(mut served) = hosts.hosts.lock() {
@@ -112,7 +112,7 @@
     );
 }
 
-fn listed(name: String, address: String) -> Listed {
+fn listed_host(name: String, address: String) -> Listed {
     Listed {
         name,
         address,
