--- a/examples/first_week.rs
+++ b/examples/first_week.rs
@@ -1,7 +1,8 @@
-//! The whole path on loopback: three entry hosts, the stand-ins for the platform,
-//! nine workers, six instances. Publishes an inventory, sends requests and jobs,
-//! kills an entry host and a worker half way, and judges the outcome by what the
-//! stand-ins recorded. Exits with 1 where a promise broke.
+//! Runs the whole system on loopback: three entry hosts, stand-ins for the
+//! platform, nine workers and six instances. Publishes an inventory, sends requests
+//! and jobs, kills an entry host and a worker halfway through, and checks the
+//! guarantees against what the stand-ins recorded. Exits with 1 if a guarantee was
+//! violated.
 
 #[path = "first_week/callers.rs"]
 mod callers;
@@ -21,13 +22,13 @@
     let mut fleet = match Fleet::start() {
         Ok(fleet) => fleet,
         Err(error) => {
-            eprintln!("the example can't start: {error}");
+            eprintln!("failed to start the example: {error}");
             return ExitCode::FAILURE;
         }
     };
     println!("3 entry hosts, 9 workers, 6 instances are up; publishing the inventory");
     if let Err(error) = fleet.publish() {
-        eprintln!("publishing failed: {error}");
+        eprintln!("failed to publish the inventory: {error}");
         return ExitCode::FAILURE;
     }
     println!("published; sending 2000 requests and 200 jobs, killing e2 and w3 half way");
--- a/examples/first_week/callers.rs
+++ b/examples/first_week/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: requests and jobs, each repeated under its identity until its fate is
-//! known, as a careful client would.
+//! Callers that send requests and submit jobs. Each request or job is retried under
+//! its identity until its outcome is known, as a correct client does.
 
 use crate::fleet::Fleet;
 use goldcrestway_daemon::JobRequest;
@@ -15,41 +15,42 @@
 
 const REQUESTS: usize = 2_000;
 const JOBS: usize = 200;
-/// Callers at a time.
 const MAX_CONCURRENT_CALLERS: usize = 24;
-/// How long a caller goes on asking.
+/// Time after which a caller gives up retrying.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What a caller was told last of one request.
+/// Last outcome of a request that its caller received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// Answered, whole.
+    /// Answered with a complete body.
     Answered,
-    /// Not run, and the caller has given up.
+    /// Not run; the caller has given up.
     NotRun,
-    /// Not known.
+    /// It is unknown whether the request ran.
     Unknown,
 }
 
-/// What callers were told of everything.
+/// Results of all requests and jobs as the callers saw them.
 pub(crate) struct Report {
     /// Requests by identity; `true` marks a non-idempotent one.
     pub(crate) requests: BTreeMap<String, (bool, Outcome)>,
     /// Jobs that were accepted.
     pub(crate) jobs: Vec<String>,
-    /// Never-twice jobs whose end is not known, because their host died.
+    /// Never-twice jobs whose outcome is unknown because their host died.
     pub(crate) unknown_jobs: Vec<String>,
     /// Time to the final answer of idempotent requests, in microseconds.
     pub(crate) idempotent_us: Histogram<u64>,
-    /// The same of non-idempotent ones.
+    /// Time to the final answer of non-idempotent requests, in microseconds.
     pub(crate) non_idempotent_us: Histogram<u64>,
-    /// Answers "not run" on the way, after which the caller asked again.
+    /// Number of "not run" answers after which the caller retried.
     pub(crate) refusals: usize,
-    /// Answers that did not belong to the request, or were not whole.
+    /// Answers with a body that is not the one expected for the request, and jobs
+    /// that were never accepted.
     pub(crate) errors: Vec<String>,
 }
 
-/// Sends everything; kills e2 and w3 half way.
+/// Sends all requests and submits all jobs; kills entry host e2 and worker w3 after
+/// half of the requests.
 pub(crate) fn run(fleet: &mut Fleet, seed: usize) -> Report {
     let next = AtomicUsize::new(0);
     let report = Mutex::new(Report {
@@ -102,7 +103,7 @@
 
 fn new_histogram() -> Histogram<u64> {
     const DIGITS: u8 = 3;
-    // Up to a minute in microseconds, to three digits.
+    // Covers up to one minute, in microseconds.
     Histogram::new_with_bounds(1, 60_000_000, DIGITS)
         .unwrap_or_else(|_| unreachable!("the bounds are valid"))
 }
@@ -116,11 +117,13 @@
         .new_agent()
 }
 
-/// What one try brought.
+/// Result of a single attempt at a request.
 enum Response {
+    /// The complete body of an answer.
     Whole(String),
-    /// An outcome, and whether asking again makes sense.
+    /// The outcome header, and whether `Retry-After` was set.
     Header(String, bool),
+    /// No response, no outcome header, or a truncated body.
     NoAnswer,
 }
 
@@ -133,7 +136,7 @@
     let mut refusals = 0;
     let mut turn = number;
     while started.elapsed() < RETRY_TIMEOUT {
-        // The balancer sends each try to some entry host.
+        // Stands for a load balancer: each attempt goes to another entry host.
         turn += 1;
         let url = format!(
             "http://{}/services/booking/slot",
@@ -246,7 +249,8 @@
         .push(format!("job j{number} was never accepted"));
 }
 
-/// Waits until every accepted job has finished, or is told to be of unknown end.
+/// Waits until every accepted job has finished or is reported as having an unknown
+/// outcome, for at most `RETRY_TIMEOUT`.
 fn wait_for_jobs(operators: &[String], fleet: &Fleet, report: &Mutex<Report>) {
     let started = Instant::now();
     while started.elapsed() < RETRY_TIMEOUT {
@@ -271,7 +275,8 @@
     }
 }
 
-/// Asks for a never-twice job's state by submitting it again.
+/// Returns whether a never-twice job has an unknown outcome. Reads the job's state
+/// by submitting it again under the same identity.
 fn has_unknown_outcome(operators: &[String], id: &str) -> bool {
     let Some(name) = id
         .strip_prefix("desk/")
--- a/examples/first_week/fleet.rs
+++ b/examples/first_week/fleet.rs
@@ -1,4 +1,5 @@
-//! Everything that runs: daemons, stand-ins, workers, instances.
+//! Starts the processes of the example on loopback: daemons, stand-ins of the
+//! platform, workers and instances.
 
 use goldcrestway_daemon::Daemon;
 use goldcrestway_daemon::PublishRequest;
@@ -29,27 +30,27 @@
 /// How long a job runs.
 const RUN_TIME_MS: u64 = 400;
 
-/// Result of a step of the example.
+/// Result of setting up a part of the example.
 pub(crate) type SetupResult<T> = Result<T, Box<dyn Error>>;
 
-/// The whole fleet.
+/// All processes of the example.
 pub(crate) struct Fleet {
-    /// The log.
+    /// Stand-in for the log.
     pub(crate) log: LogServer,
-    /// The platform's list.
+    /// Stand-in for the platform's list of hosts.
     pub(crate) _hosts: HostListServer,
     /// Workers by name.
     pub(crate) workers: BTreeMap<String, WorkerServer>,
     /// Instances by name.
     pub(crate) upstreams: BTreeMap<String, UpstreamServer>,
-    /// Daemons by seat; a killed one is gone.
+    /// Running daemons by seat; a killed daemon is removed.
     pub(crate) daemons: BTreeMap<String, Daemon>,
     /// Settings by seat.
     pub(crate) settings: BTreeMap<String, Settings>,
 }
 
 impl Fleet {
-    /// Starts everything on loopback, on ports that the system picks.
+    /// Starts everything on loopback, on ports that the operating system picks.
     pub(crate) fn start() -> SetupResult<Self> {
         let started = Instant::now();
         let log = LogServer::start(APPEND_LATENCY_MS)?;
@@ -112,7 +113,7 @@
             let url = format!("http://{}/readyz", settings.own().operator_address);
             while ureq::get(&url).call().is_err() {
                 if started.elapsed() > READY_TIMEOUT {
-                    return Err("the entry hosts did not get ready within 30 s".into());
+                    return Err("the entry hosts did not become ready within 30 s".into());
                 }
                 thread::sleep(Duration::from_millis(50));
             }
@@ -175,7 +176,7 @@
     ];
     let mut seats = String::new();
     for (index, (name, address, domain)) in SEATS.iter().enumerate() {
-        // All three listeners live at once, so the three ports differ.
+        // The three listeners are open at the same time, which makes their ports differ.
         let ports = [
             bind_free_port(address)?,
             bind_free_port(address)?,
--- a/examples/first_week/verdict.rs
+++ b/examples/first_week/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict, by what the stand-ins recorded.
+//! Checks the guarantees for requests and jobs against what the stand-ins recorded.
 
 use crate::callers::Outcome;
 use crate::callers::Report;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::sync::PoisonError;
 
-/// Names the jobs that finished.
+/// Returns the identities of the jobs that finished.
 pub(crate) fn finished_jobs(fleet: &Fleet) -> BTreeSet<String> {
     let runs = task_runs(fleet);
     runs.into_iter()
@@ -27,7 +27,7 @@
     runs
 }
 
-/// Prints the table and lists what broke.
+/// Prints a summary table and returns a description of each violated guarantee.
 pub(crate) fn judge(fleet: &Fleet, report: &Report) -> Vec<String> {
     let mut violations = report.errors.clone();
     let mut executions: BTreeMap<String, Vec<(u64, u64)>> = BTreeMap::new();
@@ -70,7 +70,9 @@
             violations.push(format!("request {identity} was answered but never ran"));
         }
         if *outcome == Outcome::NotRun && !runs.is_empty() {
-            violations.push(format!("request {identity} was told not run but ran"));
+            violations.push(format!(
+                "request {identity} was reported as not run but ran"
+            ));
         }
         if !*is_non_idempotent && *outcome != Outcome::Answered {
             lost += 1;
@@ -126,7 +128,9 @@
     violations
 }
 
-/// Judges the jobs: never two places at once, finished once.
+/// Checks that no job ran in two places at once, that none ran again after its end
+/// was reported, that a never-twice job ran once, and that each job was accepted.
+/// Returns the number of violations of the first three and the number of evictions.
 fn judge_jobs(fleet: &Fleet, report: &Report, violations: &mut Vec<String>) -> (usize, usize) {
     let mut by_job: BTreeMap<String, Vec<TaskRun>> = BTreeMap::new();
     for (_, run) in task_runs(fleet) {
@@ -143,8 +147,8 @@
             twice += 1;
             violations.push(format!("job {id} ran in two places at once"));
         }
-        // A run that finished on a host which died before it could tell is not
-        // known to anybody; such a job runs again unless it is never-twice.
+        // If a host dies before it reports the end of a run, nobody knows that the run
+        // finished; such a job runs again unless it is never-twice.
         let reported_ms = runs.iter().filter_map(|run| run.reported_ms).min();
         if runs
             .iter()
@@ -167,7 +171,7 @@
     (twice, evictions)
 }
 
-/// Tells whether two of the spans overlap.
+/// Returns whether any two of the spans overlap.
 fn overlaps(spans: &[(u64, u64)]) -> bool {
     let mut sorted = spans.to_vec();
     sorted.sort_unstable();
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's stand-ins for a first day: the log at 127.0.0.1:7000, the list
-//! of hosts at 127.0.0.1:7001, and the workers and instances of
-//! `examples/spa/inventory.ini`. Runs for the given number of minutes, ten unless
-//! said otherwise, and ends by itself with a count of what ran more than once:
-//! requests are told apart by their bodies, jobs by their identities.
+//! Stand-ins for the platform, to try out the system: the log at 127.0.0.1:7000, the
+//! list of hosts at 127.0.0.1:7001, and the workers and instances of
+//! `examples/spa/inventory.ini`. Runs for the given number of minutes (10 by
+//! default), then prints how many requests and jobs ran more than once and exits.
+//! Requests are identified by their bodies, jobs by their identities.
 
 use goldcrestway_platform::Listed;
 use goldcrestway_standin::HostListServer;
@@ -25,7 +25,7 @@
     match run(minutes) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("the stand-ins can't start: {error}. Free the ports 7000 and 7001");
+            eprintln!("failed to start the stand-ins: {error}. Ports 7000 and 7001 must be free");
             ExitCode::FAILURE
         }
     }
@@ -69,7 +69,8 @@
     Ok(())
 }
 
-/// Prints what the stand-ins recorded.
+/// Prints how many requests and jobs the stand-ins ran, and how many of them ran
+/// more often than allowed.
 fn report(workers: &[WorkerServer], upstreams: &[UpstreamServer]) {
     const SLOTS: u32 = 8;
     let mut requests: BTreeMap<String, usize> = BTreeMap::new();
