--- a/examples/first_week/verdict.rs
+++ b/examples/first_week/verdict.rs
@@ -149,10 +149,10 @@
         }
         // If a host dies before it reports the end of a run, nobody knows that the run
         // finished; such a job runs again unless it is never-twice.
-        let reported_ms = runs.iter().filter_map(|run| run.reported_ms).min();
+        let first_report_ms = runs.iter().filter_map(|run| run.reported_ms).min();
         if runs
             .iter()
-            .any(|run| reported_ms.is_some_and(|reported_ms| run.started_ms > reported_ms))
+            .any(|run| first_report_ms.is_some_and(|first_ms| run.started_ms > first_ms))
         {
             twice += 1;
             violations.push(format!("job {id} ran again after its end was known"));
