--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -4,7 +4,7 @@
 use criterion::BenchmarkId;
 use criterion::Criterion;
 use goldcrestway_bench::dispatching::Fleet;
-use goldcrestway_bench::slopes::TASKS;
+use goldcrestway_bench::slopes::PLANNED_TASKS;
 use goldcrestway_bench::slopes::decide_start;
 use goldcrestway_bench::slopes::first_fit;
 use goldcrestway_bench::slopes::grant_and_release;
@@ -34,7 +34,7 @@
 fn starts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("start");
     for hosts in SIZES {
-        let mut cells = worker_cells(hosts, TASKS * hosts / 8_400);
+        let mut cells = worker_cells(hosts, PLANNED_TASKS * hosts / 8_400);
         let mut random = Pcg32::seed_from_u64(5);
         let mut number = 0;
         group.bench_function(BenchmarkId::new("chosen", hosts), |bencher| {
@@ -86,7 +86,7 @@
 fn ratios() {
     const ROUNDS: usize = 20_000;
     for hosts in SIZES {
-        let mut cells = worker_cells(hosts, TASKS * hosts / 8_400);
+        let mut cells = worker_cells(hosts, PLANNED_TASKS * hosts / 8_400);
         let mut random = Pcg32::seed_from_u64(5);
         let started = Instant::now();
         for number in 0..ROUNDS {
--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -4,7 +4,7 @@
 use crate::edges::HTTP_BYTES;
 use crate::facts::facts;
 use crate::series::Series;
-use crate::slopes::TASKS;
+use crate::slopes::PLANNED_TASKS;
 use minijinja::Environment;
 use minijinja::Value;
 use minijinja::syntax::SyntaxConfig;
@@ -15,13 +15,13 @@
 const TEMPLATE: &str = include_str!("capacity.md.jinja");
 
 /// What the users allow for control on each node.
-const ALLOWED_CPU_US: f64 = 37_000.0;
-pub(crate) const ALLOWED_BYTES: f64 = 14_000.0;
-const ALLOWED_MEMORY: f64 = 128e6;
+const ALLOWED_CPU_US_PER_S: f64 = 37_000.0;
+pub(crate) const ALLOWED_BYTES_PER_S: f64 = 14_000.0;
+const ALLOWED_MEMORY_BYTES: f64 = 128e6;
 /// Appends that the log takes, of several hundred.
-pub(crate) const LOG_APPENDS: f64 = 300.0;
+pub(crate) const LOG_APPENDS_PER_S: f64 = 300.0;
 /// Base64 around records.
-pub(crate) const BASE64: f64 = 4.0 / 3.0;
+pub(crate) const BASE64_FACTOR: f64 = 4.0 / 3.0;
 pub(crate) const DAY_S: f64 = 86_400.0;
 
 /// The sizes of a fleet.
@@ -114,12 +114,12 @@
     }
 
     /// Gives a value on the straight line through a series.
-    pub(crate) fn at(&self, name: &str, size: f64) -> f64 {
+    pub(crate) fn value_at(&self, name: &str, size: f64) -> f64 {
         let Some(series) = self.0.get(name) else {
             return 0.0;
         };
-        let (zero, slope) = series.fit();
-        zero + slope * size
+        let (intercept, slope) = series.fit();
+        intercept + slope * size
     }
 
     /// Gives the slope of a series.
@@ -148,32 +148,32 @@
 }
 
 /// All control traffic of the fleet, summed over its entry hosts.
-fn lines(slopes: &Slopes, sizes: Sizes, pace: Pace) -> Vec<Line> {
+fn lines(slopes: &Slopes, sizes: Sizes, rates: Pace) -> Vec<Line> {
     let measured_heartbeats = 4.0;
-    let beat = pace.heartbeats_per_s / measured_heartbeats;
+    let heartbeat_factor = rates.heartbeats_per_s / measured_heartbeats;
     let per_worker = sizes.tasks / sizes.workers;
-    let calls = sizes.workers * pace.worker_polls_per_s;
+    let calls = sizes.workers * rates.worker_polls_per_s;
     let changes_per_call = 3.0 * sizes.starts_per_s / calls;
-    let call_bytes = match pace.lists_changes_only {
-        true => slopes.at("worker_change_bytes", changes_per_call),
-        false => slopes.at("worker_call_bytes", per_worker),
+    let call_bytes = match rates.lists_changes_only {
+        true => slopes.value_at("worker_change_bytes", changes_per_call),
+        false => slopes.value_at("worker_call_bytes", per_worker),
     };
-    let polls = 2.0 * pace.polls_per_s * sizes.entries;
-    const EMPTY_ANSWER: f64 = 45.0;
+    let polls = 2.0 * rates.polls_per_s * sizes.entries;
+    const EMPTY_ANSWER_BYTES: f64 = 45.0;
     let change_rate = sizes.changes_per_day / DAY_S;
     let config_bytes = slopes.slope("config_bytes") * sizes.workers;
     let start_appends =
-        (sizes.starts_per_s * 3.0 / 500.0).max(LOG_APPENDS.min(sizes.starts_per_s * 3.0));
+        (sizes.starts_per_s * 3.0 / 500.0).max(LOG_APPENDS_PER_S.min(sizes.starts_per_s * 3.0));
     let entry_restarts = sizes.restarts_per_day * sizes.entries / (sizes.workers + sizes.entries);
     vec![
         Line {
             role: "membership: heartbeats and promises",
             messages: format!(
                 "{:.0}/s",
-                slopes.last("member_messages") * beat * sizes.entries
+                slopes.last("member_messages") * heartbeat_factor * sizes.entries
             ),
-            cpu_us: slopes.at("member_cpu", sizes.entries) * beat * sizes.entries,
-            bytes: slopes.last("member_bytes") * beat * sizes.entries,
+            cpu_us: slopes.value_at("member_cpu", sizes.entries) * heartbeat_factor * sizes.entries,
+            bytes: slopes.last("member_bytes") * heartbeat_factor * sizes.entries,
             memory: 0.0,
             appends: 0.0,
             slopes: "member_messages, member_bytes, member_cpu",
@@ -181,46 +181,48 @@
         Line {
             role: "following claims and configuration",
             messages: format!("{polls:.0} reads/s"),
-            cpu_us: polls * slopes.at("append_edge_us", 0.0)
-                + change_rate * slopes.at("change_us", sizes.workers) * sizes.entries,
-            bytes: polls * (HTTP_BYTES + EMPTY_ANSWER)
-                + change_rate * slopes.last("change_bytes") * BASE64 * sizes.entries,
+            cpu_us: polls * slopes.value_at("append_edge_us", 0.0)
+                + change_rate * slopes.value_at("change_us", sizes.workers) * sizes.entries,
+            bytes: polls * (HTTP_BYTES + EMPTY_ANSWER_BYTES)
+                + change_rate * slopes.last("change_bytes") * BASE64_FACTOR * sizes.entries,
             memory: slopes.slope("config_memory") * sizes.workers * sizes.entries,
             appends: change_rate,
             slopes: "append_edge_us, change_us, change_bytes, config_memory",
         },
         Line {
             role: "carrying the configuration forward",
-            messages: format!("1 record in {:.0} s", pace.carry_s),
+            messages: format!("1 record in {:.0} s", rates.carry_s),
             cpu_us: 0.0,
-            bytes: config_bytes * BASE64 / pace.carry_s * (sizes.entries + 1.0),
+            bytes: config_bytes * BASE64_FACTOR / rates.carry_s * (sizes.entries + 1.0),
             memory: 0.0,
-            appends: 2.0 / pace.carry_s,
+            appends: 2.0 / rates.carry_s,
             slopes: "config_bytes",
         },
         Line {
             role: "fresh entry hosts loading the configuration",
             messages: format!("{entry_restarts:.0}/day"),
-            cpu_us: entry_restarts / DAY_S * slopes.at("config_load_us", sizes.workers),
-            bytes: entry_restarts / DAY_S * config_bytes * BASE64,
+            cpu_us: entry_restarts / DAY_S * slopes.value_at("config_load_us", sizes.workers),
+            bytes: entry_restarts / DAY_S * config_bytes * BASE64_FACTOR,
             memory: 0.0,
             appends: entry_restarts * 3.0 / DAY_S,
             slopes: "config_bytes, config_load_us",
         },
         Line {
             role: "following the list of hosts",
-            messages: format!("{:.0} lists/s", pace.lists_per_s * sizes.entries),
+            messages: format!("{:.0} lists/s", rates.lists_per_s * sizes.entries),
             cpu_us: 0.0,
-            bytes: match pace.lists_changes_only {
+            bytes: match rates.lists_changes_only {
                 true => {
                     let changes = 2.0 * sizes.restarts_per_day / DAY_S;
                     sizes.entries
-                        * (pace.lists_per_s * HTTP_BYTES
+                        * (rates.lists_per_s * HTTP_BYTES
                             + changes * slopes.slope("host_list_bytes"))
                 }
                 false => {
-                    let listed = sizes.workers + sizes.upstreams;
-                    pace.lists_per_s * sizes.entries * slopes.at("host_list_bytes", listed)
+                    let listed_hosts = sizes.workers + sizes.upstreams;
+                    rates.lists_per_s
+                        * sizes.entries
+                        * slopes.value_at("host_list_bytes", listed_hosts)
                 }
             },
             memory: 0.0,
@@ -231,7 +233,8 @@
             role: "owning cells of workers: calls",
             messages: format!("{calls:.0} calls/s"),
             cpu_us: calls
-                * (slopes.at("worker_edge_us", per_worker) + slopes.at("listing_us", per_worker)),
+                * (slopes.value_at("worker_edge_us", per_worker)
+                    + slopes.value_at("listing_us", per_worker)),
             bytes: calls * call_bytes,
             memory: slopes.last("task_bytes") * sizes.tasks,
             appends: 0.0,
@@ -244,9 +247,10 @@
                 * (slopes.last("job_home_us")
                     + slopes.last("start_decision_us")
                     + start_record_us(slopes))
-                + start_appends * slopes.at("append_edge_us", 4_000.0),
+                + start_appends * slopes.value_at("append_edge_us", 4_000.0),
             bytes: sizes.starts_per_s
-                * (slopes.last("task_message_bytes") * 2.0 + start_record_bytes(slopes) * BASE64)
+                * (slopes.last("task_message_bytes") * 2.0
+                    + start_record_bytes(slopes) * BASE64_FACTOR)
                 + start_appends * HTTP_BYTES,
             memory: slopes.last("job_bytes") * sizes.tasks,
             appends: start_appends,
@@ -264,7 +268,7 @@
     ]
 }
 
-pub(crate) fn number(value: f64) -> String {
+pub(crate) fn format_number(value: f64) -> String {
     match value.abs() {
         size if size >= 1e6 => format!("{:.1} M", value / 1e6),
         size if size >= 1e4 => format!("{:.1} k", value / 1e3),
@@ -284,29 +288,33 @@
     }
 }
 
-fn sum(slopes: &Slopes, name: &'static str, sizes: Sizes, pace: Pace) -> Sum {
-    let lines = lines(slopes, sizes, pace);
+fn summarize(slopes: &Slopes, name: &'static str, sizes: Sizes, rates: Pace) -> Sum {
+    let lines = lines(slopes, sizes, rates);
     let total = |pick: fn(&Line) -> f64| lines.iter().map(pick).sum::<f64>();
     let (cpu, bytes) = (total(|line| line.cpu_us), total(|line| line.bytes));
     let memory = total(|line| line.memory);
-    let beat = pace.heartbeats_per_s / 4.0;
-    let voter_bytes = match pace.own_voters {
+    let heartbeat_factor = rates.heartbeats_per_s / 4.0;
+    let voter_bytes = match rates.own_voters {
         // Each member has voters of its own, so a host hears five on average.
-        true => slopes.last("member_bytes") * beat * 2.0,
-        false => slopes.at("voter_bytes", sizes.entries) * beat,
+        true => slopes.last("member_bytes") * heartbeat_factor * 2.0,
+        false => slopes.value_at("voter_bytes", sizes.entries) * heartbeat_factor,
     };
     // What every host carries whatever their number, and what is shared.
-    let fixed = |role: &str| {
+    let is_per_host = |role: &str| {
         role.starts_with("membership")
             || role.starts_with("following")
             || role.starts_with("carrying")
             || role.starts_with("following the list")
     };
     let split = |pick: fn(&Line) -> f64| {
-        let own: f64 = lines.iter().filter(|line| fixed(line.role)).map(pick).sum();
+        let own: f64 = lines
+            .iter()
+            .filter(|line| is_per_host(line.role))
+            .map(pick)
+            .sum();
         let shared: f64 = lines
             .iter()
-            .filter(|line| !fixed(line.role))
+            .filter(|line| !is_per_host(line.role))
             .map(pick)
             .sum();
         (own / sizes.entries, shared)
@@ -321,28 +329,28 @@
     let rows = lines.iter().map(|line| Row {
         role: line.role,
         messages: line.messages.clone(),
-        cpu: number(line.cpu_us / 1e4),
-        bytes: number(line.bytes),
-        memory: number(line.memory),
-        appends: number(line.appends),
+        cpu: format_number(line.cpu_us / 1e4),
+        bytes: format_number(line.bytes),
+        memory: format_number(line.memory),
+        appends: format_number(line.appends),
         slopes: line.slopes,
     });
     Sum {
         name,
         lines: rows.collect(),
-        cpu_share: share(cpu / sizes.entries, ALLOWED_CPU_US),
-        bytes_share: share(bytes / sizes.entries, ALLOWED_BYTES),
-        memory_share: share(memory / sizes.entries, ALLOWED_MEMORY),
-        voter: share(voter_bytes, ALLOWED_BYTES),
-        appends: number(total(|line| line.appends)),
+        cpu_share: share(cpu / sizes.entries, ALLOWED_CPU_US_PER_S),
+        bytes_share: share(bytes / sizes.entries, ALLOWED_BYTES_PER_S),
+        memory_share: share(memory / sizes.entries, ALLOWED_MEMORY_BYTES),
+        voter: share(voter_bytes, ALLOWED_BYTES_PER_S),
+        appends: format_number(total(|line| line.appends)),
         entries: format!("{:.0}", sizes.entries),
-        by_cpu: needed(|line| line.cpu_us, ALLOWED_CPU_US),
-        by_bytes: needed(|line| line.bytes, ALLOWED_BYTES),
-        by_memory: needed(|line| line.memory, ALLOWED_MEMORY),
+        by_cpu: needed(|line| line.cpu_us, ALLOWED_CPU_US_PER_S),
+        by_bytes: needed(|line| line.bytes, ALLOWED_BYTES_PER_S),
+        by_memory: needed(|line| line.memory, ALLOWED_MEMORY_BYTES),
     }
 }
 
-const TODAY: Sizes = Sizes {
+const CURRENT_SIZES: Sizes = Sizes {
     workers: 65.0,
     tasks: 1_330.0,
     upstreams: 65.0,
@@ -352,9 +360,9 @@
     entries: 8.0,
 };
 
-pub(crate) const PLAN: Sizes = Sizes {
+pub(crate) const PLANNED_SIZES: Sizes = Sizes {
     workers: 8_400.0,
-    tasks: TASKS as f64,
+    tasks: PLANNED_TASKS as f64,
     upstreams: 22_000.0,
     starts_per_s: 2_800.0,
     changes_per_day: 14_000.0,
@@ -362,7 +370,7 @@
     entries: 62.0,
 };
 
-const SHIPPED: Pace = Pace {
+const DEFAULT_RATES: Pace = Pace {
     heartbeats_per_s: 4.0,
     polls_per_s: 1_000.0 / 150.0,
     worker_polls_per_s: 1.0,
@@ -372,7 +380,7 @@
     own_voters: false,
 };
 
-const TUNED: Pace = Pace {
+const TUNED_RATES: Pace = Pace {
     heartbeats_per_s: 2.0,
     polls_per_s: 1.0,
     worker_polls_per_s: 0.2,
@@ -382,10 +390,10 @@
     own_voters: false,
 };
 
-const BECOMES: Pace = Pace {
+const REDESIGNED_RATES: Pace = Pace {
     lists_changes_only: true,
     own_voters: true,
-    ..TUNED
+    ..TUNED_RATES
 };
 
 /// Renders the page from the measured series.
@@ -400,52 +408,55 @@
             .map(|series| (&*series.name, series))
             .collect(),
     );
-    let at = |entries: f64| Sizes { entries, ..PLAN };
+    let planned_with_entries = |entries: f64| Sizes {
+        entries,
+        ..PLANNED_SIZES
+    };
     let sums = vec![
-        sum(
+        summarize(
             &slopes,
             "today's sizes, settings as shipped",
-            TODAY,
-            SHIPPED,
+            CURRENT_SIZES,
+            DEFAULT_RATES,
         ),
-        sum(
+        summarize(
             &slopes,
             "the plan's sizes, settings as shipped, 62 entry hosts",
-            PLAN,
-            SHIPPED,
+            PLANNED_SIZES,
+            DEFAULT_RATES,
         ),
-        sum(
+        summarize(
             &slopes,
             "the plan's sizes, settings for the size, 62 entry hosts",
-            PLAN,
-            TUNED,
+            PLANNED_SIZES,
+            TUNED_RATES,
         ),
-        sum(
+        summarize(
             &slopes,
             "the plan's sizes, with what three mechanisms must become, 62 entry hosts",
-            PLAN,
-            BECOMES,
+            PLANNED_SIZES,
+            REDESIGNED_RATES,
         ),
-        sum(
+        summarize(
             &slopes,
             "the plan's sizes, with what three mechanisms must become, 300 entry hosts",
-            at(300.0),
-            BECOMES,
+            planned_with_entries(300.0),
+            REDESIGNED_RATES,
         ),
     ];
     let rows = series.iter().map(|series| {
-        let (zero, slope) = series.fit();
+        let (intercept, slope) = series.fit();
         let points = series
             .points
             .iter()
-            .map(|(size, value)| format!("{size}: {}", number(*value)));
+            .map(|(size, value)| format!("{size}: {}", format_number(*value)));
         let exponent = series.exponent();
         SeriesRow {
             name: series.name.clone(),
             unit: series.unit.clone(),
             size_of: series.size_of.clone(),
             points: points.collect::<Vec<_>>().join(", "),
-            line: format!("{} + {} x", number(zero), number(slope)),
+            line: format!("{} + {} x", format_number(intercept), format_number(slope)),
             growth: match exponent {
                 growth if growth.abs() < 0.1 => "flat".into(),
                 growth if (0.9..1.1).contains(&growth) => "linear".into(),
--- a/crates/bench/src/edges.rs
+++ b/crates/bench/src/edges.rs
@@ -31,7 +31,7 @@
 pub const PACKET_BYTES: f64 = 60.0;
 
 /// Reads the processor time of this thread, in microseconds.
-fn thread_us() -> f64 {
+fn thread_cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text
         .split(' ')
@@ -60,14 +60,14 @@
     let client = LogClient::new(&server.url(), 2_000);
     for bytes in [100, 1_500, 20_000] {
         let payload = vec![7_u8; bytes];
-        let before = thread_us();
+        let before = thread_cpu_us();
         for _ in 0..CALLS {
             // A failed call would show as a time far off.
             let _ = client.append("bench", &payload);
         }
         series
             .points
-            .push((bytes as f64, (thread_us() - before) / CALLS as f64));
+            .push((bytes as f64, (thread_cpu_us() - before) / CALLS as f64));
     }
     series
 }
@@ -87,15 +87,15 @@
 /// A call to a worker with a number of tasks on it.
 fn worker_calls() -> Vec<Series> {
     const CALLS: usize = 200;
-    const ROOM: (u32, u32, u32) = (1_000_000, 64_000_000, 0);
-    let mut took = Series::new(
+    const WORKER_RESOURCES: (u32, u32, u32) = (1_000_000, 64_000_000, 0);
+    let mut times = Series::new(
         "worker_edge_us",
         "tasks per host",
         "us of the calling thread",
     );
     let mut bytes = Series::new("worker_call_bytes", "tasks per host", "bytes, both ways");
     for tasks in [5, 20, 80] {
-        let state = WorkerState::new(ROOM, u64::MAX / 2);
+        let state = WorkerState::new(WORKER_RESOURCES, u64::MAX / 2);
         let Ok(server) = WorkerServer::start(state, Instant::now()) else {
             continue;
         };
@@ -111,14 +111,15 @@
         call.start = (0..tasks).map(order).collect();
         let mut reply = client.call(&server.address(), &call).unwrap_or_default();
         call.start.clear();
-        let before = thread_us();
+        let before = thread_cpu_us();
         for _ in 0..CALLS {
             call.answers = reply.number;
             call.token += 1;
             reply = client.call(&server.address(), &call).unwrap_or_default();
         }
-        took.points
-            .push((tasks as f64, (thread_us() - before) / CALLS as f64));
+        times
+            .points
+            .push((tasks as f64, (thread_cpu_us() - before) / CALLS as f64));
         bytes
             .points
             .push((tasks as f64, body_bytes(&call, &reply) + HTTP_BYTES));
@@ -150,7 +151,7 @@
             .points
             .push((tasks as f64, body_bytes(&call, &reply) + HTTP_BYTES));
     }
-    vec![took, bytes, change]
+    vec![times, bytes, change]
 }
 
 fn body_bytes(call: &WorkerRequest, reply: &WorkerReply) -> f64 {
--- a/crates/bench/src/facts.rs
+++ b/crates/bench/src/facts.rs
@@ -1,105 +1,141 @@
 //! Single figures of the capacity page, each with its arithmetic.
 
-use crate::capacity::ALLOWED_BYTES;
-use crate::capacity::BASE64;
+use crate::capacity::ALLOWED_BYTES_PER_S;
+use crate::capacity::BASE64_FACTOR;
 use crate::capacity::DAY_S;
-use crate::capacity::LOG_APPENDS;
-use crate::capacity::PLAN;
+use crate::capacity::LOG_APPENDS_PER_S;
+use crate::capacity::PLANNED_SIZES;
 use crate::capacity::Slopes;
-use crate::capacity::number;
+use crate::capacity::format_number;
 use crate::capacity::start_record_bytes;
 use crate::edges::PACKET_BYTES;
 use std::collections::BTreeMap;
 
 /// Single figures with their arithmetic.
 pub(crate) fn facts(slopes: &Slopes) -> BTreeMap<&'static str, String> {
-    let records = PLAN.starts_per_s * 3.0;
-    let share = records / LOG_APPENDS;
+    let records = PLANNED_SIZES.starts_per_s * 3.0;
+    let share = records / LOG_APPENDS_PER_S;
     let bytes = start_record_bytes(slopes);
-    let cells = LOG_APPENDS / 2.0;
-    let domain_tasks = PLAN.tasks / 20.0;
-    let config = slopes.slope("config_bytes") * PLAN.workers;
+    let cells = LOG_APPENDS_PER_S / 2.0;
+    let domain_tasks = PLANNED_SIZES.tasks / 20.0;
+    let config = slopes.slope("config_bytes") * PLANNED_SIZES.workers;
     let per_thousand = |name: &str| slopes.last(name) * 1_000.0;
     BTreeMap::from([
-        ("records_per_s", number(records)),
-        ("records_per_append", number(share)),
+        ("records_per_s", format_number(records)),
+        ("records_per_append", format_number(share)),
         (
             "log_bytes_per_s",
-            number(PLAN.starts_per_s * bytes * BASE64),
+            format_number(PLANNED_SIZES.starts_per_s * bytes * BASE64_FACTOR),
         ),
-        ("start_bytes", number(bytes)),
-        ("batch_bytes", number(share * bytes / 3.0)),
-        ("cell_wait_ms", number(1_000.0 * cells / LOG_APPENDS / 2.0)),
-        ("cells", number(cells)),
+        ("start_bytes", format_number(bytes)),
+        ("batch_bytes", format_number(share * bytes / 3.0)),
+        (
+            "cell_wait_ms",
+            format_number(1_000.0 * cells / LOG_APPENDS_PER_S / 2.0),
+        ),
+        ("cells", format_number(cells)),
         (
             "one_reader_bytes",
-            number(PLAN.starts_per_s * bytes * BASE64 / cells),
+            format_number(PLANNED_SIZES.starts_per_s * bytes * BASE64_FACTOR / cells),
+        ),
+        (
+            "decision_us",
+            format_number(slopes.last("start_decision_us")),
+        ),
+        (
+            "first_fit_us",
+            format_number(slopes.last("start_first_fit_us")),
+        ),
+        (
+            "takeover_s",
+            format_number(slopes.last("takeover_ms") / 1_000.0),
+        ),
+        (
+            "takeover_appends",
+            format_number(slopes.last("takeover_appends")),
         ),
-        ("decision_us", number(slopes.last("start_decision_us"))),
-        ("first_fit_us", number(slopes.last("start_first_fit_us"))),
-        ("takeover_s", number(slopes.last("takeover_ms") / 1_000.0)),
-        ("takeover_appends", number(slopes.last("takeover_appends"))),
         (
             "takeover_3s",
-            number(slopes.at("takeover_by_lease_ms", 3_000.0) / 1_000.0),
+            format_number(slopes.value_at("takeover_by_lease_ms", 3_000.0) / 1_000.0),
+        ),
+        (
+            "domain_s",
+            format_number(slopes.last("domain_loss_ms") / 1_000.0),
+        ),
+        (
+            "domain_appends",
+            format_number(slopes.last("domain_loss_appends")),
+        ),
+        ("domain_tasks", format_number(domain_tasks)),
+        (
+            "domain_place_s",
+            format_number(domain_tasks / PLANNED_SIZES.starts_per_s),
+        ),
+        ("config_mb", format_number(config / 1e6)),
+        (
+            "config_load_s",
+            format_number(config * BASE64_FACTOR / ALLOWED_BYTES_PER_S),
         ),
-        ("domain_s", number(slopes.last("domain_loss_ms") / 1_000.0)),
-        ("domain_appends", number(slopes.last("domain_loss_appends"))),
-        ("domain_tasks", number(domain_tasks)),
-        ("domain_place_s", number(domain_tasks / PLAN.starts_per_s)),
-        ("config_mb", number(config / 1e6)),
-        ("config_load_s", number(config * BASE64 / ALLOWED_BYTES)),
         (
             "config_load_ms",
-            number(slopes.last("config_load_us") / 1_000.0),
+            format_number(slopes.last("config_load_us") / 1_000.0),
+        ),
+        (
+            "change_ms",
+            format_number(slopes.last("change_us") / 1_000.0),
         ),
-        ("change_ms", number(slopes.last("change_us") / 1_000.0)),
         (
             "change_cpu",
-            number(slopes.last("change_us") * PLAN.changes_per_day / DAY_S / 1e4),
+            format_number(slopes.last("change_us") * PLANNED_SIZES.changes_per_day / DAY_S / 1e4),
         ),
-        ("change_bytes", number(slopes.last("change_bytes"))),
-        ("voter_300", number(slopes.last("voter_bytes"))),
+        ("change_bytes", format_number(slopes.last("change_bytes"))),
+        ("voter_300", format_number(slopes.last("voter_bytes"))),
         (
             "voter_factor",
-            number(slopes.last("voter_bytes") / ALLOWED_BYTES),
+            format_number(slopes.last("voter_bytes") / ALLOWED_BYTES_PER_S),
         ),
-        ("member_bytes", number(slopes.last("member_bytes"))),
+        ("member_bytes", format_number(slopes.last("member_bytes"))),
         (
             "call_bytes",
-            number(slopes.at("worker_call_bytes", PLAN.tasks / PLAN.workers)),
+            format_number(slopes.value_at(
+                "worker_call_bytes",
+                PLANNED_SIZES.tasks / PLANNED_SIZES.workers,
+            )),
         ),
         (
             "change_call_bytes",
-            number(slopes.at("worker_change_bytes", 0.2)),
+            format_number(slopes.value_at("worker_change_bytes", 0.2)),
+        ),
+        (
+            "request_messages",
+            format_number(slopes.last("request_messages")),
         ),
-        ("request_messages", number(slopes.last("request_messages"))),
         (
             "request_kb",
-            number(per_thousand("request_bytes") / 1_000.0 * 2.0),
+            format_number(per_thousand("request_bytes") / 1_000.0 * 2.0),
         ),
         (
             "request_cpu_percent",
-            number(per_thousand("request_cpu") / 1e4),
+            format_number(per_thousand("request_cpu") / 1e4),
         ),
         (
             "identity_mb",
-            number(slopes.last("identity_bytes") * 1_000.0 * 600.0 / 1e6),
+            format_number(slopes.last("identity_bytes") * 1_000.0 * 600.0 / 1e6),
         ),
         (
             "identity_records_kb",
-            number(
+            format_number(
                 (slopes.last("record_intent_bytes") + slopes.last("record_intent_ended_bytes"))
-                    * BASE64,
+                    * BASE64_FACTOR,
             ),
         ),
         (
             "task_message_bytes",
-            number(slopes.last("task_message_bytes")),
+            format_number(slopes.last("task_message_bytes")),
         ),
         (
             "packet_percent",
-            number(6.0 * PACKET_BYTES * 100.0 / slopes.last("task_message_bytes").max(1.0)),
+            format_number(6.0 * PACKET_BYTES * 100.0 / slopes.last("task_message_bytes").max(1.0)),
         ),
     ])
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -79,28 +79,28 @@
 }
 
 /// Counts the bytes that are allocated, so that state can be weighed.
-struct Counting;
+struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
 // SAFETY: Every call is passed on unchanged to the system's allocator; only a
 // counter beside it is kept.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         // SAFETY: The caller keeps to the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         // SAFETY: The caller keeps to the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn main() {
     let arguments: Arguments = argh::from_env();
@@ -182,7 +182,7 @@
 }
 
 fn measure_slopes(arguments: &Slopes) {
-    let all = slopes::measure(|| HELD.load(Ordering::Relaxed));
+    let all = slopes::measure(|| ALLOCATED_BYTES.load(Ordering::Relaxed));
     println!("| Series | Unit | Sizes and values | Growth |");
     println!("| --- | --- | --- | --- |");
     for series in &all {
@@ -219,7 +219,7 @@
     for series in &all {
         plots::draw(series, &folder)?;
     }
-    std::fs::write(docs.join("dev/plots.md"), plots::page(&all))?;
+    std::fs::write(docs.join("dev/plots.md"), plots::render_page(&all))?;
     println!("written {}", docs.join("dev/own-log-capacity.md").display());
     Ok(())
 }
--- a/crates/bench/src/plots.rs
+++ b/crates/bench/src/plots.rs
@@ -15,8 +15,8 @@
 use std::error::Error;
 use std::path::Path;
 
-const SIZE: (u32, u32) = (420, 260);
-const INK: RGBColor = RGBColor(31, 98, 168);
+const SIZE_PIXELS: (u32, u32) = (420, 260);
+const LINE_COLOR: RGBColor = RGBColor(31, 98, 168);
 
 /// Draws a series into `folder`, named after it.
 ///
@@ -25,15 +25,15 @@
 /// When the file can't be written.
 pub fn draw(series: &Series, folder: &Path) -> Result<(), Box<dyn Error>> {
     let file = folder.join(format!("{}.svg", series.name));
-    let root = SVGBackend::new(&file, SIZE).into_drawing_area();
+    let root = SVGBackend::new(&file, SIZE_PIXELS).into_drawing_area();
     root.fill(&WHITE)?;
-    let widest = series
+    let max_x = series
         .points
         .iter()
         .map(|point| point.0)
         .fold(1.0, f64::max)
         * 1.05;
-    let highest = series
+    let max_y = series
         .points
         .iter()
         .map(|point| point.1)
@@ -45,21 +45,21 @@
         .margin(8)
         .x_label_area_size(34)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..widest, 0.0..highest.max(1e-9))?;
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y.max(1e-9))?;
     chart
         .configure_mesh()
         .x_desc(series.size_of.clone())
         .x_labels(6)
         .y_labels(5)
         .draw()?;
-    let (zero, slope) = series.fit();
-    let line = [(0.0, zero), (widest, zero + slope * widest)];
-    chart.draw_series(LineSeries::new(line, INK.mix(0.35)))?;
-    chart.draw_series(LineSeries::new(series.points.iter().copied(), &INK))?;
+    let (intercept, slope) = series.fit();
+    let line = [(0.0, intercept), (max_x, intercept + slope * max_x)];
+    chart.draw_series(LineSeries::new(line, LINE_COLOR.mix(0.35)))?;
+    chart.draw_series(LineSeries::new(series.points.iter().copied(), &LINE_COLOR))?;
     chart.draw_series(PointSeries::of_element(
         series.points.iter().copied(),
         3,
-        &INK,
+        &LINE_COLOR,
         &|at, size, style| Circle::new(at, size, style.filled()),
     ))?;
     root.present()?;
@@ -67,7 +67,7 @@
 }
 
 /// Writes the page that shows all plots.
-pub fn page(all: &[Series]) -> String {
+pub fn render_page(all: &[Series]) -> String {
     let mut text = String::from(
         "# Plots of the slopes\n\nDrawn by `cargo run --release -p goldcrestway-bench -- capacity`. Dark: \
          measured; light: the fitted line.\n\n",
--- a/crates/bench/src/rig.rs
+++ b/crates/bench/src/rig.rs
@@ -59,12 +59,12 @@
 
 enum Due {
     Tick(usize),
-    Give(usize, Event),
+    Deliver(usize, Event),
 }
 
 /// What an attempt does: its number, the instance, and when it was sent. Gives the
 /// time of its work in microseconds.
-pub type Work = Box<dyn FnMut(u64, &str, u64) -> u64>;
+pub type WorkTime = Box<dyn FnMut(u64, &str, u64) -> u64>;
 
 /// The nodes and their surroundings.
 pub struct Rig {
@@ -77,18 +77,18 @@
     log: HashMap<Stream, Vec<(u64, Batch, u64)>>,
     /// What was counted.
     pub counts: Counts,
-    per_node: Vec<u64>,
+    messages_per_node: Vec<u64>,
     /// Answers to requests: when, and what.
     pub answers: HashMap<u64, (u64, Answer)>,
     /// How instances work.
-    pub work: Work,
-    weighs: bool,
+    pub work: WorkTime,
+    counts_bytes: bool,
 }
 
 impl Rig {
     /// Starts `members` nodes; `weighs` has the bytes of messages counted, which
     /// costs time.
-    pub fn new(members: usize, limits: &Limits, weighs: bool) -> Self {
+    pub fn new(members: usize, limits: &Limits, counts_bytes: bool) -> Self {
         let seats: Vec<Seat> = (0..members as u16).map(Seat).collect();
         let mut rig = Self {
             nodes: Vec::new(),
@@ -97,10 +97,10 @@
             next: 0,
             log: HashMap::new(),
             counts: Counts::default(),
-            per_node: vec![0; members],
+            messages_per_node: vec![0; members],
             answers: HashMap::new(),
             work: Box::new(|_, _, _| 10_000),
-            weighs,
+            counts_bytes,
         };
         for (index, seat) in seats.iter().enumerate() {
             let me = Member {
@@ -110,12 +110,12 @@
             rig.nodes.push(Some(Node::new(me, &seats, *limits, 0)));
             // Ticks of different hosts do not fall on the same moment.
             let offset_us = index as u64 * TICK_US / members as u64;
-            rig.put(offset_us, Due::Tick(index));
+            rig.schedule(offset_us, Due::Tick(index));
         }
         rig
     }
 
-    fn put(&mut self, at_us: u64, due: Due) {
+    fn schedule(&mut self, at_us: u64, due: Due) {
         self.next += 1;
         self.due.insert((at_us, self.next), due);
     }
@@ -133,11 +133,11 @@
             match due {
                 Due::Tick(node) => {
                     if self.nodes[node].is_some() {
-                        self.put(at_us + TICK_US, Due::Tick(node));
+                        self.schedule(at_us + TICK_US, Due::Tick(node));
                     }
                     self.handle(node, Event::Tick);
                 }
-                Due::Give(node, event) => self.handle(node, event),
+                Due::Deliver(node, event) => self.handle(node, event),
             }
         }
         self.now_us = end_us;
@@ -151,13 +151,13 @@
     /// Forgets what was counted.
     pub fn reset_counts(&mut self) {
         self.counts = Counts::default();
-        self.per_node.fill(0);
+        self.messages_per_node.fill(0);
     }
 
     /// Gives what was counted.
-    pub fn counted(&self) -> Counts {
+    pub fn total_counts(&self) -> Counts {
         Counts {
-            busiest_messages: self.per_node.iter().copied().max().unwrap_or(0),
+            busiest_messages: self.messages_per_node.iter().copied().max().unwrap_or(0),
             ..self.counts
         }
     }
@@ -165,13 +165,13 @@
     /// Hands an event to a node at once.
     pub fn handle(&mut self, node: usize, event: Event) {
         let now_ms = self.now_us / 1_000;
-        let Some(deciding) = self.nodes[node].as_mut() else {
+        let Some(state) = self.nodes[node].as_mut() else {
             return;
         };
-        let began = Instant::now();
-        let actions = deciding.handle(now_ms, event);
-        self.counts.busy += began.elapsed();
-        let me = deciding.me();
+        let started = Instant::now();
+        let actions = state.handle(now_ms, event);
+        self.counts.busy += started.elapsed();
+        let me = state.me();
         for action in actions {
             self.perform(node, me, action);
         }
@@ -181,13 +181,13 @@
         match action {
             Action::Send { to, message } => {
                 self.counts.messages += 1;
-                self.per_node[node] += 1;
-                self.per_node[usize::from(to.0)] += 1;
-                if self.weighs {
-                    self.counts.message_bytes += weigh(me, &message);
+                self.messages_per_node[node] += 1;
+                self.messages_per_node[usize::from(to.0)] += 1;
+                if self.counts_bytes {
+                    self.counts.message_bytes += message_bytes_of(me, &message);
                 }
                 let event = Event::Peer { from: me, message };
-                self.put(self.now_us + HOP_US, Due::Give(usize::from(to.0), event));
+                self.schedule(self.now_us + HOP_US, Due::Deliver(usize::from(to.0), event));
             }
             Action::Append { stream, batch } => {
                 let bytes = encode_batch(&batch).len() as u64;
@@ -202,7 +202,7 @@
                     sequence,
                     offset: Some(offset),
                 };
-                self.put(self.now_us + APPEND_US, Due::Give(node, event));
+                self.schedule(self.now_us + APPEND_US, Due::Deliver(node, event));
             }
             Action::Read { stream, from } => self.read(node, stream, from),
             Action::Attempt {
@@ -215,7 +215,10 @@
                     latency_ms,
                 };
                 let event = Event::AttemptEnded { request, outcome };
-                self.put(self.now_us + 2 * HOP_US + work_us, Due::Give(node, event));
+                self.schedule(
+                    self.now_us + 2 * HOP_US + work_us,
+                    Due::Deliver(node, event),
+                );
             }
             Action::Answer { request, answer } => {
                 self.answers.insert(request, (self.now_us, answer));
@@ -240,9 +243,9 @@
         self.counts.reads += 1;
         self.counts.read_bytes += bytes;
         let page = Some(page);
-        self.put(
+        self.schedule(
             self.now_us + HOP_US,
-            Due::Give(node, Event::Read { stream, page }),
+            Due::Deliver(node, Event::Read { stream, page }),
         );
     }
 
@@ -270,27 +273,27 @@
     }
 
     /// Counts the cells that living nodes serve.
-    pub fn served(&mut self) -> usize {
+    pub fn count_served_cells(&mut self) -> usize {
         let nodes = self.nodes.iter_mut().flatten();
         nodes.map(|node| node.status().cells.len()).sum()
     }
 
     /// Sends a request at a node.
-    pub fn ask(&mut self, node: usize, request: u64, service: &str, patience_ms: u64) {
+    pub fn send_request(&mut self, node: usize, request: u64, service: &str, timeout_ms: u64) {
         let request = Request {
             request,
             service: service.into(),
             identity: None,
             fingerprint: 0,
             is_idempotent: true,
-            deadline_ms: self.now_us / 1_000 + patience_ms,
+            deadline_ms: self.now_us / 1_000 + timeout_ms,
         };
         self.handle(node, Event::Request(request));
     }
 }
 
 /// Weighs a message as it travels.
-fn weigh(from: Member, message: &goldcrestway_core::Message) -> u64 {
+fn message_bytes_of(from: Member, message: &goldcrestway_core::Message) -> u64 {
     let envelope = Envelope {
         from,
         clock: u64::MAX / 3,
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -23,13 +23,14 @@
 /// Slots of an instance.
 const SLOTS: usize = 8;
 /// Mean work on a request, in microseconds.
-const MEAN_US: u64 = 10_000;
+const MEAN_WORK_US: u64 = 10_000;
 /// How long callers wait, in milliseconds.
-const PATIENCE_MS: u64 = 1_000;
+const CALLER_TIMEOUT_MS: u64 = 1_000;
 
 /// Goodput that is possible if a slot gets its next request only once the answer to
 /// the one before has come back, in percent: two hops pass in between.
-pub const STRICT_PERCENT: f64 = MEAN_US as f64 * 100.0 / (MEAN_US + 2 * HOP_US) as f64;
+pub const MAX_STRICT_GOODPUT_PERCENT: f64 =
+    MEAN_WORK_US as f64 * 100.0 / (MEAN_WORK_US + 2 * HOP_US) as f64;
 
 /// What disturbs the instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -80,7 +81,7 @@
 
 fn arrivals(setting: Setting, count: usize, seed: u64) -> Vec<Arrival> {
     let mut random = Pcg32::seed_from_u64(seed);
-    let capacity_per_us = (INSTANCES * SLOTS) as f64 / MEAN_US as f64;
+    let capacity_per_us = (INSTANCES * SLOTS) as f64 / MEAN_WORK_US as f64;
     let rate = capacity_per_us * setting.load_percent as f64 / 100.0;
     let mut at = 0.0;
     let mut draw = || -> f64 { -(1.0 - random.random::<f64>()).ln() };
@@ -88,7 +89,7 @@
     for _ in 0..count {
         at += draw() / rate;
         // Half of the work is fixed, half is exponential: a tail, but no monster.
-        let work_us = MEAN_US / 2 + (draw() * MEAN_US as f64 / 2.0) as u64;
+        let work_us = MEAN_WORK_US / 2 + (draw() * MEAN_WORK_US as f64 / 2.0) as u64;
         list.push((at as u64, work_us));
     }
     let mut random = Pcg32::seed_from_u64(seed + 1);
@@ -102,12 +103,12 @@
 }
 
 /// Stretches work by what disturbs the instance at that time.
-fn stretched(trouble: Trouble, instance: usize, at_us: u64, work_us: u64) -> u64 {
+fn disturbed_work_us(trouble: Trouble, instance: usize, at_us: u64, work_us: u64) -> u64 {
     const WAVE_US: u64 = 200_000;
-    const STARTS_US: u64 = 500_000;
+    const WAVES_START_US: u64 = 500_000;
     match trouble {
         Trouble::OneSlow if instance == 0 => work_us * 10,
-        Trouble::Waves if at_us > STARTS_US => {
+        Trouble::Waves if at_us > WAVES_START_US => {
             let wave = (at_us / WAVE_US) as usize;
             let is_hit = wave % 2 == 1 && instance % 3 == wave / 2 % 3;
             if is_hit { work_us * 3 } else { work_us }
@@ -117,7 +118,7 @@
 }
 
 /// Collects times and refusals.
-struct FailureCounts {
+struct OutcomeRecorder {
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
     answered: u64,
@@ -130,7 +131,7 @@
     Histogram::new_with_bounds(1, 100_000_000, 3).unwrap_or_else(|_| unreachable!("valid bounds"))
 }
 
-impl FailureCounts {
+impl OutcomeRecorder {
     /// Starts for a sequence whose last arrival is at `span_us`.
     fn new(span_us: u64) -> Self {
         Self {
@@ -143,13 +144,13 @@
         }
     }
 
-    fn answer(&mut self, arrived_us: u64, took_us: u64) {
+    fn record_answer(&mut self, arrived_us: u64, took_us: u64) {
         self.answered += 1;
         self.answered_in_span += u64::from(arrived_us + took_us <= self.span_us);
         self.latency_us.saturating_record(took_us);
     }
 
-    fn refuse(&mut self, took_us: u64) {
+    fn record_refusal(&mut self, took_us: u64) {
         self.refused += 1;
         self.refusal_us.saturating_record(took_us.max(1));
     }
@@ -157,7 +158,7 @@
     fn outcome(&self, policy: &'static str) -> Outcome {
         let at = |quantile| self.latency_us.value_at_quantile(quantile) as f64 / 1_000.0;
         let all = (self.answered + self.refused).max(1) as f64;
-        let possible = self.span_us as f64 * (INSTANCES * SLOTS) as f64 / MEAN_US as f64;
+        let possible = self.span_us as f64 * (INSTANCES * SLOTS) as f64 / MEAN_WORK_US as f64;
         Outcome {
             policy,
             p50_ms: at(0.5),
@@ -177,7 +178,7 @@
         omniscient(setting, &list),
         owner(setting, &list),
         queues(setting, &list, "two choices", probe_two),
-        queues(setting, &list, "random", any_instance),
+        queues(setting, &list, "random", random_instance),
         static_split(setting, &list),
     ]
 }
@@ -185,7 +186,7 @@
 /// The chosen policy: the real nodes, with the owner's exact counts.
 fn owner(setting: Setting, list: &[Arrival]) -> Outcome {
     const WARM_UP_US: u64 = 8_000_000;
-    const FIRST: u64 = 1_000;
+    const FIRST_REQUEST: u64 = 1_000;
     let mut rig = Rig::new(ENTRIES, &Limits::default(), false);
     rig.run(4_500_000);
     let (sections, _) = Fleet::sized(HOSTS, INSTANCES, 1).load();
@@ -195,38 +196,43 @@
     let works: Vec<u64> = list.iter().map(|arrival| arrival.work_us).collect();
     rig.work = Box::new(move |request, address, now_us| {
         let instance = address.trim_start_matches('u').parse().unwrap_or(0);
-        let work_us = works[(request - FIRST) as usize];
-        stretched(setting.trouble, instance, now_us - base_us, work_us)
+        let work_us = works[(request - FIRST_REQUEST) as usize];
+        disturbed_work_us(setting.trouble, instance, now_us - base_us, work_us)
     });
     for (index, arrival) in list.iter().enumerate() {
         let ahead_us = (base_us + arrival.at_us).saturating_sub(rig.now_us);
         rig.run(ahead_us);
-        rig.ask(arrival.entry, FIRST + index as u64, "s0", PATIENCE_MS);
+        rig.send_request(
+            arrival.entry,
+            FIRST_REQUEST + index as u64,
+            "s0",
+            CALLER_TIMEOUT_MS,
+        );
     }
-    rig.run(PATIENCE_MS * 2_000);
-    let mut tally = FailureCounts::new(span_of(list));
+    rig.run(CALLER_TIMEOUT_MS * 2_000);
+    let mut recorder = OutcomeRecorder::new(span_us_of(list));
     for (index, arrival) in list.iter().enumerate() {
-        match rig.answers.get(&(FIRST + index as u64)) {
+        match rig.answers.get(&(FIRST_REQUEST + index as u64)) {
             Some((at_us, Answer::Whole)) => {
-                tally.answer(arrival.at_us, at_us - base_us - arrival.at_us)
+                recorder.record_answer(arrival.at_us, at_us - base_us - arrival.at_us)
             }
-            Some((at_us, _)) => tally.refuse(at_us - base_us - arrival.at_us),
-            None => tally.refuse(PATIENCE_MS * 1_000),
+            Some((at_us, _)) => recorder.record_refusal(at_us - base_us - arrival.at_us),
+            None => recorder.record_refusal(CALLER_TIMEOUT_MS * 1_000),
         }
     }
-    tally.outcome("owner")
+    recorder.outcome("owner")
 }
 
 /// Hosts that carry the instances; three racks, so three failure domains.
 const HOSTS: usize = 33;
 
-fn span_of(list: &[Arrival]) -> u64 {
+fn span_us_of(list: &[Arrival]) -> u64 {
     list.last().map_or(1, |arrival| arrival.at_us)
 }
 
 /// One queue that sees every instance exactly and at once: the bound.
 fn omniscient(setting: Setting, list: &[Arrival]) -> Outcome {
-    let mut tally = FailureCounts::new(span_of(list));
+    let mut recorder = OutcomeRecorder::new(span_us_of(list));
     let mut busy: BTreeMap<(u64, usize), usize> = BTreeMap::new();
     let mut free: Vec<usize> = vec![SLOTS; INSTANCES];
     let mut waiting: VecDeque<Arrival> = VecDeque::new();
@@ -248,32 +254,32 @@
             waiting.extend(queue.pop_front());
         }
         while let Some(arrival) = waiting.front().copied() {
-            if now_us > arrival.at_us + PATIENCE_MS * 1_000 {
+            if now_us > arrival.at_us + CALLER_TIMEOUT_MS * 1_000 {
                 waiting.pop_front();
-                tally.refuse(now_us - arrival.at_us);
+                recorder.record_refusal(now_us - arrival.at_us);
                 continue;
             }
-            let Some(instance) = soonest(setting, &free, now_us, arrival.work_us) else {
+            let Some(instance) = pick_soonest(setting, &free, now_us, arrival.work_us) else {
                 break;
             };
             waiting.pop_front();
             free[instance] -= 1;
             number += 1;
-            let work_us = stretched(setting.trouble, instance, now_us, arrival.work_us);
+            let work_us = disturbed_work_us(setting.trouble, instance, now_us, arrival.work_us);
             busy.insert((now_us + work_us, number), instance);
-            tally.answer(arrival.at_us, now_us + work_us - arrival.at_us + 2 * HOP_US);
+            recorder.record_answer(arrival.at_us, now_us + work_us - arrival.at_us + 2 * HOP_US);
         }
     }
-    tally.outcome("omniscient")
+    recorder.outcome("omniscient")
 }
 
 /// Picks the free instance that would end soonest, unless waiting for a fast one
 /// is better.
-fn soonest(setting: Setting, free: &[usize], now_us: u64, work_us: u64) -> Option<usize> {
+fn pick_soonest(setting: Setting, free: &[usize], now_us: u64, work_us: u64) -> Option<usize> {
     let open = (0..INSTANCES).filter(|instance| free[*instance] > 0);
     let best =
-        open.min_by_key(|instance| stretched(setting.trouble, *instance, now_us, work_us))?;
-    let is_slow = stretched(setting.trouble, best, now_us, work_us) > work_us * 5;
+        open.min_by_key(|instance| disturbed_work_us(setting.trouble, *instance, now_us, work_us))?;
+    let is_slow = disturbed_work_us(setting.trouble, best, now_us, work_us) > work_us * 5;
     (!is_slow).then_some(best)
 }
 
@@ -292,7 +298,7 @@
 }
 
 /// Picks any instance.
-fn any_instance(queues: &mut Queues, _now_us: u64) -> (usize, u64) {
+fn random_instance(queues: &mut Queues, _now_us: u64) -> (usize, u64) {
     (queues.random.random_range(0..INSTANCES), 0)
 }
 
@@ -315,7 +321,7 @@
         free_us: vec![[0; SLOTS]; INSTANCES],
         random: Pcg32::seed_from_u64(99),
     };
-    let mut tally = FailureCounts::new(span_of(list));
+    let mut recorder = OutcomeRecorder::new(span_us_of(list));
     for arrival in list {
         let (instance, cost_us) = choose(&mut queues, arrival.at_us);
         let reached_us = arrival.at_us + cost_us + HOP_US;
@@ -323,35 +329,37 @@
             .min_by_key(|slot| queues.free_us[instance][*slot])
             .unwrap_or(0);
         let start_us = queues.free_us[instance][slot].max(reached_us);
-        if start_us > arrival.at_us + PATIENCE_MS * 1_000 {
-            tally.refuse(PATIENCE_MS * 1_000);
+        if start_us > arrival.at_us + CALLER_TIMEOUT_MS * 1_000 {
+            recorder.record_refusal(CALLER_TIMEOUT_MS * 1_000);
             continue;
         }
-        let end_us = start_us + stretched(setting.trouble, instance, start_us, arrival.work_us);
+        let end_us =
+            start_us + disturbed_work_us(setting.trouble, instance, start_us, arrival.work_us);
         queues.free_us[instance][slot] = end_us;
-        tally.answer(arrival.at_us, end_us + HOP_US - arrival.at_us);
+        recorder.record_answer(arrival.at_us, end_us + HOP_US - arrival.at_us);
     }
-    tally.outcome(policy)
+    recorder.outcome(policy)
 }
 
 /// Each entry host has one slot of every instance for itself.
 fn static_split(setting: Setting, list: &[Arrival]) -> Outcome {
     let mut free_us = vec![[0_u64; INSTANCES]; ENTRIES];
-    let mut tally = FailureCounts::new(span_of(list));
+    let mut recorder = OutcomeRecorder::new(span_us_of(list));
     for arrival in list {
         let slots = &mut free_us[arrival.entry];
         let instance = (0..INSTANCES)
             .min_by_key(|instance| slots[*instance])
             .unwrap_or(0);
         let start_us = slots[instance].max(arrival.at_us + HOP_US);
-        if start_us > arrival.at_us + PATIENCE_MS * 1_000 {
-            tally.refuse(PATIENCE_MS * 1_000);
+        if start_us > arrival.at_us + CALLER_TIMEOUT_MS * 1_000 {
+            recorder.record_refusal(CALLER_TIMEOUT_MS * 1_000);
             continue;
         }
-        let end_us = start_us + stretched(setting.trouble, instance, start_us, arrival.work_us);
+        let end_us =
+            start_us + disturbed_work_us(setting.trouble, instance, start_us, arrival.work_us);
         // The host sends the next request when it hears the answer to this one.
         slots[instance] = end_us + 2 * HOP_US;
-        tally.answer(arrival.at_us, end_us + HOP_US - arrival.at_us);
+        recorder.record_answer(arrival.at_us, end_us + HOP_US - arrival.at_us);
     }
-    tally.outcome("static split")
+    recorder.outcome("static split")
 }
--- a/crates/bench/src/series.rs
+++ b/crates/bench/src/series.rs
@@ -32,12 +32,16 @@
         let count = self.points.len() as f64;
         let mean = |pick: fn(&(f64, f64)) -> f64| self.points.iter().map(pick).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
-        let (mut above, mut below) = (0.0, 0.0);
+        let (mut covariance, mut variance) = (0.0, 0.0);
         for (x, y) in &self.points {
-            above += (x - mean_x) * (y - mean_y);
-            below += (x - mean_x) * (x - mean_x);
+            covariance += (x - mean_x) * (y - mean_y);
+            variance += (x - mean_x) * (x - mean_x);
         }
-        let slope = if below == 0.0 { 0.0 } else { above / below };
+        let slope = if variance == 0.0 {
+            0.0
+        } else {
+            covariance / variance
+        };
         (mean_y - slope * mean_x, slope)
     }
 
--- a/crates/bench/src/sharing.rs
+++ b/crates/bench/src/sharing.rs
@@ -31,7 +31,7 @@
 /// Hosts of the cell.
 const HOSTS: usize = 11;
 /// Hosts that carry an instance of a service.
-const WITH_SERVICE: usize = 8;
+const SERVICE_HOSTS: usize = 8;
 /// Kinds of jobs, each with its own effect on each service.
 const KINDS: usize = 6;
 /// Length of a run, in seconds.
@@ -39,7 +39,7 @@
 /// How late a measurement arrives, in seconds.
 const LAG_S: usize = 3;
 /// Service latency above this multiple of the usual one is a violation.
-const VIOLATION: f64 = 1.3;
+const VIOLATION_FACTOR: f64 = 1.3;
 
 /// How batch work is kept from harming services.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -68,16 +68,16 @@
 }
 
 /// The hidden world of one seed.
-struct Hidden {
+struct HiddenEffects {
     /// Slowdown that one running core of each kind adds to each host's service.
-    effect: Vec<[f64; KINDS]>,
+    slowdown_per_core: Vec<[f64; KINDS]>,
     random: Pcg32,
 }
 
-impl Hidden {
+impl HiddenEffects {
     fn draw(seed: u64) -> Self {
         let mut random = Pcg32::seed_from_u64(seed);
-        let mut effect = Vec::new();
+        let mut slowdown_per_core = Vec::new();
         for _ in 0..HOSTS {
             let mut row = [0.0; KINDS];
             for cell in &mut row {
@@ -88,9 +88,12 @@
                     _ => 0.03 + random.random::<f64>() * 0.07,
                 };
             }
-            effect.push(row);
+            slowdown_per_core.push(row);
+        }
+        Self {
+            slowdown_per_core,
+            random,
         }
-        Self { effect, random }
     }
 
     /// Gives the load of services at a time: a slow swing.
@@ -102,15 +105,15 @@
 
     /// Gives a service's true latency, as a multiple of its usual one.
     fn latency(&self, host: usize, cores_by_kind: &[f64; KINDS], now_s: u64) -> f64 {
-        let pressure: f64 = (0..KINDS)
-            .map(|kind| self.effect[host][kind] * cores_by_kind[kind])
+        let slowdown: f64 = (0..KINDS)
+            .map(|kind| self.slowdown_per_core[host][kind] * cores_by_kind[kind])
             .sum();
-        1.0 + pressure * (0.4 + self.load(now_s)) + 0.05 * self.load(now_s)
+        1.0 + slowdown * (0.4 + self.load(now_s)) + 0.05 * self.load(now_s)
     }
 
     /// Adds the service's own noise: a little always, much in waves. It harms
     /// callers whether batch work shares the host or not.
-    fn noisy(&mut self, latency: f64, now_s: u64) -> f64 {
+    fn with_noise(&mut self, latency: f64, now_s: u64) -> f64 {
         const WAVE_S: u64 = 97;
         let in_wave = now_s % WAVE_S < 12;
         let noise = if in_wave { 0.4 } else { 0.04 };
@@ -120,20 +123,20 @@
 
 /// One task on a fake host.
 #[derive(Debug, Clone)]
-struct Running {
+struct SimulatedTask {
     order: TaskOrder,
     kind: usize,
-    left_core_s: f64,
+    remaining_core_s: f64,
     state: ReportedState,
 }
 
 /// One fake host.
 #[derive(Debug, Clone, Default)]
-struct FakeHost {
-    tasks: Vec<Running>,
+struct SimulatedHost {
+    tasks: Vec<SimulatedTask>,
     share: f64,
-    lagging: VecDeque<u32>,
-    listings: u64,
+    delayed_slowdowns: VecDeque<u32>,
+    report_count: u64,
 }
 
 const CORES_PER_TASK: u32 = 4;
@@ -154,8 +157,8 @@
     }
 }
 
-fn listed_host(index: usize, policy: Policy) -> HostEntry {
-    let has_service = index < WITH_SERVICE;
+fn host_entry(index: usize, policy: Policy) -> HostEntry {
+    let has_service = index < SERVICE_HOSTS;
     let service = Resources {
         millicores: 8_000,
         memory_mb: 16_000,
@@ -166,12 +169,12 @@
         memory_mb: 125_000,
         accelerators: 0,
     };
-    let keeps_off = policy == Policy::NoSharing && has_service;
+    let is_off_limits = policy == Policy::NoSharing && has_service;
     HostEntry {
         name: format!("w{index}").into(),
         address: format!("{index}").into(),
         total,
-        reserved: match (keeps_off, has_service) {
+        reserved: match (is_off_limits, has_service) {
             (true, _) => total,
             (false, true) => service,
             (false, false) => Resources::default(),
@@ -183,14 +186,14 @@
 
 /// Runs one policy in the hidden world of `seed`.
 pub fn run(policy: Policy, seed: u64) -> Outcome {
-    let mut hidden = Hidden::draw(seed);
-    let pace = WorkerTiming {
+    let mut effects = HiddenEffects::draw(seed);
+    let timing = WorkerTiming {
         lease_ms: 10_000,
         poll_ms: 1_000,
         reserve_ms: 3_000,
         skew_permille: 20,
     };
-    let mut cell = WorkerCell::new(Term(1), pace);
+    let mut cell = WorkerCell::new(Term(1), timing);
     if policy == Policy::EvictAtOnce {
         cell.set_interference_settings(InterferenceSettings {
             min_share: 1.0,
@@ -200,19 +203,19 @@
         });
     }
     for index in 0..HOSTS {
-        cell.update_host(0, listed_host(index, policy));
+        cell.update_host(0, host_entry(index, policy));
     }
     let mut hosts = vec![
-        FakeHost {
+        SimulatedHost {
             share: 1.0,
-            ..FakeHost::default()
+            ..SimulatedHost::default()
         };
         HOSTS
     ];
     let mut backlog: VecDeque<TaskOrder> = VecDeque::new();
     let mut kinds = Pcg32::seed_from_u64(seed + 1_000);
     let mut number = 0;
-    let (mut harmed, mut watched, mut done, mut evictions) = (0_u64, 0_u64, 0.0, 0_u64);
+    let (mut violation_s, mut observed_s, mut done, mut evictions) = (0_u64, 0_u64, 0.0, 0_u64);
     for now_s in 0..SPAN_S {
         let now_ms = now_s * 1_000;
         // There is always more batch work than room.
@@ -223,7 +226,7 @@
         start_backlog(&mut cell, &mut backlog, now_ms);
         for (key, address, call) in cell.tick(now_ms) {
             let index: usize = address.parse().unwrap_or(0);
-            let report = take_call(&mut hosts[index], index, &call, policy, kinds.random());
+            let report = handle_call(&mut hosts[index], index, &call, policy, kinds.random());
             cell.handle_report(now_ms, key, call.token, &report, |_| false);
         }
         for report in cell.drain_updates(now_ms, 1_000) {
@@ -241,27 +244,27 @@
             }
         }
         for (index, host) in hosts.iter_mut().enumerate() {
-            done += work(host);
-            if index >= WITH_SERVICE {
+            done += run_tasks(host);
+            if index >= SERVICE_HOSTS {
                 continue;
             }
-            let latency = hidden.latency(index, &cores_by_kind(host), now_s);
-            let latency = hidden.noisy(latency, now_s);
-            watched += 1;
-            harmed += u64::from(latency > VIOLATION);
-            host.lagging.push_back((latency * 1_000.0) as u32);
+            let latency = effects.latency(index, &cores_by_kind(host), now_s);
+            let latency = effects.with_noise(latency, now_s);
+            observed_s += 1;
+            violation_s += u64::from(latency > VIOLATION_FACTOR);
+            host.delayed_slowdowns.push_back((latency * 1_000.0) as u32);
         }
     }
     Outcome {
         policy,
-        violation_percent: harmed as f64 * 100.0 / watched as f64,
+        violation_percent: violation_s as f64 * 100.0 / observed_s as f64,
         batch_core_s: done,
         evictions,
     }
 }
 
 fn start_backlog(cell: &mut WorkerCell, backlog: &mut VecDeque<TaskOrder>, now_ms: u64) {
-    let manner = StartOptions {
+    let options = StartOptions {
         is_urgent: false,
         is_repeat: false,
     };
@@ -270,33 +273,34 @@
             return;
         };
         if cell.reserve(now_ms, order.clone(), false) == Reservation::Held {
-            cell.start(now_ms, order, manner);
+            cell.start(now_ms, order, options);
         } else {
             backlog.push_back(order);
         }
     }
 }
 
-fn kind_of(id: &str, hosts: &[FakeHost]) -> usize {
+fn kind_of(id: &str, hosts: &[SimulatedHost]) -> usize {
     let tasks = hosts.iter().flat_map(|host| &host.tasks);
     let found = tasks.into_iter().find(|task| &*task.order.attempt.id == id);
     found.map_or(0, |task| task.kind)
 }
 
 /// Plays a worker: takes a call and lists its tasks and a late measurement.
-fn take_call(
-    host: &mut FakeHost,
+fn handle_call(
+    host: &mut SimulatedHost,
     index: usize,
     call: &WorkerCall,
     policy: Policy,
     draw: u32,
 ) -> WorkerReport {
-    let named = |attempts: &[AttemptId], task: &Running| attempts.contains(&task.order.attempt);
-    host.tasks.retain(|task| !named(&call.forget, task));
+    let is_named_in =
+        |attempts: &[AttemptId], task: &SimulatedTask| attempts.contains(&task.order.attempt);
+    host.tasks.retain(|task| !is_named_in(&call.forget, task));
     for task in &mut host.tasks {
-        if task.state == ReportedState::Running && named(&call.stop, task) {
+        if task.state == ReportedState::Running && is_named_in(&call.stop, task) {
             task.state = ReportedState::Stopped {
-                checkpoint: (task.left_core_s * 1_000.0) as u64,
+                checkpoint: (task.remaining_core_s * 1_000.0) as u64,
             };
         }
     }
@@ -309,26 +313,27 @@
             continue;
         }
         let kind = order.job.trim_start_matches("kind").parse().unwrap_or(0);
-        let left_core_s = match order.checkpoint {
+        let remaining_core_s = match order.checkpoint {
             0 => f64::from(40 + draw % 800),
             left => left as f64 / 1_000.0,
         };
-        host.tasks.push(Running {
+        host.tasks.push(SimulatedTask {
             order: order.clone(),
             kind,
-            left_core_s,
+            remaining_core_s,
             state: ReportedState::Running,
         });
     }
     host.share = f64::from(call.batch_permille) / 1_000.0;
-    host.listings += 1;
-    let late = match host.lagging.len() > LAG_S {
-        true => host.lagging.pop_front().unwrap_or(0),
+    host.report_count += 1;
+    let delayed = match host.delayed_slowdowns.len() > LAG_S {
+        true => host.delayed_slowdowns.pop_front().unwrap_or(0),
         false => 0,
     };
-    let is_seen = index < WITH_SERVICE && matches!(policy, Policy::Guard | Policy::EvictAtOnce);
+    let is_measured =
+        index < SERVICE_HOSTS && matches!(policy, Policy::Guard | Policy::EvictAtOnce);
     WorkerReport {
-        number: host.listings,
+        number: host.report_count,
         tasks: host
             .tasks
             .iter()
@@ -337,11 +342,11 @@
                 state: task.state,
             })
             .collect(),
-        service_slowdown_permille: if is_seen { late } else { 0 },
+        service_slowdown_permille: if is_measured { delayed } else { 0 },
     }
 }
 
-fn cores_by_kind(host: &FakeHost) -> [f64; KINDS] {
+fn cores_by_kind(host: &SimulatedHost) -> [f64; KINDS] {
     let mut cores = [0.0; KINDS];
     for task in host
         .tasks
@@ -354,16 +359,16 @@
 }
 
 /// Lets a host's tasks work for a second; gives the core-seconds done.
-fn work(host: &mut FakeHost) -> f64 {
+fn run_tasks(host: &mut SimulatedHost) -> f64 {
     let mut done = 0.0;
     for task in &mut host.tasks {
         if task.state != ReportedState::Running {
             continue;
         }
-        let step = (f64::from(CORES_PER_TASK) * host.share).min(task.left_core_s);
-        task.left_core_s -= step;
+        let step = (f64::from(CORES_PER_TASK) * host.share).min(task.remaining_core_s);
+        task.remaining_core_s -= step;
         done += step;
-        if task.left_core_s <= 0.0 {
+        if task.remaining_core_s <= 0.0 {
             task.state = ReportedState::Finished;
         }
     }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -39,33 +39,33 @@
 use std::time::Instant;
 
 /// How memory is read; the program installs a counting allocator.
-pub type Memory = fn() -> usize;
+pub type ReadAllocatedBytes = fn() -> usize;
 
 /// Times `operation`, in microseconds each: the median of several rounds.
 pub(crate) fn time_us(rounds: usize, each: usize, mut operation: impl FnMut(usize)) -> f64 {
     let mut times: Vec<f64> = Vec::new();
     let mut number = 0;
     for _ in 0..rounds {
-        let began = Instant::now();
+        let started = Instant::now();
         for _ in 0..each {
             operation(number);
             number += 1;
         }
-        times.push(began.elapsed().as_secs_f64() * 1e6 / each as f64);
+        times.push(started.elapsed().as_secs_f64() * 1e6 / each as f64);
     }
     times.sort_by(f64::total_cmp);
     times[times.len() / 2]
 }
 
 /// Measures all series.
-pub fn measure(memory: Memory) -> Vec<Series> {
+pub fn measure(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut all = membership();
     all.extend(takeover());
-    all.extend(placement(memory));
-    all.extend(teams(memory));
-    all.extend(slots(memory));
-    all.extend(identities(memory));
-    all.extend(crate::stored::configuration(memory));
+    all.extend(placement(allocated_bytes));
+    all.extend(teams(allocated_bytes));
+    all.extend(slots(allocated_bytes));
+    all.extend(identities(allocated_bytes));
+    all.extend(crate::stored::configuration(allocated_bytes));
     all.extend(crate::stored::records());
     all.extend(requests());
     all.extend(crate::edges::measure());
@@ -84,7 +84,7 @@
         rig.run(8_000_000);
         rig.reset_counts();
         rig.run((SPAN_S * 1e6) as u64);
-        let counts = rig.counted();
+        let counts = rig.total_counts();
         let size = members as f64;
         let per_message = counts.message_bytes as f64 / counts.messages.max(1) as f64;
         messages
@@ -108,7 +108,7 @@
     let mut time = Series::new("takeover_ms", "hosts", "ms until all cells are served");
     let mut appends = Series::new("takeover_appends", "hosts", "appends");
     for hosts in [55, 550, 8_400] {
-        let (took_ms, count) = lose_members(8, 1, hosts, &Limits::default());
+        let (took_ms, count) = measure_member_loss(8, 1, hosts, &Limits::default());
         time.points.push((hosts as f64, took_ms));
         appends.points.push((hosts as f64, count));
     }
@@ -126,7 +126,7 @@
         };
         by_lease
             .points
-            .push((lease_ms as f64, lose_members(8, 1, 550, &limits).0));
+            .push((lease_ms as f64, measure_member_loss(8, 1, 550, &limits).0));
     }
     let mut domain = Series::new(
         "domain_loss_ms",
@@ -136,7 +136,8 @@
     let mut domain_appends =
         Series::new("domain_loss_appends", "members, 5% of them lost", "appends");
     for members in [20, 60, 200] {
-        let (took_ms, count) = lose_members(members, members / 20, 8_400, &Limits::default());
+        let (took_ms, count) =
+            measure_member_loss(members, members / 20, 8_400, &Limits::default());
         domain.points.push((members as f64, took_ms));
         domain_appends.points.push((members as f64, count));
     }
@@ -144,25 +145,25 @@
 }
 
 /// Lets `lost` of `members` die at once in a fleet of `hosts`.
-fn lose_members(members: usize, lost: usize, hosts: usize, limits: &Limits) -> (f64, f64) {
-    const LONGEST_US: u64 = 60_000_000;
+fn measure_member_loss(members: usize, lost: usize, hosts: usize, limits: &Limits) -> (f64, f64) {
+    const MAX_TAKEOVER_US: u64 = 60_000_000;
     let mut rig = Rig::new(members, limits, false);
     rig.run(limits.lease_ms * 3_000);
     rig.publish(&Fleet::sized(hosts, hosts / 4, 10).load().0);
     rig.run(20_000_000 + limits.lease_ms * 2_000);
-    let all = rig.served();
+    let served_before = rig.count_served_cells();
     rig.reset_counts();
-    let began_us = rig.now_us;
+    let started_us = rig.now_us;
     for number in 0..lost {
         rig.kill(members - 1 - number);
     }
     rig.run(100_000);
-    while rig.served() < all && rig.now_us < began_us + LONGEST_US {
+    while rig.count_served_cells() < served_before && rig.now_us < started_us + MAX_TAKEOVER_US {
         rig.run(50_000);
     }
     (
-        (rig.now_us - began_us) as f64 / 1_000.0,
-        rig.counted().appends as f64,
+        (rig.now_us - started_us) as f64 / 1_000.0,
+        rig.total_counts().appends as f64,
     )
 }
 
@@ -182,7 +183,7 @@
     }
 }
 
-const PACE: WorkerTiming = WorkerTiming {
+const WORKER_TIMING: WorkerTiming = WorkerTiming {
     lease_ms: 10_000,
     poll_ms: 1_000,
     reserve_ms: 3_000,
@@ -196,7 +197,7 @@
     let mut number = 0;
     let mut cells = Vec::new();
     for _ in 0..racks {
-        let mut cell = WorkerCell::new(Term(1), PACE);
+        let mut cell = WorkerCell::new(Term(1), WORKER_TIMING);
         for host in 0..HOSTS_PER_RACK {
             cell.update_host(
                 0,
@@ -236,7 +237,7 @@
 }
 
 /// Tasks that run on the fleet of the plan.
-pub const TASKS: usize = 172_000;
+pub const PLANNED_TASKS: usize = 172_000;
 
 /// Decides a start: a cell of workers at random, then the host; and takes it back.
 pub fn decide_start(cells: &mut [WorkerCell], random: &mut Pcg32, number: usize) {
@@ -251,17 +252,17 @@
 
 /// Baseline: the first host of the whole fleet that has room.
 pub fn first_fit(free: &[Resources], need: Resources) -> Option<usize> {
-    free.iter().position(|room| need.fits(*room))
+    free.iter().position(|resources| need.fits(*resources))
 }
 
-fn placement(memory: Memory) -> Vec<Series> {
+fn placement(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut decide = Series::new("start_decision_us", "hosts", "us per start");
     let mut baseline = Series::new("start_first_fit_us", "hosts", "us per start");
     let mut bytes = Series::new("task_bytes", "tasks per host", "bytes of state per task");
     let mut listing_us = Series::new("listing_us", "tasks per host", "us per answer of a worker");
     let mut random = Pcg32::seed_from_u64(5);
     for hosts in [50, 500, 8_400] {
-        let tasks = TASKS * hosts / 8_400;
+        let tasks = PLANNED_TASKS * hosts / 8_400;
         let mut cells = worker_cells(hosts, tasks);
         let took = time_us(9, 2_000, |number| {
             decide_start(&mut cells, &mut random, number)
@@ -277,10 +278,10 @@
         baseline.points.push((hosts as f64, took));
     }
     for per_host in [5, 20, 80] {
-        let before = memory();
+        let before = allocated_bytes();
         let hosts = 10 * HOSTS_PER_RACK;
         let mut cells = worker_cells(hosts, hosts * per_host);
-        let used = memory() - before;
+        let used = allocated_bytes() - before;
         bytes
             .points
             .push((per_host as f64, used as f64 / (hosts * per_host) as f64));
@@ -310,7 +311,7 @@
     vec![decide, baseline, bytes, listing_us]
 }
 
-fn spec(team: usize, number: usize) -> JobSpec {
+fn job_spec(team: usize, number: usize) -> JobSpec {
     JobSpec {
         id: format!("team{team}/roster-{number}").into(),
         job: "roster".into(),
@@ -319,7 +320,7 @@
 }
 
 /// A job's way through its home: submitted, queued, taken, started, ended.
-fn teams(memory: Memory) -> Vec<Series> {
+fn teams(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut took = Series::new("job_home_us", "teams", "us per job at its home");
     let mut bytes = Series::new("job_bytes", "jobs", "bytes of state per job");
     let inventory = Fleet::sized(50, 50, 1).inventory();
@@ -328,13 +329,13 @@
         // Every team has a backlog, as at the peak.
         for team in 0..teams {
             for number in 0..20 {
-                if let Submission::New(key) = table.submit(0, &spec(team, number)) {
+                if let Submission::New(key) = table.submit(0, &job_spec(team, number)) {
                     table.enqueue(0, key, false, false);
                 }
             }
         }
         let us = time_us(9, 1_000, |number| {
-            let job = spec(number % teams, 1_000 + number);
+            let job = job_spec(number % teams, 1_000 + number);
             if let Submission::New(key) = table.submit(1, &job) {
                 table.enqueue(1, key, false, false);
             }
@@ -351,16 +352,17 @@
         took.points.push((teams as f64, us));
     }
     for jobs in [1_000, 10_000, 100_000] {
-        let before = memory();
+        let before = allocated_bytes();
         let mut table = JobTable::default();
         for number in 0..jobs {
-            if let Submission::New(key) = table.submit(0, &spec(number % 490, number)) {
+            if let Submission::New(key) = table.submit(0, &job_spec(number % 490, number)) {
                 table.enqueue(0, key, false, false);
             }
         }
-        bytes
-            .points
-            .push((jobs as f64, (memory() - before) as f64 / jobs as f64));
+        bytes.points.push((
+            jobs as f64,
+            (allocated_bytes() - before) as f64 / jobs as f64,
+        ));
         black_box(&table);
     }
     vec![took, bytes]
@@ -372,13 +374,13 @@
         seat: Seat(1),
         incarnation: 1,
     };
-    let ask = SlotRequest {
+    let slot_request = SlotRequest {
         requester: me,
         request: number,
         asked_ms: 1,
         begin_by_ms: 1_000,
     };
-    if let Some(Verdict::Granted { grant, .. }) = cell.request_slot(1, ask) {
+    if let Some(Verdict::Granted { grant, .. }) = cell.request_slot(1, slot_request) {
         cell.release(
             1,
             SlotRelease {
@@ -406,7 +408,7 @@
     cell
 }
 
-fn slots(memory: Memory) -> Vec<Series> {
+fn slots(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut took = Series::new(
         "slot_us",
         "instances in a cell",
@@ -418,11 +420,11 @@
         "bytes per instance",
     );
     for instances in [8, 60, 500] {
-        let before = memory();
+        let before = allocated_bytes();
         let mut cell = upstream_cell(instances);
         bytes.points.push((
             instances as f64,
-            (memory() - before) as f64 / instances as f64,
+            (allocated_bytes() - before) as f64 / instances as f64,
         ));
         let us = time_us(9, 2_000, |number| {
             grant_and_release(&mut cell, number as u64)
@@ -432,20 +434,21 @@
     vec![took, bytes]
 }
 
-fn identities(memory: Memory) -> Vec<Series> {
+fn identities(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut took = Series::new("identity_us", "identities", "us per identity");
     let mut bytes = Series::new("identity_bytes", "identities", "bytes per identity");
     for count in [1_000_u64, 30_000, 300_000] {
-        let before = memory();
+        let before = allocated_bytes();
         let mut table = IdentityTable::default();
         for number in 0..u128::from(count) {
             table.admit(0, number, 1);
             table.begin(0, number, 1);
             table.end(number, Outcome::Answered, 200);
         }
-        bytes
-            .points
-            .push((count as f64, (memory() - before) as f64 / count as f64));
+        bytes.points.push((
+            count as f64,
+            (allocated_bytes() - before) as f64 / count as f64,
+        ));
         let us = time_us(9, 1_000, |number| {
             let identity = u128::from(count) + number as u128;
             black_box(table.admit(1, identity, 1));
@@ -471,14 +474,14 @@
         const SPAN_US: u64 = 1_000_000;
         rig.reset_counts();
         rig.run(SPAN_US);
-        let idle = rig.counted();
+        let idle = rig.total_counts();
         rig.reset_counts();
         for _ in 0..rate {
             number += 1;
-            rig.ask((number % 8) as usize, number, "s0", 1_000);
+            rig.send_request((number % 8) as usize, number, "s0", 1_000);
             rig.run(SPAN_US / rate);
         }
-        let counts = rig.counted();
+        let counts = rig.total_counts();
         let per = |all: f64, idle: f64| (all - idle).max(0.0) / rate as f64;
         messages.points.push((
             rate as f64,
--- a/crates/bench/src/stored.rs
+++ b/crates/bench/src/stored.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Fleet;
 use crate::series::Series;
-use crate::slopes::Memory;
+use crate::slopes::ReadAllocatedBytes;
 use crate::slopes::time_us;
 use goldcrestway_core::Batch;
 use goldcrestway_core::Cell;
@@ -21,7 +21,7 @@
 use std::time::Instant;
 
 /// One operator's change of one host.
-fn change_of(sections: &Sections, base: u64) -> ConfigChange {
+fn host_change(sections: &Sections, base: u64) -> ConfigChange {
     let identity: (Box<str>, Box<str>) = ("host".into(), "w0".into());
     let mut values = sections[&identity].values.clone();
     values.insert("memory_mb".into(), format!("{}", 200_000 + base).into());
@@ -38,7 +38,7 @@
     }
 }
 
-fn bytes_of(record: Record) -> f64 {
+fn encoded_bytes(record: Record) -> f64 {
     let batch = Batch {
         term: Term(1_000),
         sequence: 1_000,
@@ -47,16 +47,16 @@
     encode_batch(&batch).len() as f64
 }
 
-pub(crate) fn configuration(memory: Memory) -> Vec<Series> {
+pub(crate) fn configuration(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut change_bytes = Series::new("change_bytes", "hosts", "bytes per change");
     let mut change_us = Series::new("change_us", "hosts", "us per change and process");
     let mut whole_bytes = Series::new("config_bytes", "hosts", "bytes of the whole configuration");
     let mut whole_us = Series::new("config_load_us", "hosts", "us to load the whole");
-    let mut held = Series::new("config_memory", "hosts", "bytes held per process");
+    let mut memory_used = Series::new("config_memory", "hosts", "bytes held per process");
     for hosts in [55, 550, 8_400] {
         let fleet = Fleet::sized(hosts, hosts * 22 / 8, hosts.div_ceil(40));
         let sections = fleet.load().0;
-        let before = memory();
+        let before = allocated_bytes();
         let mut config = Config::default();
         let first = ConfigChange {
             base: 0,
@@ -67,34 +67,36 @@
         let record = Record::Config(first);
         whole_bytes
             .points
-            .push((hosts as f64, bytes_of(record.clone())));
-        let began = Instant::now();
+            .push((hosts as f64, encoded_bytes(record.clone())));
+        let started = Instant::now();
         config.apply(0, &record);
         whole_us
             .points
-            .push((hosts as f64, began.elapsed().as_secs_f64() * 1e6));
+            .push((hosts as f64, started.elapsed().as_secs_f64() * 1e6));
         drop(record);
-        held.points.push((hosts as f64, (memory() - before) as f64));
+        memory_used
+            .points
+            .push((hosts as f64, (allocated_bytes() - before) as f64));
         let mut offset = 0;
         let us = time_us(3, 3, |_| {
             offset += 1;
-            let change = Record::Config(change_of(&sections, config.version()));
+            let change = Record::Config(host_change(&sections, config.version()));
             config.apply(offset, &change);
         });
         change_us.points.push((hosts as f64, us));
         change_bytes.points.push((
             hosts as f64,
-            bytes_of(Record::Config(change_of(&sections, 7))),
+            encoded_bytes(Record::Config(host_change(&sections, 7))),
         ));
     }
-    vec![change_bytes, change_us, whole_bytes, whole_us, held]
+    vec![change_bytes, change_us, whole_bytes, whole_us, memory_used]
 }
 
 /// Records that share a batch: bytes each, and time to encode and decode.
 pub(crate) fn records() -> Vec<Series> {
     let id = |number: usize| -> Box<str> { format!("team17/roster-2027-05-{number:05}").into() };
-    type Make = Box<dyn Fn(usize) -> Record>;
-    let kinds: Vec<(&str, Make)> = vec![
+    type MakeRecord = Box<dyn Fn(usize) -> Record>;
+    let kinds: Vec<(&str, MakeRecord)> = vec![
         (
             "intent",
             Box::new(|number| Record::Intent {
@@ -144,7 +146,7 @@
             "records in a batch",
             "bytes per record",
         );
-        let mut took = Series::new(
+        let mut times = Series::new(
             &format!("record_{kind}_us"),
             "records in a batch",
             "us per record, both ways",
@@ -162,10 +164,10 @@
             let us = time_us(9, 2_000 / count, |_| {
                 black_box(decode_batch(&encode_batch(black_box(&batch))).is_ok());
             });
-            took.points.push((count as f64, us / count as f64));
+            times.points.push((count as f64, us / count as f64));
         }
         all.push(bytes);
-        all.push(took);
+        all.push(times);
     }
     all
 }
