--- a/crates/bench/src/edges.rs
+++ b/crates/bench/src/edges.rs
@@ -1,5 +1,5 @@
-//! What calls and messages cost at the edge: bytes, and processor time of the
-//! thread that makes them, the stand-in's not included.
+//! Measures calls and messages over the network: their bytes, and the processor time
+//! of the calling thread. The processor time of the stand-in is not included.
 
 use crate::series::Series;
 use goldcrestway_core::AttemptId;
@@ -30,7 +30,7 @@
 /// Bytes of TCP and IP around a message between entry hosts.
 pub const PACKET_BYTES: f64 = 60.0;
 
-/// Reads the processor time of this thread, in microseconds.
+/// Returns the processor time of this thread, in microseconds, or 0 if it can't be read.
 fn thread_cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text
@@ -40,7 +40,7 @@
     nanos.unwrap_or(0.0) / 1_000.0
 }
 
-/// Measures all series of the edge.
+/// Measures all series of network calls and messages.
 pub fn measure() -> Vec<Series> {
     let mut all = vec![appends(), task_messages(), host_lists()];
     all.extend(worker_calls());
@@ -62,7 +62,7 @@
         let payload = vec![7_u8; bytes];
         let before = thread_cpu_us();
         for _ in 0..CALLS {
-            // A failed call would show as a time far off.
+            // The result is ignored: a failed call shows up as an outlier.
             let _ = client.append("bench", &payload);
         }
         series
@@ -84,7 +84,7 @@
     }
 }
 
-/// A call to a worker with a number of tasks on it.
+/// Measures calls to a worker by the number of tasks that it runs.
 fn worker_calls() -> Vec<Series> {
     const CALLS: usize = 200;
     const WORKER_RESOURCES: (u32, u32, u32) = (1_000_000, 64_000_000, 0);
@@ -159,7 +159,8 @@
     (length(serde_json::to_string(call)) + length(serde_json::to_string(reply))) as f64
 }
 
-/// The messages of one job's start and end between its home and its workers.
+/// Measures the messages between a job's home and a cell of workers from its start to
+/// its end.
 fn task_messages() -> Series {
     let mut series = Series::new(
         "task_message_bytes",
@@ -229,7 +230,7 @@
     series
 }
 
-/// The platform's list of hosts, which is asked for as a whole.
+/// Measures the platform's list of hosts, which is always fetched as a whole.
 fn host_lists() -> Series {
     let mut series = Series::new(
         "host_list_bytes",
--- a/crates/bench/src/facts.rs
+++ b/crates/bench/src/facts.rs
@@ -1,4 +1,4 @@
-//! Single figures of the capacity page, each with its arithmetic.
+//! Computes the individual figures in the text of the capacity page.
 
 use crate::capacity::ALLOWED_BYTES_PER_S;
 use crate::capacity::BASE64_FACTOR;
@@ -11,7 +11,7 @@
 use crate::edges::PACKET_BYTES;
 use std::collections::BTreeMap;
 
-/// Single figures with their arithmetic.
+/// Returns the figures by the names that the template uses.
 pub(crate) fn facts(slopes: &Slopes) -> BTreeMap<&'static str, String> {
     let records = PLANNED_SIZES.starts_per_s * 3.0;
     let share = records / LOG_APPENDS_PER_S;
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,27 +1,27 @@
-//! Inventories of any size, for measuring growth.
+//! Generates inventories of any size to measure how costs grow.
 
 use goldcrestway_inventory::Inventory;
 use goldcrestway_inventory::Sections;
 use goldcrestway_inventory::load_sections;
 
-/// The shape of an inventory.
+/// Sizes of a generated inventory.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
-    /// Hosts that run tasks.
+    /// Number of hosts that run tasks.
     pub hosts: usize,
-    /// Instances of services.
+    /// Number of instances of services.
     pub upstreams: usize,
-    /// Services among which they are split.
+    /// Number of services among which the instances are divided.
     pub services: usize,
 }
 
-/// Hosts of one rack.
+/// Number of hosts in a rack.
 pub const HOSTS_PER_RACK: usize = 11;
-/// Failure domains over which racks are spread.
+/// Number of failure domains over which the racks are spread.
 pub const DOMAINS: usize = 20;
 
 impl Fleet {
-    /// Describes a fleet of the given sizes.
+    /// Creates a fleet of the given sizes.
     pub fn sized(hosts: usize, upstreams: usize, services: usize) -> Self {
         Self {
             hosts,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Writes the inventory as its operators would.
+    /// Returns the text of the inventory file.
     pub fn text(&self) -> String {
         let racks = self.hosts.div_ceil(HOSTS_PER_RACK);
         let domains = DOMAINS.min(racks).max(1);
@@ -66,12 +66,20 @@
         text
     }
 
-    /// Gives its sections and the typed inventory.
+    /// Returns the sections and the typed inventory.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the generated text is not a valid inventory.
     pub fn load(&self) -> (Sections, Inventory) {
         load_sections("fleet", &self.text()).unwrap_or_else(|faults| panic!("{faults}"))
     }
 
-    /// Gives the typed inventory.
+    /// Returns the typed inventory.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the generated text is not a valid inventory.
     pub fn inventory(&self) -> Inventory {
         self.load().1
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,4 +1,5 @@
-//! Measurements of the real decisions, in virtual time, against named baselines.
+//! Measures the scheduling decisions of the production code in virtual time and
+//! compares them with named baselines.
 //!
 //! ```
 //! use goldcrestway_bench::fleet::Fleet;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements as commands.
+//! Command line of the measurements.
 
 use argh::FromArgs;
 use goldcrestway_bench::capacity;
@@ -78,23 +78,23 @@
     docs: String,
 }
 
-/// Counts the bytes that are allocated, so that state can be weighed.
+/// Allocator that counts the bytes in use, to measure the memory of state.
 struct CountingAllocator;
 
 static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: Every call is passed on unchanged to the system's allocator; only a
-// counter beside it is kept.
+// SAFETY: Every call is passed on unchanged to the system's allocator; in addition
+// only a counter is updated.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller keeps to the contract of `alloc`.
+        // SAFETY: The caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
         ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller keeps to the contract of `dealloc`.
+        // SAFETY: The caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
@@ -110,7 +110,7 @@
         Command::Slopes(arguments) => measure_slopes(&arguments),
         Command::Capacity(arguments) => {
             if let Err(error) = write_capacity(&arguments) {
-                eprintln!("the page was not written: {error}. Run `slopes` first");
+                eprintln!("failed to write the capacity page: {error}. Run `slopes` first");
                 std::process::exit(1);
             }
         }
@@ -203,7 +203,10 @@
     let text = serde_json::to_string_pretty(&all).unwrap_or_default();
     match std::fs::write(&arguments.out, text + "\n") {
         Ok(()) => println!("written to {}", arguments.out),
-        Err(error) => eprintln!("while writing {}: {error}. Check the folder", arguments.out),
+        Err(error) => eprintln!(
+            "failed to write {}: {error}. Check that its folder exists",
+            arguments.out
+        ),
     }
 }
 
--- a/crates/bench/src/plots.rs
+++ b/crates/bench/src/plots.rs
@@ -1,4 +1,4 @@
-//! A plot of each slope, as a file that a page can show.
+//! Draws each measured series as an SVG file and writes the page that shows them.
 
 use crate::series::Series;
 use plotters::prelude::BLACK;
@@ -18,11 +18,12 @@
 const SIZE_PIXELS: (u32, u32) = (420, 260);
 const LINE_COLOR: RGBColor = RGBColor(31, 98, 168);
 
-/// Draws a series into `folder`, named after it.
+/// Draws a series and its fitted line into an SVG file in `folder` that is named after
+/// the series.
 ///
 /// # Errors
 ///
-/// When the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw(series: &Series, folder: &Path) -> Result<(), Box<dyn Error>> {
     let file = folder.join(format!("{}.svg", series.name));
     let root = SVGBackend::new(&file, SIZE_PIXELS).into_drawing_area();
@@ -66,7 +67,7 @@
     Ok(())
 }
 
-/// Writes the page that shows all plots.
+/// Returns the text of the page that shows all plots.
 pub fn render_page(all: &[Series]) -> String {
     let mut text = String::from(
         "# Plots of the slopes\n\nDrawn by `cargo run --release -p goldcrestway-bench -- capacity`. Dark: \
--- a/crates/bench/src/rig.rs
+++ b/crates/bench/src/rig.rs
@@ -1,7 +1,7 @@
-//! Many nodes of the real decision code, exchanging messages directly in virtual
-//! time, with a log that answers after a fixed time and instances that work for a
-//! given time. A loop for measuring, not a simulator: nothing fails in it but by
-//! the caller's hand.
+//! Runs many nodes of the production decision code in virtual time. They exchange
+//! messages directly; the log answers after a fixed time and instances work for a
+//! given time. This is an event loop for measurements, not a fault simulator: nothing
+//! fails unless the caller kills a node.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Answer;
@@ -27,31 +27,31 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time of one message between entry hosts, in microseconds.
+/// Latency of a message between entry hosts, in microseconds.
 pub const HOP_US: u64 = 500;
-/// Time of one append, in microseconds.
+/// Latency of an append, in microseconds.
 const APPEND_US: u64 = 5_000;
 /// Time between two ticks, in microseconds.
 const TICK_US: u64 = 10_000;
 /// Bytes of TCP and IP around a message or call.
 const PACKET_BYTES: u64 = 60;
 
-/// What was counted since the last reset.
+/// Counters since the last reset.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     /// Messages between entry hosts.
     pub messages: u64,
-    /// Their bytes, packets included.
+    /// Bytes of the messages, including TCP and IP.
     pub message_bytes: u64,
     /// Appends to the log.
     pub appends: u64,
-    /// Bytes of their payloads.
+    /// Bytes of the appended payloads.
     pub append_bytes: u64,
     /// Reads of the log.
     pub reads: u64,
-    /// Bytes that reads brought.
+    /// Bytes returned by reads.
     pub read_bytes: u64,
-    /// Processor time of all nodes together.
+    /// Total time that all nodes spent handling events.
     pub busy: Duration,
     /// Messages that the busiest node sent or received.
     pub busiest_messages: u64,
@@ -62,32 +62,33 @@
     Deliver(usize, Event),
 }
 
-/// What an attempt does: its number, the instance, and when it was sent. Gives the
-/// time of its work in microseconds.
+/// Returns how long an instance works on a request, in microseconds. The arguments are
+/// the number of the request, the address of the instance and the time at which the
+/// attempt was sent, in microseconds.
 pub type WorkTime = Box<dyn FnMut(u64, &str, u64) -> u64>;
 
-/// The nodes and their surroundings.
+/// The nodes with a simulated network, log and instances.
 pub struct Rig {
-    /// The nodes; one that was killed is gone.
+    /// The nodes; `None` for a node that was killed.
     pub nodes: Vec<Option<Node>>,
     /// Virtual time in microseconds.
     pub now_us: u64,
     due: BTreeMap<(u64, u64), Due>,
     next: u64,
     log: HashMap<Stream, Vec<(u64, Batch, u64)>>,
-    /// What was counted.
+    /// Counters without `busiest_messages`, which `total_counts` fills in.
     pub counts: Counts,
     messages_per_node: Vec<u64>,
-    /// Answers to requests: when, and what.
+    /// Time in microseconds and answer, by request.
     pub answers: HashMap<u64, (u64, Answer)>,
-    /// How instances work.
+    /// Time that instances work on a request.
     pub work: WorkTime,
     counts_bytes: bool,
 }
 
 impl Rig {
-    /// Starts `members` nodes; `weighs` has the bytes of messages counted, which
-    /// costs time.
+    /// Starts `members` nodes. `counts_bytes` enables counting the bytes of messages,
+    /// which slows the run down.
     pub fn new(members: usize, limits: &Limits, counts_bytes: bool) -> Self {
         let seats: Vec<Seat> = (0..members as u16).map(Seat).collect();
         let mut rig = Self {
@@ -108,7 +109,7 @@
                 incarnation: 1_000,
             };
             rig.nodes.push(Some(Node::new(me, &seats, *limits, 0)));
-            // Ticks of different hosts do not fall on the same moment.
+            // Offsets the ticks, because different hosts do not tick at the same moment.
             let offset_us = index as u64 * TICK_US / members as u64;
             rig.schedule(offset_us, Due::Tick(index));
         }
@@ -120,7 +121,7 @@
         self.due.insert((at_us, self.next), due);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time and handles all events that fall due.
     pub fn run(&mut self, duration_us: u64) {
         let end_us = self.now_us + duration_us;
         while let Some(entry) = self.due.first_entry() {
@@ -143,18 +144,18 @@
         self.now_us = end_us;
     }
 
-    /// Ends a node as a crash would.
+    /// Removes a node abruptly, as a crash does.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node] = None;
     }
 
-    /// Forgets what was counted.
+    /// Resets all counters.
     pub fn reset_counts(&mut self) {
         self.counts = Counts::default();
         self.messages_per_node.fill(0);
     }
 
-    /// Gives what was counted.
+    /// Returns the counters since the last reset.
     pub fn total_counts(&self) -> Counts {
         Counts {
             busiest_messages: self.messages_per_node.iter().copied().max().unwrap_or(0),
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Hands an event to a node at once.
+    /// Delivers an event to a node immediately.
     pub fn handle(&mut self, node: usize, event: Event) {
         let now_ms = self.now_us / 1_000;
         let Some(state) = self.nodes[node].as_mut() else {
@@ -272,13 +273,13 @@
         }
     }
 
-    /// Counts the cells that living nodes serve.
+    /// Returns the number of cells that live nodes serve.
     pub fn count_served_cells(&mut self) -> usize {
         let nodes = self.nodes.iter_mut().flatten();
         nodes.map(|node| node.status().cells.len()).sum()
     }
 
-    /// Sends a request at a node.
+    /// Sends a request to a node; its deadline is `timeout_ms` from now.
     pub fn send_request(&mut self, node: usize, request: u64, service: &str, timeout_ms: u64) {
         let request = Request {
             request,
@@ -292,7 +293,7 @@
     }
 }
 
-/// Weighs a message as it travels.
+/// Returns the bytes of a message on the wire.
 fn message_bytes_of(from: Member, message: &goldcrestway_core::Message) -> u64 {
     let envelope = Envelope {
         from,
--- a/crates/bench/src/series.rs
+++ b/crates/bench/src/series.rs
@@ -1,23 +1,23 @@
-//! A measured series, the line through it and its growth.
+//! A measured series, the straight line fitted to it and its exponent of growth.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One measured series.
+/// A measured series: values at several sizes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Series {
-    /// Name by which the page refers to it.
+    /// Name by which the capacity page refers to the series.
     pub name: String,
     /// What the size counts.
     pub size_of: String,
     /// Unit of the values.
     pub unit: String,
-    /// Size and value.
+    /// Pairs of size and value.
     pub points: Vec<(f64, f64)>,
 }
 
 impl Series {
-    /// Starts a series without points.
+    /// Creates a series without points.
     pub fn new(name: &str, size_of: &str, unit: &str) -> Self {
         Self {
             name: name.into(),
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Fits a straight line by least squares: value at zero, and slope.
+    /// Fits a straight line by least squares and returns its value at zero and its
+    /// slope.
     pub fn fit(&self) -> (f64, f64) {
         let count = self.points.len() as f64;
         let mean = |pick: fn(&(f64, f64)) -> f64| self.points.iter().map(pick).sum::<f64>() / count;
@@ -45,8 +46,8 @@
         (mean_y - slope * mean_x, slope)
     }
 
-    /// Gives the exponent of growth between the smallest and the largest size: 0 is
-    /// flat, 1 is linear, 2 is quadratic.
+    /// Returns the exponent of growth between the first and the last point: 0 is flat,
+    /// 1 is linear, 2 is quadratic. Returns 0 if the points do not allow a logarithm.
     pub fn exponent(&self) -> f64 {
         let (Some(first), Some(last)) = (self.points.first(), self.points.last()) else {
             return 0.0;
@@ -58,7 +59,7 @@
         (last.1 / first.1).ln() / (last.0 / first.0).ln()
     }
 
-    /// Gives the value at the largest size.
+    /// Returns the value of the last point, or 0 without points.
     pub fn last(&self) -> f64 {
         self.points.last().map_or(0.0, |point| point.1)
     }
--- a/crates/bench/src/stored.rs
+++ b/crates/bench/src/stored.rs
@@ -1,4 +1,5 @@
-//! Slopes of what is stored: configuration and records of the log.
+//! Measures how the cost of stored data grows: the configuration and records of the
+//! log.
 
 use crate::fleet::Fleet;
 use crate::series::Series;
@@ -20,7 +21,7 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// One operator's change of one host.
+/// Returns an operator's change of a single host.
 fn host_change(sections: &Sections, base: u64) -> ConfigChange {
     let identity: (Box<str>, Box<str>) = ("host".into(), "w0".into());
     let mut values = sections[&identity].values.clone();
@@ -92,7 +93,8 @@
     vec![change_bytes, change_us, whole_bytes, whole_us, memory_used]
 }
 
-/// Records that share a batch: bytes each, and time to encode and decode.
+/// Measures records that share a batch: bytes of each, and the time to encode and
+/// decode it.
 pub(crate) fn records() -> Vec<Series> {
     let id = |number: usize| -> Box<str> { format!("team17/roster-2027-05-{number:05}").into() };
     type MakeRecord = Box<dyn Fn(usize) -> Record>;
