--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity page, worked out from the measured slopes alone, so that page and
-//! measurement can't drift apart.
+//! Renders the capacity page from the measured slopes alone, so that the page always
+//! agrees with the measurement.
 
 use crate::edges::HTTP_BYTES;
 use crate::facts::facts;
@@ -14,17 +14,19 @@
 
 const TEMPLATE: &str = include_str!("capacity.md.jinja");
 
-/// What the users allow for control on each node.
+/// Processor time that control may use on each node, in microseconds per second.
 const ALLOWED_CPU_US_PER_S: f64 = 37_000.0;
+/// Network bytes that control may use on each node, in bytes per second.
 pub(crate) const ALLOWED_BYTES_PER_S: f64 = 14_000.0;
+/// Memory that control may use on each node, in bytes.
 const ALLOWED_MEMORY_BYTES: f64 = 128e6;
-/// Appends that the log takes, of several hundred.
+/// Appends per second assumed of the log, which accepts several hundred.
 pub(crate) const LOG_APPENDS_PER_S: f64 = 300.0;
-/// Base64 around records.
+/// Growth of a record by its Base64 encoding.
 pub(crate) const BASE64_FACTOR: f64 = 4.0 / 3.0;
 pub(crate) const DAY_S: f64 = 86_400.0;
 
-/// The sizes of a fleet.
+/// Sizes and rates of a fleet.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub(crate) struct Sizes {
     pub(crate) workers: f64,
@@ -36,7 +38,7 @@
     entries: f64,
 }
 
-/// How often things are done; settings of the daemon.
+/// Frequencies of periodic work, which are settings of the daemon.
 #[derive(Debug, Clone, Copy, Serialize)]
 struct Pace {
     heartbeats_per_s: f64,
@@ -48,7 +50,7 @@
     own_voters: bool,
 }
 
-/// One line of control traffic.
+/// One kind of control traffic, summed over all entry hosts.
 #[derive(Debug, Clone, Serialize)]
 struct Line {
     role: &'static str,
@@ -60,7 +62,7 @@
     slopes: &'static str,
 }
 
-/// Sums over all entry hosts, and what one of them gets.
+/// Totals over all entry hosts, and the share of a single one.
 #[derive(Debug, Clone, Serialize)]
 struct Sum {
     name: &'static str,
@@ -108,12 +110,12 @@
 pub(crate) struct Slopes<'a>(BTreeMap<&'a str, &'a Series>);
 
 impl Slopes<'_> {
-    /// Gives a series' value at its largest measured size.
+    /// Returns the value of a series at its last measured size, or 0 for an unknown one.
     pub(crate) fn last(&self, name: &str) -> f64 {
         self.0.get(name).map_or(0.0, |series| series.last())
     }
 
-    /// Gives a value on the straight line through a series.
+    /// Returns the value at `size` on the line fitted to a series.
     pub(crate) fn value_at(&self, name: &str, size: f64) -> f64 {
         let Some(series) = self.0.get(name) else {
             return 0.0;
@@ -122,13 +124,13 @@
         intercept + slope * size
     }
 
-    /// Gives the slope of a series.
+    /// Returns the slope of the line fitted to a series.
     pub(crate) fn slope(&self, name: &str) -> f64 {
         self.0.get(name).map_or(0.0, |series| series.fit().1)
     }
 }
 
-/// Bytes of one start in the log: accepted, assigned, ended.
+/// Returns the bytes of one start in the log: its records accepted, assigned and ended.
 pub(crate) fn start_record_bytes(slopes: &Slopes) -> f64 {
     let kinds = [
         "record_accepted_bytes",
@@ -147,7 +149,7 @@
     kinds.iter().map(|kind| slopes.last(kind)).sum()
 }
 
-/// All control traffic of the fleet, summed over its entry hosts.
+/// Returns all control traffic of the fleet, summed over its entry hosts.
 fn lines(slopes: &Slopes, sizes: Sizes, rates: Pace) -> Vec<Line> {
     let measured_heartbeats = 4.0;
     let heartbeat_factor = rates.heartbeats_per_s / measured_heartbeats;
@@ -279,7 +281,7 @@
     }
 }
 
-/// Says what share of an allowance is used: a factor above 1 is too much.
+/// Describes how much of an allowance is used; a factor above 1 exceeds it.
 fn share(used: f64, allowed: f64) -> String {
     let factor = used / allowed;
     match factor > 1.0 {
@@ -295,11 +297,12 @@
     let memory = total(|line| line.memory);
     let heartbeat_factor = rates.heartbeats_per_s / 4.0;
     let voter_bytes = match rates.own_voters {
-        // Each member has voters of its own, so a host hears five on average.
+        // Each member has its own voters, and a host receives heartbeats from five
+        // members on average.
         true => slopes.last("member_bytes") * heartbeat_factor * 2.0,
         false => slopes.value_at("voter_bytes", sizes.entries) * heartbeat_factor,
     };
-    // What every host carries whatever their number, and what is shared.
+    // Load that every host bears regardless of their number, against load that is shared.
     let is_per_host = |role: &str| {
         role.starts_with("membership")
             || role.starts_with("following")
@@ -400,7 +403,7 @@
 ///
 /// # Errors
 ///
-/// When the template can't be filled in, which is a fault of the program.
+/// Returns an error if the template can't be rendered, which is a bug in the program.
 pub fn render(series: &[Series]) -> Result<String, minijinja::Error> {
     let slopes = Slopes(
         series
--- a/crates/bench/src/routing.rs
+++ b/crates/bench/src/routing.rs
@@ -1,7 +1,8 @@
-//! Choice of an instance: the owner's exact counts against simpler policies.
+//! Compares policies that choose an instance for a request: the owner's exact slot
+//! counts against simpler policies.
 //!
-//! All policies see the same arrivals and the same work. Baselines are kept here as
-//! plain functions and nowhere else.
+//! All policies see the same arrivals and the same work. The baselines are plain
+//! functions of this module and are used nowhere else.
 
 use crate::fleet::Fleet;
 use crate::rig::HOP_US;
@@ -16,26 +17,26 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-/// Entry hosts.
+/// Number of entry hosts.
 pub const ENTRIES: usize = 8;
-/// Instances of the service, over three failure domains.
+/// Number of instances of the service, spread over three failure domains.
 pub const INSTANCES: usize = 48;
-/// Slots of an instance.
+/// Number of slots of an instance.
 const SLOTS: usize = 8;
 /// Mean work on a request, in microseconds.
 const MEAN_WORK_US: u64 = 10_000;
-/// How long callers wait, in milliseconds.
+/// Time after which callers give up, in milliseconds.
 const CALLER_TIMEOUT_MS: u64 = 1_000;
 
-/// Goodput that is possible if a slot gets its next request only once the answer to
-/// the one before has come back, in percent: two hops pass in between.
+/// Highest possible goodput, in percent, if a slot gets its next request only after the
+/// answer to the previous one has arrived: two hops pass in between.
 pub const MAX_STRICT_GOODPUT_PERCENT: f64 =
     MEAN_WORK_US as f64 * 100.0 / (MEAN_WORK_US + 2 * HOP_US) as f64;
 
-/// What disturbs the instances.
+/// Disturbance of the instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Trouble {
-    /// Nothing.
+    /// No disturbance.
     None,
     /// One instance takes ten times as long.
     OneSlow,
@@ -43,31 +44,31 @@
     Waves,
 }
 
-/// One comparison.
+/// Load and disturbance of one comparison.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Setting {
-    /// Arrivals as a share of what the instances can do, in percent.
+    /// Arrivals as a share of the capacity of the instances, in percent.
     pub load_percent: u64,
-    /// What disturbs.
+    /// Disturbance of the instances.
     pub trouble: Trouble,
 }
 
-/// What a policy reached.
+/// Results of a policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
     /// Name of the policy.
     pub policy: &'static str,
     /// Median time to the answer, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile of the time to the answer, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9th percentile.
+    /// 99.9th percentile of the time to the answer, in milliseconds.
     pub p999_ms: f64,
     /// Requests refused, in percent.
     pub refused_percent: f64,
     /// Median time to a refusal, in milliseconds; 0 if none was refused.
     pub refusal_p50_ms: f64,
-    /// Answers as a share of what the instances can do, in percent.
+    /// Answers as a share of the capacity of the instances, in percent.
     pub goodput_percent: f64,
 }
 
@@ -88,7 +89,7 @@
     let mut list = Vec::with_capacity(count);
     for _ in 0..count {
         at += draw() / rate;
-        // Half of the work is fixed, half is exponential: a tail, but no monster.
+        // Half of the work is fixed and half is exponential, which gives a moderate tail.
         let work_us = MEAN_WORK_US / 2 + (draw() * MEAN_WORK_US as f64 / 2.0) as u64;
         list.push((at as u64, work_us));
     }
@@ -102,7 +103,7 @@
         .collect()
 }
 
-/// Stretches work by what disturbs the instance at that time.
+/// Returns the time that an instance needs for work under the disturbance at `at_us`.
 fn disturbed_work_us(trouble: Trouble, instance: usize, at_us: u64, work_us: u64) -> u64 {
     const WAVE_US: u64 = 200_000;
     const WAVES_START_US: u64 = 500_000;
@@ -117,7 +118,7 @@
     }
 }
 
-/// Collects times and refusals.
+/// Records the times of answers and refusals.
 struct OutcomeRecorder {
     latency_us: Histogram<u64>,
     refusal_us: Histogram<u64>,
@@ -132,7 +133,7 @@
 }
 
 impl OutcomeRecorder {
-    /// Starts for a sequence whose last arrival is at `span_us`.
+    /// Creates a recorder for arrivals of which the last is at `span_us`.
     fn new(span_us: u64) -> Self {
         Self {
             span_us,
@@ -171,7 +172,7 @@
     }
 }
 
-/// Compares all policies in one setting.
+/// Compares all policies in one setting, with `count` requests drawn from `seed`.
 pub fn compare(setting: Setting, count: usize, seed: u64) -> Vec<Outcome> {
     let list = arrivals(setting, count, seed);
     vec![
@@ -183,7 +184,7 @@
     ]
 }
 
-/// The chosen policy: the real nodes, with the owner's exact counts.
+/// Runs the production policy: real nodes, with the owner's exact slot counts.
 fn owner(setting: Setting, list: &[Arrival]) -> Outcome {
     const WARM_UP_US: u64 = 8_000_000;
     const FIRST_REQUEST: u64 = 1_000;
@@ -223,14 +224,15 @@
     recorder.outcome("owner")
 }
 
-/// Hosts that carry the instances; three racks, so three failure domains.
+/// Number of hosts of the instances; they fill three racks and thus three failure domains.
 const HOSTS: usize = 33;
 
 fn span_us_of(list: &[Arrival]) -> u64 {
     list.last().map_or(1, |arrival| arrival.at_us)
 }
 
-/// One queue that sees every instance exactly and at once: the bound.
+/// Runs a single queue that knows the exact state of every instance without delay. No
+/// policy can do better: this is the bound.
 fn omniscient(setting: Setting, list: &[Arrival]) -> Outcome {
     let mut recorder = OutcomeRecorder::new(span_us_of(list));
     let mut busy: BTreeMap<(u64, usize), usize> = BTreeMap::new();
@@ -273,8 +275,8 @@
     recorder.outcome("omniscient")
 }
 
-/// Picks the free instance that would end soonest, unless waiting for a fast one
-/// is better.
+/// Returns the free instance that would finish soonest, or `None` if waiting for a fast
+/// one is better.
 fn pick_soonest(setting: Setting, free: &[usize], now_us: u64, work_us: u64) -> Option<usize> {
     let open = (0..INSTANCES).filter(|instance| free[*instance] > 0);
     let best =
@@ -283,9 +285,9 @@
     (!is_slow).then_some(best)
 }
 
-/// State of the instances' own queues, for policies without an owner.
+/// Queues of the instances, for policies without an owner.
 struct Queues {
-    /// When each slot of each instance is free again.
+    /// Time at which each slot of each instance becomes free, in microseconds.
     free_us: Vec<[u64; SLOTS]>,
     random: Pcg32,
 }
@@ -297,12 +299,13 @@
     }
 }
 
-/// Picks any instance.
+/// Returns a random instance; costs no time.
 fn random_instance(queues: &mut Queues, _now_us: u64) -> (usize, u64) {
     (queues.random.random_range(0..INSTANCES), 0)
 }
 
-/// Asks two instances for their backlog and picks the smaller one.
+/// Queries the backlog of two random instances and returns the one with the smaller
+/// backlog; costs two hops.
 fn probe_two(queues: &mut Queues, now_us: u64) -> (usize, u64) {
     let first = queues.random.random_range(0..INSTANCES);
     let second = queues.random.random_range(0..INSTANCES);
@@ -341,7 +344,7 @@
     recorder.outcome(policy)
 }
 
-/// Each entry host has one slot of every instance for itself.
+/// Runs a policy under which each entry host owns one slot of every instance.
 fn static_split(setting: Setting, list: &[Arrival]) -> Outcome {
     let mut free_us = vec![[0_u64; INSTANCES]; ENTRIES];
     let mut recorder = OutcomeRecorder::new(span_us_of(list));
@@ -357,7 +360,7 @@
         }
         let end_us =
             start_us + disturbed_work_us(setting.trouble, instance, start_us, arrival.work_us);
-        // The host sends the next request when it hears the answer to this one.
+        // The host sends the next request when it receives the answer to this one.
         slots[instance] = end_us + 2 * HOP_US;
         recorder.record_answer(arrival.at_us, end_us + HOP_US - arrival.at_us);
     }
--- a/crates/bench/src/sharing.rs
+++ b/crates/bench/src/sharing.rs
@@ -1,9 +1,10 @@
-//! Placement with interference: services' latency, batch throughput and evictions
-//! on small fake hosts with hidden pair effects, for the chosen policy and
-//! baselines. The effects are drawn from seeds that no policy is tuned on.
+//! Compares placement policies under interference: the latency of services, the
+//! throughput of batch work and the evictions on simulated hosts. How much a kind of job
+//! slows a service down is hidden from the policies and drawn from seeds on which no
+//! policy is tuned.
 //!
-//! The policy under test is the real [`WorkerCell`] with its guards; the baselines
-//! use the same cell and leave the guard out, or keep batch off hosts of services.
+//! The policy under test is the production [`WorkerCell`] with its guards. The baselines
+//! use the same cell without the guard, or keep batch work off hosts with services.
 
 use goldcrestway_core::AttemptId;
 use goldcrestway_core::HostEntry;
@@ -28,17 +29,17 @@
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
-/// Hosts of the cell.
+/// Number of hosts of the cell.
 const HOSTS: usize = 11;
-/// Hosts that carry an instance of a service.
+/// Number of hosts with an instance of a service.
 const SERVICE_HOSTS: usize = 8;
-/// Kinds of jobs, each with its own effect on each service.
+/// Number of kinds of jobs, each with its own slowdown of each service.
 const KINDS: usize = 6;
-/// Length of a run, in seconds.
+/// Duration of a run, in seconds.
 const SPAN_S: u64 = 1_800;
-/// How late a measurement arrives, in seconds.
+/// Delay of a measurement, in seconds.
 const LAG_S: usize = 3;
-/// Service latency above this multiple of the usual one is a violation.
+/// Multiple of the usual service latency above which a second counts as a violation.
 const VIOLATION_FACTOR: f64 = 1.3;
 
 /// How batch work is kept from harming services.
@@ -54,7 +55,7 @@
     EvictAtOnce,
 }
 
-/// What a policy reached in one run.
+/// Results of a policy in one run.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Outcome {
     /// The policy.
@@ -63,11 +64,11 @@
     pub violation_percent: f64,
     /// Core-seconds of batch work done.
     pub batch_core_s: f64,
-    /// Tasks evicted.
+    /// Number of tasks evicted.
     pub evictions: u64,
 }
 
-/// The hidden world of one seed.
+/// Slowdowns drawn from a seed, which the policies do not see.
 struct HiddenEffects {
     /// Slowdown that one running core of each kind adds to each host's service.
     slowdown_per_core: Vec<[f64; KINDS]>,
@@ -81,7 +82,7 @@
         for _ in 0..HOSTS {
             let mut row = [0.0; KINDS];
             for cell in &mut row {
-                // Most pairs get on; some do not; a few are bad.
+                // 60% of the pairs barely interfere, 30% interfere, and 10% interfere strongly.
                 *cell = match random.random_range(0..10) {
                     0..6 => random.random::<f64>() * 0.003,
                     6..9 => random.random::<f64>() * 0.03,
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Gives the load of services at a time: a slow swing.
+    /// Returns the load of the services at a time: a slow sine wave.
     fn load(&self, now_s: u64) -> f64 {
         const SWING_S: f64 = 400.0;
         let phase = now_s as f64 * std::f64::consts::TAU / SWING_S;
         0.6 + 0.4 * phase.sin()
     }
 
-    /// Gives a service's true latency, as a multiple of its usual one.
+    /// Returns a service's latency without noise, as a multiple of its usual one.
     fn latency(&self, host: usize, cores_by_kind: &[f64; KINDS], now_s: u64) -> f64 {
         let slowdown: f64 = (0..KINDS)
             .map(|kind| self.slowdown_per_core[host][kind] * cores_by_kind[kind])
@@ -111,8 +112,8 @@
         1.0 + slowdown * (0.4 + self.load(now_s)) + 0.05 * self.load(now_s)
     }
 
-    /// Adds the service's own noise: a little always, much in waves. It harms
-    /// callers whether batch work shares the host or not.
+    /// Adds noise of the service itself: a little at all times, much in periodic waves.
+    /// It affects callers whether batch work shares the host or not.
     fn with_noise(&mut self, latency: f64, now_s: u64) -> f64 {
         const WAVE_S: u64 = 97;
         let in_wave = now_s % WAVE_S < 12;
@@ -121,7 +122,7 @@
     }
 }
 
-/// One task on a fake host.
+/// Task on a simulated host.
 #[derive(Debug, Clone)]
 struct SimulatedTask {
     order: TaskOrder,
@@ -130,7 +131,7 @@
     state: ReportedState,
 }
 
-/// One fake host.
+/// Simulated host.
 #[derive(Debug, Clone, Default)]
 struct SimulatedHost {
     tasks: Vec<SimulatedTask>,
@@ -184,7 +185,7 @@
     }
 }
 
-/// Runs one policy in the hidden world of `seed`.
+/// Runs a policy against the slowdowns drawn from `seed`.
 pub fn run(policy: Policy, seed: u64) -> Outcome {
     let mut effects = HiddenEffects::draw(seed);
     let timing = WorkerTiming {
@@ -218,7 +219,7 @@
     let (mut violation_s, mut observed_s, mut done, mut evictions) = (0_u64, 0_u64, 0.0, 0_u64);
     for now_s in 0..SPAN_S {
         let now_ms = now_s * 1_000;
-        // There is always more batch work than room.
+        // There is always more batch work than free resources.
         while backlog.len() < 24 {
             number += 1;
             backlog.push_back(order(number, kinds.random_range(0..KINDS)));
@@ -286,7 +287,8 @@
     found.map_or(0, |task| task.kind)
 }
 
-/// Plays a worker: takes a call and lists its tasks and a late measurement.
+/// Simulates a worker: handles a call and returns a report of its tasks with a delayed
+/// measurement.
 fn handle_call(
     host: &mut SimulatedHost,
     index: usize,
@@ -358,7 +360,7 @@
     cores
 }
 
-/// Lets a host's tasks work for a second; gives the core-seconds done.
+/// Advances the tasks of a host by one second and returns the core-seconds of work done.
 fn run_tasks(host: &mut SimulatedHost) -> f64 {
     let mut done = 0.0;
     for task in &mut host.tasks {
@@ -375,7 +377,7 @@
     done
 }
 
-/// Worst and median of each policy over `seeds`.
+/// Runs each policy with all `seeds` and returns the outcomes by the name of the policy.
 pub fn compare(seeds: std::ops::Range<u64>) -> BTreeMap<&'static str, Vec<Outcome>> {
     let policies = [
         ("guard", Policy::Guard),
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes: what one more member, host, task, request or record costs, measured at
-//! three sizes or more each.
+//! Measures slopes: the cost of one more member, host, task, request or record. Each is
+//! measured at three sizes or more.
 
 use crate::fleet::Fleet;
 use crate::fleet::HOSTS_PER_RACK;
@@ -38,10 +38,11 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// How memory is read; the program installs a counting allocator.
+/// Returns the bytes allocated at present; the program installs a counting allocator.
 pub type ReadAllocatedBytes = fn() -> usize;
 
-/// Times `operation`, in microseconds each: the median of several rounds.
+/// Returns the time of one `operation` in microseconds: the median over several rounds of
+/// `each` operations.
 pub(crate) fn time_us(rounds: usize, each: usize, mut operation: impl FnMut(usize)) -> f64 {
     let mut times: Vec<f64> = Vec::new();
     let mut number = 0;
@@ -72,7 +73,7 @@
     all
 }
 
-/// Idle members: messages, bytes, processor time.
+/// Measures the messages, bytes and processor time of idle members.
 fn membership() -> Vec<Series> {
     let mut messages = Series::new("member_messages", "members", "messages/s per member");
     let mut bytes = Series::new("member_bytes", "members", "bytes/s per member");
@@ -103,7 +104,8 @@
     vec![messages, bytes, voter, busy]
 }
 
-/// Members die: how long until all cells are served, and with how many appends.
+/// Measures how long it takes after members die until all cells are served, and how many
+/// appends that needs.
 fn takeover() -> Vec<Series> {
     let mut time = Series::new("takeover_ms", "hosts", "ms until all cells are served");
     let mut appends = Series::new("takeover_appends", "hosts", "appends");
@@ -144,7 +146,8 @@
     vec![time, appends, by_lease, domain, domain_appends]
 }
 
-/// Lets `lost` of `members` die at once in a fleet of `hosts`.
+/// Kills `lost` of `members` at once in a fleet of `hosts`. Returns the milliseconds until
+/// all cells are served again and the number of appends.
 fn measure_member_loss(members: usize, lost: usize, hosts: usize, limits: &Limits) -> (f64, f64) {
     const MAX_TAKEOVER_US: u64 = 60_000_000;
     let mut rig = Rig::new(members, limits, false);
@@ -190,7 +193,7 @@
     skew_permille: 20,
 };
 
-/// Cells of workers with `tasks` running tasks in all.
+/// Returns cells of workers on which `tasks` tasks run in total.
 pub fn worker_cells(hosts: usize, tasks: usize) -> Vec<WorkerCell> {
     let racks = hosts.div_ceil(HOSTS_PER_RACK);
     let per_host = tasks / hosts;
@@ -236,10 +239,11 @@
     cells
 }
 
-/// Tasks that run on the fleet of the plan.
+/// Number of tasks that run on the planned fleet.
 pub const PLANNED_TASKS: usize = 172_000;
 
-/// Decides a start: a cell of workers at random, then the host; and takes it back.
+/// Decides one start: picks a random cell of workers, lets it reserve resources at a host,
+/// and releases the reservation.
 pub fn decide_start(cells: &mut [WorkerCell], random: &mut Pcg32, number: usize) {
     let cell = random.random_range(0..cells.len());
     let cell = &mut cells[cell];
@@ -250,7 +254,7 @@
     }
 }
 
-/// Baseline: the first host of the whole fleet that has room.
+/// Returns the first host of the whole fleet with enough free resources (baseline).
 pub fn first_fit(free: &[Resources], need: Resources) -> Option<usize> {
     free.iter().position(|resources| need.fits(*resources))
 }
@@ -268,7 +272,7 @@
             decide_start(&mut cells, &mut random, number)
         });
         decide.points.push((hosts as f64, took));
-        // First fit finds room only far down the list once the fleet is busy.
+        // In a busy fleet, first fit finds free resources only far down the list.
         let need = order(0, 1).need;
         let mut free = vec![Resources::default(); hosts];
         free[hosts * 9 / 10] = need.plus(need);
@@ -319,7 +323,7 @@
     }
 }
 
-/// A job's way through its home: submitted, queued, taken, started, ended.
+/// Measures a job at its home: submitted, queued, dequeued, started and ended.
 fn teams(allocated_bytes: ReadAllocatedBytes) -> Vec<Series> {
     let mut took = Series::new("job_home_us", "teams", "us per job at its home");
     let mut bytes = Series::new("job_bytes", "jobs", "bytes of state per job");
@@ -368,7 +372,7 @@
     vec![took, bytes]
 }
 
-/// A slot asked for and released again.
+/// Requests a slot and releases it again.
 pub fn grant_and_release(cell: &mut UpstreamCell, number: u64) {
     let me = Member {
         seat: Seat(1),
@@ -394,7 +398,7 @@
     }
 }
 
-/// A cell of upstreams with some instances.
+/// Returns a cell of upstreams with the given number of instances.
 pub fn upstream_cell(instances: usize) -> UpstreamCell {
     let bounds = Bounds {
         timeout_ms: 1_000,
@@ -460,7 +464,7 @@
     vec![took, bytes]
 }
 
-/// A request through the real nodes: messages, bytes and processor time of all.
+/// Measures requests through real nodes: messages, bytes and processor time of all hosts.
 fn requests() -> Vec<Series> {
     let mut messages = Series::new("request_messages", "requests/s", "messages per request");
     let mut bytes = Series::new("request_bytes", "requests/s", "bytes per request");
