--- a/tests/capacity.rs
+++ b/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity page says what the measured slopes say.
+//! Tests that the capacity page agrees with the measured slopes.
 
 use goldcrestway_bench::capacity::render;
 use goldcrestway_bench::series::Series;
@@ -7,11 +7,11 @@
 const SLOPES: &str = include_str!("../docs/dev/slopes.json");
 const PAGE: &str = include_str!("../docs/dev/own-log-capacity.md");
 
-/// Symptom: a figure on the page that no measurement gave. Cause: the page was
-/// edited by hand, or slopes were measured anew and the page was not written.
+/// Guards against a figure on the page that no measurement supports: the page was edited
+/// by hand, or the slopes were measured again and the page was not regenerated.
 #[gtest]
-fn the_page_is_that_of_the_slopes() {
-    let all: Vec<Series> = serde_json::from_str(SLOPES).expect("sound slopes");
+fn page_matches_measured_slopes() {
+    let all: Vec<Series> = serde_json::from_str(SLOPES).expect("valid slopes");
     let page = render(&all).expect("a page");
     expect_true!(
         page == PAGE,
@@ -20,7 +20,7 @@
 }
 
 #[gtest]
-fn a_line_through_points_on_a_line_is_that_line() {
+fn fit_of_collinear_points_is_their_line() {
     let mut series = Series::new("x", "sizes", "us");
     series.points = vec![(1.0, 5.0), (2.0, 7.0), (10.0, 23.0)];
     let (zero, slope) = series.fit();
