--- a/crates/bench/src/edges.rs
+++ b/crates/bench/src/edges.rs
@@ -1,5 +1,5 @@
-//! What calls and messages cost at the edge: bytes, and processor time of the
-//! thread that makes them, the stand-in's not included.
+//! Measures calls and messages over the network: their bytes, and the processor time
+//! of the calling thread. The processor time of the stand-in is not included.
 
 use crate::series::Series;
 use goldcrestway_core::AttemptId;
@@ -30,8 +30,8 @@
 /// Bytes of TCP and IP around a message between entry hosts.
 pub const PACKET_BYTES: f64 = 60.0;
 
-/// Reads the processor time of this thread, in microseconds.
-fn thread_us() -> f64 {
+/// Returns the processor time of this thread, in microseconds, or 0 if it can't be read.
+fn thread_cpu_us() -> f64 {
     let text = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = text
         .split(' ')
@@ -40,7 +40,7 @@
     nanos.unwrap_or(0.0) / 1_000.0
 }
 
-/// Measures all series of the edge.
+/// Measures all series of network calls and messages.
 pub fn measure() -> Vec<Series> {
     let mut all = vec![appends(), task_messages(), host_lists()];
     all.extend(worker_calls());
@@ -60,14 +60,14 @@
     let client = LogClient::new(&server.url(), 2_000);
     for bytes in [100, 1_500, 20_000] {
         let payload = vec![7_u8; bytes];
-        let before = thread_us();
+        let before = thread_cpu_us();
         for _ in 0..CALLS {
-            // A failed call would show as a time far off.
+            // The result is ignored: a failed call shows up as an outlier.
             let _ = client.append("bench", &payload);
         }
         series
             .points
-            .push((bytes as f64, (thread_us() - before) / CALLS as f64));
+            .push((bytes as f64, (thread_cpu_us() - before) / CALLS as f64));
     }
     series
 }
@@ -84,18 +84,18 @@
     }
 }
 
-/// A call to a worker with a number of tasks on it.
+/// Measures calls to a worker by the number of tasks that it runs.
 fn worker_calls() -> Vec<Series> {
     const CALLS: usize = 200;
-    const ROOM: (u32, u32, u32) = (1_000_000, 64_000_000, 0);
-    let mut took = Series::new(
+    const WORKER_RESOURCES: (u32, u32, u32) = (1_000_000, 64_000_000, 0);
+    let mut times = Series::new(
         "worker_edge_us",
         "tasks per host",
         "us of the calling thread",
     );
     let mut bytes = Series::new("worker_call_bytes", "tasks per host", "bytes, both ways");
     for tasks in [5, 20, 80] {
-        let state = WorkerState::new(ROOM, u64::MAX / 2);
+        let state = WorkerState::new(WORKER_RESOURCES, u64::MAX / 2);
         let Ok(server) = WorkerServer::start(state, Instant::now()) else {
             continue;
         };
@@ -111,14 +111,15 @@
         call.start = (0..tasks).map(order).collect();
         let mut reply = client.call(&server.address(), &call).unwrap_or_default();
         call.start.clear();
-        let before = thread_us();
+        let before = thread_cpu_us();
         for _ in 0..CALLS {
             call.answers = reply.number;
             call.token += 1;
             reply = client.call(&server.address(), &call).unwrap_or_default();
         }
-        took.points
-            .push((tasks as f64, (thread_us() - before) / CALLS as f64));
+        times
+            .points
+            .push((tasks as f64, (thread_cpu_us() - before) / CALLS as f64));
         bytes
             .points
             .push((tasks as f64, body_bytes(&call, &reply) + HTTP_BYTES));
@@ -150,7 +151,7 @@
             .points
             .push((tasks as f64, body_bytes(&call, &reply) + HTTP_BYTES));
     }
-    vec![took, bytes, change]
+    vec![times, bytes, change]
 }
 
 fn body_bytes(call: &WorkerRequest, reply: &WorkerReply) -> f64 {
@@ -158,7 +159,8 @@
     (length(serde_json::to_string(call)) + length(serde_json::to_string(reply))) as f64
 }
 
-/// The messages of one job's start and end between its home and its workers.
+/// Measures the messages between a job's home and a cell of workers from its start to
+/// its end.
 fn task_messages() -> Series {
     let mut series = Series::new(
         "task_message_bytes",
@@ -228,7 +230,7 @@
     series
 }
 
-/// The platform's list of hosts, which is asked for as a whole.
+/// Measures the platform's list of hosts, which is always fetched as a whole.
 fn host_lists() -> Series {
     let mut series = Series::new(
         "host_list_bytes",
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements as commands.
+//! Command line of the measurements.
 
 use argh::FromArgs;
 use goldcrestway_bench::capacity;
@@ -78,29 +78,29 @@
     docs: String,
 }
 
-/// Counts the bytes that are allocated, so that state can be weighed.
-struct Counting;
+/// Allocator that counts the bytes in use, to measure the memory of state.
+struct CountingAllocator;
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: Every call is passed on unchanged to the system's allocator; only a
-// counter beside it is kept.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: Every call is passed on unchanged to the system's allocator; in addition
+// only a counter is updated.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller keeps to the contract of `alloc`.
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
+        // SAFETY: The caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: The caller keeps to the contract of `dealloc`.
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
+        // SAFETY: The caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(pointer, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn main() {
     let arguments: Arguments = argh::from_env();
@@ -110,7 +110,7 @@
         Command::Slopes(arguments) => measure_slopes(&arguments),
         Command::Capacity(arguments) => {
             if let Err(error) = write_capacity(&arguments) {
-                eprintln!("the page was not written: {error}. Run `slopes` first");
+                eprintln!("failed to write the capacity page: {error}. Run `slopes` first");
                 std::process::exit(1);
             }
         }
@@ -182,7 +182,7 @@
 }
 
 fn measure_slopes(arguments: &Slopes) {
-    let all = slopes::measure(|| HELD.load(Ordering::Relaxed));
+    let all = slopes::measure(|| ALLOCATED_BYTES.load(Ordering::Relaxed));
     println!("| Series | Unit | Sizes and values | Growth |");
     println!("| --- | --- | --- | --- |");
     for series in &all {
@@ -203,7 +203,10 @@
     let text = serde_json::to_string_pretty(&all).unwrap_or_default();
     match std::fs::write(&arguments.out, text + "\n") {
         Ok(()) => println!("written to {}", arguments.out),
-        Err(error) => eprintln!("while writing {}: {error}. Check the folder", arguments.out),
+        Err(error) => eprintln!(
+            "failed to write {}: {error}. Check that its folder exists",
+            arguments.out
+        ),
     }
 }
 
@@ -219,7 +222,7 @@
     for series in &all {
         plots::draw(series, &folder)?;
     }
-    std::fs::write(docs.join("dev/plots.md"), plots::page(&all))?;
+    std::fs::write(docs.join("dev/plots.md"), plots::render_page(&all))?;
     println!("written {}", docs.join("dev/own-log-capacity.md").display());
     Ok(())
 }
--- a/crates/bench/src/rig.rs
+++ b/crates/bench/src/rig.rs
@@ -1,7 +1,7 @@
-//! Many nodes of the real decision code, exchanging messages directly in virtual
-//! time, with a log that answers after a fixed time and instances that work for a
-//! given time. A loop for measuring, not a simulator: nothing fails in it but by
-//! the caller's hand.
+//! Runs many nodes of the production decision code in virtual time. They exchange
+//! messages directly; the log answers after a fixed time and instances work for a
+//! given time. This is an event loop for measurements, not a fault simulator: nothing
+//! fails unless the caller kills a node.
 
 use goldcrestway_core::Action;
 use goldcrestway_core::Answer;
@@ -27,31 +27,31 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Time of one message between entry hosts, in microseconds.
+/// Latency of a message between entry hosts, in microseconds.
 pub const HOP_US: u64 = 500;
-/// Time of one append, in microseconds.
+/// Latency of an append, in microseconds.
 const APPEND_US: u64 = 5_000;
 /// Time between two ticks, in microseconds.
 const TICK_US: u64 = 10_000;
 /// Bytes of TCP and IP around a message or call.
 const PACKET_BYTES: u64 = 60;
 
-/// What was counted since the last reset.
+/// Counters since the last reset.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     /// Messages between entry hosts.
     pub messages: u64,
-    /// Their bytes, packets included.
+    /// Bytes of the messages, including TCP and IP.
     pub message_bytes: u64,
     /// Appends to the log.
     pub appends: u64,
-    /// Bytes of their payloads.
+    /// Bytes of the appended payloads.
     pub append_bytes: u64,
     /// Reads of the log.
     pub reads: u64,
-    /// Bytes that reads brought.
+    /// Bytes returned by reads.
     pub read_bytes: u64,
-    /// Processor time of all nodes together.
+    /// Total time that all nodes spent handling events.
     pub busy: Duration,
     /// Messages that the busiest node sent or received.
     pub busiest_messages: u64,
@@ -59,36 +59,37 @@
 
 enum Due {
     Tick(usize),
-    Give(usize, Event),
+    Deliver(usize, Event),
 }
 
-/// What an attempt does: its number, the instance, and when it was sent. Gives the
-/// time of its work in microseconds.
-pub type Work = Box<dyn FnMut(u64, &str, u64) -> u64>;
+/// Returns how long an instance works on a request, in microseconds. The arguments are
+/// the number of the request, the address of the instance and the time at which the
+/// attempt was sent, in microseconds.
+pub type WorkTime = Box<dyn FnMut(u64, &str, u64) -> u64>;
 
-/// The nodes and their surroundings.
+/// The nodes with a simulated network, log and instances.
 pub struct Rig {
-    /// The nodes; one that was killed is gone.
+    /// The nodes; `None` for a node that was killed.
     pub nodes: Vec<Option<Node>>,
     /// Virtual time in microseconds.
     pub now_us: u64,
     due: BTreeMap<(u64, u64), Due>,
     next: u64,
     log: HashMap<Stream, Vec<(u64, Batch, u64)>>,
-    /// What was counted.
+    /// Counters without `busiest_messages`, which `total_counts` fills in.
     pub counts: Counts,
-    per_node: Vec<u64>,
-    /// Answers to requests: when, and what.
+    messages_per_node: Vec<u64>,
+    /// Time in microseconds and answer, by request.
     pub answers: HashMap<u64, (u64, Answer)>,
-    /// How instances work.
-    pub work: Work,
-    weighs: bool,
+    /// Time that instances work on a request.
+    pub work: WorkTime,
+    counts_bytes: bool,
 }
 
 impl Rig {
-    /// Starts `members` nodes; `weighs` has the bytes of messages counted, which
-    /// costs time.
-    pub fn new(members: usize, limits: &Limits, weighs: bool) -> Self {
+    /// Starts `members` nodes. `counts_bytes` enables counting the bytes of messages,
+    /// which slows the run down.
+    pub fn new(members: usize, limits: &Limits, counts_bytes: bool) -> Self {
         let seats: Vec<Seat> = (0..members as u16).map(Seat).collect();
         let mut rig = Self {
             nodes: Vec::new(),
@@ -97,10 +98,10 @@
             next: 0,
             log: HashMap::new(),
             counts: Counts::default(),
-            per_node: vec![0; members],
+            messages_per_node: vec![0; members],
             answers: HashMap::new(),
             work: Box::new(|_, _, _| 10_000),
-            weighs,
+            counts_bytes,
         };
         for (index, seat) in seats.iter().enumerate() {
             let me = Member {
@@ -108,19 +109,19 @@
                 incarnation: 1_000,
             };
             rig.nodes.push(Some(Node::new(me, &seats, *limits, 0)));
-            // Ticks of different hosts do not fall on the same moment.
+            // Offsets the ticks, because different hosts do not tick at the same moment.
             let offset_us = index as u64 * TICK_US / members as u64;
-            rig.put(offset_us, Due::Tick(index));
+            rig.schedule(offset_us, Due::Tick(index));
         }
         rig
     }
 
-    fn put(&mut self, at_us: u64, due: Due) {
+    fn schedule(&mut self, at_us: u64, due: Due) {
         self.next += 1;
         self.due.insert((at_us, self.next), due);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time and handles all events that fall due.
     pub fn run(&mut self, duration_us: u64) {
         let end_us = self.now_us + duration_us;
         while let Some(entry) = self.due.first_entry() {
@@ -133,45 +134,45 @@
             match due {
                 Due::Tick(node) => {
                     if self.nodes[node].is_some() {
-                        self.put(at_us + TICK_US, Due::Tick(node));
+                        self.schedule(at_us + TICK_US, Due::Tick(node));
                     }
                     self.handle(node, Event::Tick);
                 }
-                Due::Give(node, event) => self.handle(node, event),
+                Due::Deliver(node, event) => self.handle(node, event),
             }
         }
         self.now_us = end_us;
     }
 
-    /// Ends a node as a crash would.
+    /// Removes a node abruptly, as a crash does.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node] = None;
     }
 
-    /// Forgets what was counted.
+    /// Resets all counters.
     pub fn reset_counts(&mut self) {
         self.counts = Counts::default();
-        self.per_node.fill(0);
+        self.messages_per_node.fill(0);
     }
 
-    /// Gives what was counted.
-    pub fn counted(&self) -> Counts {
+    /// Returns the counters since the last reset.
+    pub fn total_counts(&self) -> Counts {
         Counts {
-            busiest_messages: self.per_node.iter().copied().max().unwrap_or(0),
+            busiest_messages: self.messages_per_node.iter().copied().max().unwrap_or(0),
             ..self.counts
         }
     }
 
-    /// Hands an event to a node at once.
+    /// Delivers an event to a node immediately.
     pub fn handle(&mut self, node: usize, event: Event) {
         let now_ms = self.now_us / 1_000;
-        let Some(deciding) = self.nodes[node].as_mut() else {
+        let Some(state) = self.nodes[node].as_mut() else {
             return;
         };
-        let began = Instant::now();
-        let actions = deciding.handle(now_ms, event);
-        self.counts.busy += began.elapsed();
-        let me = deciding.me();
+        let started = Instant::now();
+        let actions = state.handle(now_ms, event);
+        self.counts.busy += started.elapsed();
+        let me = state.me();
         for action in actions {
             self.perform(node, me, action);
         }
@@ -181,13 +182,13 @@
         match action {
             Action::Send { to, message } => {
                 self.counts.messages += 1;
-                self.per_node[node] += 1;
-                self.per_node[usize::from(to.0)] += 1;
-                if self.weighs {
-                    self.counts.message_bytes += weigh(me, &message);
+                self.messages_per_node[node] += 1;
+                self.messages_per_node[usize::from(to.0)] += 1;
+                if self.counts_bytes {
+                    self.counts.message_bytes += message_bytes_of(me, &message);
                 }
                 let event = Event::Peer { from: me, message };
-                self.put(self.now_us + HOP_US, Due::Give(usize::from(to.0), event));
+                self.schedule(self.now_us + HOP_US, Due::Deliver(usize::from(to.0), event));
             }
             Action::Append { stream, batch } => {
                 let bytes = encode_batch(&batch).len() as u64;
@@ -202,7 +203,7 @@
                     sequence,
                     offset: Some(offset),
                 };
-                self.put(self.now_us + APPEND_US, Due::Give(node, event));
+                self.schedule(self.now_us + APPEND_US, Due::Deliver(node, event));
             }
             Action::Read { stream, from } => self.read(node, stream, from),
             Action::Attempt {
@@ -215,7 +216,10 @@
                     latency_ms,
                 };
                 let event = Event::AttemptEnded { request, outcome };
-                self.put(self.now_us + 2 * HOP_US + work_us, Due::Give(node, event));
+                self.schedule(
+                    self.now_us + 2 * HOP_US + work_us,
+                    Due::Deliver(node, event),
+                );
             }
             Action::Answer { request, answer } => {
                 self.answers.insert(request, (self.now_us, answer));
@@ -240,9 +244,9 @@
         self.counts.reads += 1;
         self.counts.read_bytes += bytes;
         let page = Some(page);
-        self.put(
+        self.schedule(
             self.now_us + HOP_US,
-            Due::Give(node, Event::Read { stream, page }),
+            Due::Deliver(node, Event::Read { stream, page }),
         );
     }
 
@@ -269,28 +273,28 @@
         }
     }
 
-    /// Counts the cells that living nodes serve.
-    pub fn served(&mut self) -> usize {
+    /// Returns the number of cells that live nodes serve.
+    pub fn count_served_cells(&mut self) -> usize {
         let nodes = self.nodes.iter_mut().flatten();
         nodes.map(|node| node.status().cells.len()).sum()
     }
 
-    /// Sends a request at a node.
-    pub fn ask(&mut self, node: usize, request: u64, service: &str, patience_ms: u64) {
+    /// Sends a request to a node; its deadline is `timeout_ms` from now.
+    pub fn send_request(&mut self, node: usize, request: u64, service: &str, timeout_ms: u64) {
         let request = Request {
             request,
             service: service.into(),
             identity: None,
             fingerprint: 0,
             is_idempotent: true,
-            deadline_ms: self.now_us / 1_000 + patience_ms,
+            deadline_ms: self.now_us / 1_000 + timeout_ms,
         };
         self.handle(node, Event::Request(request));
     }
 }
 
-/// Weighs a message as it travels.
-fn weigh(from: Member, message: &goldcrestway_core::Message) -> u64 {
+/// Returns the bytes of a message on the wire.
+fn message_bytes_of(from: Member, message: &goldcrestway_core::Message) -> u64 {
     let envelope = Envelope {
         from,
         clock: u64::MAX / 3,
--- a/examples/first_week/fleet.rs
+++ b/examples/first_week/fleet.rs
@@ -1,4 +1,5 @@
-//! Everything that runs: daemons, stand-ins, workers, instances.
+//! Starts the processes of the example on loopback: daemons, stand-ins of the
+//! platform, workers and instances.
 
 use goldcrestway_daemon::Daemon;
 use goldcrestway_daemon::PublishRequest;
@@ -23,50 +24,53 @@
 use std::time::Instant;
 
 /// How long an append to the log takes.
-const APPEND_MS: u64 = 5;
+const APPEND_LATENCY_MS: u64 = 5;
 /// How long an instance works on a request.
-const WORK_MS: u64 = 8;
+const REQUEST_TIME_MS: u64 = 8;
 /// How long a job runs.
 const RUN_TIME_MS: u64 = 400;
 
-/// Result of a step of the example.
-pub(crate) type Step<T> = Result<T, Box<dyn Error>>;
+/// Result of setting up a part of the example.
+pub(crate) type SetupResult<T> = Result<T, Box<dyn Error>>;
 
-/// The whole fleet.
+/// All processes of the example.
 pub(crate) struct Fleet {
-    /// The log.
+    /// Stand-in for the log.
     pub(crate) log: LogServer,
-    /// The platform's list.
+    /// Stand-in for the platform's list of hosts.
     pub(crate) _hosts: HostListServer,
     /// Workers by name.
     pub(crate) workers: BTreeMap<String, WorkerServer>,
     /// Instances by name.
     pub(crate) upstreams: BTreeMap<String, UpstreamServer>,
-    /// Daemons by seat; a killed one is gone.
+    /// Running daemons by seat; a killed daemon is removed.
     pub(crate) daemons: BTreeMap<String, Daemon>,
     /// Settings by seat.
     pub(crate) settings: BTreeMap<String, Settings>,
 }
 
 impl Fleet {
-    /// Starts everything on loopback, on ports that the system picks.
-    pub(crate) fn start() -> Step<Self> {
-        let began = Instant::now();
-        let log = LogServer::start(APPEND_MS)?;
+    /// Starts everything on loopback, on ports that the operating system picks.
+    pub(crate) fn start() -> SetupResult<Self> {
+        let started = Instant::now();
+        let log = LogServer::start(APPEND_LATENCY_MS)?;
         let hosts = HostListServer::start()?;
         let mut workers = BTreeMap::new();
         for number in 1..=9 {
             let has_service = ![3, 6, 9].contains(&number);
-            let room = match has_service {
+            let resources = match has_service {
                 true => (28_000, 117_000, 0),
                 false => (32_000, 125_000, 0),
             };
-            let worker = WorkerServer::start(WorkerState::new(room, RUN_TIME_MS), began)?;
+            let worker = WorkerServer::start(WorkerState::new(resources, RUN_TIME_MS), started)?;
             workers.insert(format!("w{number}"), worker);
         }
         let mut upstreams = BTreeMap::new();
         for number in 1..=6 {
-            upstreams.insert(format!("b{number}"), UpstreamServer::start(WORK_MS, began)?);
+            upstreams.insert(
+                format!("b{number}"),
+                UpstreamServer::start(REQUEST_TIME_MS, started)?,
+            );
         }
         let mut list = Vec::new();
         let addresses = workers
@@ -102,14 +106,14 @@
         Ok(fleet)
     }
 
-    fn wait_until_ready(&self) -> Step<()> {
-        const PATIENCE: Duration = Duration::from_secs(30);
-        let began = Instant::now();
+    fn wait_until_ready(&self) -> SetupResult<()> {
+        const READY_TIMEOUT: Duration = Duration::from_secs(30);
+        let started = Instant::now();
         for settings in self.settings.values() {
             let url = format!("http://{}/readyz", settings.own().operator_address);
             while ureq::get(&url).call().is_err() {
-                if began.elapsed() > PATIENCE {
-                    return Err("the entry hosts did not get ready within 30 s".into());
+                if started.elapsed() > READY_TIMEOUT {
+                    return Err("the entry hosts did not become ready within 30 s".into());
                 }
                 thread::sleep(Duration::from_millis(50));
             }
@@ -118,7 +122,7 @@
     }
 
     /// Publishes the inventory and waits until all cells are served.
-    pub(crate) fn publish(&self) -> Step<()> {
+    pub(crate) fn publish(&self) -> SetupResult<()> {
         let file = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/spa/inventory.ini");
         let text = std::fs::read_to_string(file)?;
         let (sections, _) = load_sections("examples/spa/inventory.ini", &text)?;
@@ -132,18 +136,18 @@
             "http://{}/v1/config",
             self.settings["e1"].own().operator_address
         );
-        let began = Instant::now();
+        let started = Instant::now();
         ureq::post(&url).send_json(&request)?;
-        println!("accepted after {} ms", began.elapsed().as_millis());
+        println!("accepted after {} ms", started.elapsed().as_millis());
         self.wait_until_served()
     }
 
     /// Waits until each of the 16 + 3 + 3 cells has an owner that serves it.
-    fn wait_until_served(&self) -> Step<()> {
-        const PATIENCE: Duration = Duration::from_secs(30);
+    fn wait_until_served(&self) -> SetupResult<()> {
+        const READY_TIMEOUT: Duration = Duration::from_secs(30);
         const CELLS: usize = 16 + 3 + 3;
-        let began = Instant::now();
-        while began.elapsed() < PATIENCE {
+        let started = Instant::now();
+        while started.elapsed() < READY_TIMEOUT {
             let mut cells = 0;
             for settings in self.settings.values() {
                 let url = format!("http://{}/v1/status", settings.own().operator_address);
@@ -164,7 +168,7 @@
 }
 
 /// Writes the settings of three seats on addresses that are free now.
-fn settings(log: &LogServer, hosts: &HostListServer) -> Step<BTreeMap<String, Settings>> {
+fn settings(log: &LogServer, hosts: &HostListServer) -> SetupResult<BTreeMap<String, Settings>> {
     const SEATS: [(&str, &str, &str); 3] = [
         ("e1", "127.0.0.1", "espoo"),
         ("e2", "127.0.0.2", "vantaa"),
@@ -172,11 +176,11 @@
     ];
     let mut seats = String::new();
     for (index, (name, address, domain)) in SEATS.iter().enumerate() {
-        // All three listeners live at once, so the three ports differ.
+        // The three listeners are open at the same time, which makes their ports differ.
         let ports = [
-            free_port(address)?,
-            free_port(address)?,
-            free_port(address)?,
+            bind_free_port(address)?,
+            bind_free_port(address)?,
+            bind_free_port(address)?,
         ];
         let port = |listener: &TcpListener| listener.local_addr().map(|address| address.port());
         seats.push_str(&format!(
@@ -204,6 +208,6 @@
     Ok(all)
 }
 
-fn free_port(address: &str) -> Step<TcpListener> {
+fn bind_free_port(address: &str) -> SetupResult<TcpListener> {
     Ok(TcpListener::bind((address, 0))?)
 }
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -1,8 +1,8 @@
-//! The platform's stand-ins for a first day: the log at 127.0.0.1:7000, the list
-//! of hosts at 127.0.0.1:7001, and the workers and instances of
-//! `examples/spa/inventory.ini`. Runs for the given number of minutes, ten unless
-//! said otherwise, and ends by itself with a count of what ran more than once:
-//! requests are told apart by their bodies, jobs by their identities.
+//! Stand-ins for the platform, to try out the system: the log at 127.0.0.1:7000, the
+//! list of hosts at 127.0.0.1:7001, and the workers and instances of
+//! `examples/spa/inventory.ini`. Runs for the given number of minutes (10 by
+//! default), then prints how many requests and jobs ran more than once and exits.
+//! Requests are identified by their bodies, jobs by their identities.
 
 use goldcrestway_platform::Listed;
 use goldcrestway_standin::HostListServer;
@@ -25,35 +25,35 @@
     match run(minutes) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("the stand-ins can't start: {error}. Free the ports 7000 and 7001");
+            eprintln!("failed to start the stand-ins: {error}. Ports 7000 and 7001 must be free");
             ExitCode::FAILURE
         }
     }
 }
 
 fn run(minutes: u64) -> std::io::Result<()> {
-    const APPEND_MS: u64 = 5;
-    const WORK_MS: u64 = 10;
+    const APPEND_LATENCY_MS: u64 = 5;
+    const REQUEST_TIME_MS: u64 = 10;
     const RUN_TIME_MS: u64 = 2_000;
     const SECONDS_PER_MINUTE: u64 = 60;
-    let began = Instant::now();
-    let log = LogServer::start_at("127.0.0.1:7000", APPEND_MS)?;
+    let started = Instant::now();
+    let log = LogServer::start_at("127.0.0.1:7000", APPEND_LATENCY_MS)?;
     let hosts = HostListServer::start_at("127.0.0.1:7001")?;
     let mut list = Vec::new();
     let mut workers = Vec::new();
     for number in 1..=9 {
-        let room = match number % 3 {
+        let resources = match number % 3 {
             0 => (32_000, 125_000, 0),
             _ => (28_000, 117_000, 0),
         };
-        let worker = WorkerServer::start(WorkerState::new(room, RUN_TIME_MS), began)?;
-        list.push(listed(format!("w{number}"), worker.address()));
+        let worker = WorkerServer::start(WorkerState::new(resources, RUN_TIME_MS), started)?;
+        list.push(listed_host(format!("w{number}"), worker.address()));
         workers.push(worker);
     }
     let mut upstreams = Vec::new();
     for number in 1..=6 {
-        let upstream = UpstreamServer::start(WORK_MS, began)?;
-        list.push(listed(format!("b{number}"), upstream.address()));
+        let upstream = UpstreamServer::start(REQUEST_TIME_MS, started)?;
+        list.push(listed_host(format!("b{number}"), upstream.address()));
         upstreams.push(upstream);
     }
     if let Ok(mut served) = hosts.hosts.lock() {
@@ -69,7 +69,8 @@
     Ok(())
 }
 
-/// Prints what the stand-ins recorded.
+/// Prints how many requests and jobs the stand-ins ran, and how many of them ran
+/// more often than allowed.
 fn report(workers: &[WorkerServer], upstreams: &[UpstreamServer]) {
     const SLOTS: u32 = 8;
     let mut requests: BTreeMap<String, usize> = BTreeMap::new();
@@ -112,7 +113,7 @@
     );
 }
 
-fn listed(name: String, address: String) -> Listed {
+fn listed_host(name: String, address: String) -> Listed {
     Listed {
         name,
         address,
