--- a/crates/dispatch/src/owner/adopting.rs
+++ b/crates/dispatch/src/owner/adopting.rs
@@ -85,24 +85,24 @@
         }
     }
 
-    /// Gives the time after which a worker that this owner has never reached runs nothing of a
+    /// Returns the time after which a worker that this owner has never reached runs nothing of a
     /// previous owner any more, as that owner stops within `MAX_UNCONFIRMED_MS` after its last
     /// confirmation.
     fn previous_owner_expiry_ms(&self, now_ms: u64) -> u64 {
         now_ms + MAX_UNCONFIRMED_MS + self.lease_span_ms()
     }
 
-    /// Gives the length of the lease that polls and orders to start carry.
+    /// Returns the length of the lease that polls and orders to start carry.
     pub(crate) fn lease_ms(&self) -> u64 {
         self.bounds.max_lease_ms.min(LEASE_MS)
     }
 
-    /// Gives the maximum time from sending an order with a lease until that lease has expired.
+    /// Returns the maximum time from sending an order with a lease until that lease has expired.
     pub(crate) fn lease_span_ms(&self) -> u64 {
         self.lease_ms() * CLOCK_SKEW_PERMILLE / 1_000 + LEASE_SLACK_MS
     }
 
-    /// Gives the maximum time for which a worker grants a lease, whatever is requested.
+    /// Returns the maximum time for which a worker grants a lease, whatever is requested.
     pub(crate) fn max_lease_span_ms(&self) -> u64 {
         self.bounds.max_lease_ms * CLOCK_SKEW_PERMILLE / 1_000 + LEASE_SLACK_MS
     }
--- a/crates/dispatch/src/owner/crashes.rs
+++ b/crates/dispatch/src/owner/crashes.rs
@@ -81,7 +81,7 @@
 }
 
 impl Crashes {
-    /// Tells whether another worker crashed at the same time without an explanation.
+    /// Returns whether another worker crashed at the same time without an explanation.
     fn overlaps_outage(&self, worker: &str, crash_window: CrashWindow) -> bool {
         let mut others = self.outages.iter().filter(|(id, _)| **id != *worker);
         others.any(|(_, outage)| overlap(*outage, crash_window))
@@ -119,7 +119,7 @@
 }
 
 impl Run {
-    /// Tells whether it may be running, or may have been until just now. A run that is being
+    /// Returns whether it may be running, or may have been until just now. A run that is being
     /// stopped runs until it has ended. A run that was never confirmed, and whose worker has
     /// accepted the order to stop it, has most likely never started.
     fn may_have_started(&self) -> bool {
@@ -130,27 +130,27 @@
         }
     }
 
-    /// Tells whether it may be the cause if its worker crashes.
+    /// Returns whether it may be the cause if its worker crashes.
     pub(crate) fn is_suspect(&self) -> bool {
         !self.is_stable && self.may_have_started()
     }
 }
 
 impl Worker {
-    /// Gives the time window in which it has crashed, if it has.
+    /// Returns the time window in which it has crashed, if it has.
     fn crash_window(&self, now_ms: u64) -> CrashWindow {
         (self.answered_ms, self.first_missed_ms.unwrap_or(now_ms))
     }
 }
 
 impl Owner {
-    /// Gives a task, if its job has not ended.
+    /// Returns a task, if its job has not ended.
     pub(super) fn task(&self, id: TaskId) -> Option<&Task> {
         let key = self.job_keys.get(&id.job)?;
         self.jobs[*key].task(id)
     }
 
-    /// Gives the task that holds the suspicion of a task: a gang crashes as one, so its first
+    /// Returns the task that holds the suspicion of a task: a gang crashes as one, so its first
     /// member holds it for all.
     fn suspicion_unit(&self, task: TaskId) -> TaskId {
         let key = self.job_keys.get(&task.job);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Gives the runs that are lost with a removed worker, as evidence against their tasks.
+    /// Returns the runs that are lost with a removed worker, as evidence against their tasks.
     pub(super) fn describe_removal(
         &self,
         key: WorkerKey,
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Tells whether another worker, which no task can have crashed, fell silent at the same time.
+    /// Returns whether another worker, which no task can have crashed, fell silent at the same time.
     /// Then an outage of a whole rack or failure domain, or of the link of the owner's own host, is
     /// the likelier cause.
     fn is_outage(&self, id: &str, window: CrashWindow) -> bool {
@@ -447,13 +447,13 @@
         }
     }
 
-    /// Tells whether a task has used up its starts.
+    /// Returns whether a task has used up its starts.
     pub(super) fn is_used_up(&self, task: TaskId) -> bool {
         let state = self.task(self.suspicion_unit(task));
         state.is_some_and(|state| state.suspicion.is_exhausted())
     }
 
-    /// Gives until when a task waits to know whether its workers crashed, if it does.
+    /// Returns until when a task waits to know whether its workers crashed, if it does.
     pub(super) fn undecided_until_ms(&self, task: TaskId, now_ms: u64) -> Option<u64> {
         self.task(self.suspicion_unit(task))?
             .undecided_until_ms(now_ms)
@@ -501,7 +501,7 @@
         })
     }
 
-    /// Gives the address of the worker that a task is suspected to have crashed last; `None` if it
+    /// Returns the address of the worker that a task is suspected to have crashed last; `None` if it
     /// is not suspected.
     pub(super) fn suspected_at(&self, task: TaskId) -> Option<Box<str>> {
         let state = self.task(self.suspicion_unit(task))?;
--- a/crates/dispatch/src/owner/incarnations.rs
+++ b/crates/dispatch/src/owner/incarnations.rs
@@ -33,7 +33,7 @@
 }
 
 impl DoubtfulStart {
-    /// Tells whether the order may still be carried out.
+    /// Returns whether the order may still be carried out.
     fn is_open(&self, now_ms: u64) -> bool {
         now_ms < self.since_ms + LATE_START_MS
     }
--- a/crates/dispatch/src/owner/mod.rs
+++ b/crates/dispatch/src/owner/mod.rs
@@ -471,7 +471,7 @@
         }
     }
 
-    /// Tells whether this owner may extend leases and start tasks.
+    /// Returns whether this owner may extend leases and start tasks.
     fn is_confirmed(&self, now_ms: u64) -> bool {
         now_ms < self.confirmed_ms + MAX_UNCONFIRMED_MS
     }
--- a/crates/dispatch/src/owner/polls.rs
+++ b/crates/dispatch/src/owner/polls.rs
@@ -243,7 +243,7 @@
         worker.next_poll_ms = now_ms + gap_ms;
     }
 
-    /// Gives the interval until the next poll of a worker.
+    /// Returns the interval until the next poll of a worker.
     fn poll_gap_ms(&mut self, key: WorkerKey) -> u64 {
         let ending = self.workers.ending();
         let polls = PollIntervals {
--- a/crates/dispatch/src/owner/relaying.rs
+++ b/crates/dispatch/src/owner/relaying.rs
@@ -60,7 +60,7 @@
         self.stats.relay_selections = self.relays.selection_count();
     }
 
-    /// Tells whether orders are to wait until a relay is connected.
+    /// Returns whether orders are to wait until a relay is connected.
     pub(super) fn awaits_relays(&self, now_ms: u64) -> bool {
         self.uses_relays && now_ms < self.relays_due_ms && self.relays.are_all_opening()
     }
--- a/crates/dispatch/src/owner/task.rs
+++ b/crates/dispatch/src/owner/task.rs
@@ -42,7 +42,7 @@
 }
 
 impl LostRun {
-    /// Tells whether the run was confirmed and may have crashed the worker. A run that a new owner
+    /// Returns whether the run was confirmed and may have crashed the worker. A run that a new owner
     /// has never seen at its worker is not suspected: after an outage, all tasks of a failure
     /// domain would be.
     pub(crate) fn may_be_cause(&self) -> bool {
@@ -125,7 +125,7 @@
         !self.is_done && self.placement.is_none()
     }
 
-    /// Tells whether it may have crashed a worker.
+    /// Returns whether it may have crashed a worker.
     pub(crate) fn is_suspect(&self) -> bool {
         self.suspicion.needs_isolation() || self.lost_runs.iter().any(LostRun::may_be_cause)
     }
@@ -138,7 +138,7 @@
             .get_or_insert(now_ms + ISOLATION_WAIT_MS)
     }
 
-    /// Tells whether it may still wait for such a worker.
+    /// Returns whether it may still wait for such a worker.
     pub(crate) fn may_wait_for_isolation(&self, now_ms: u64) -> bool {
         self.isolation_until_ms
             .is_none_or(|until_ms| now_ms < until_ms)
@@ -153,7 +153,7 @@
         self.lost_runs.push(lost_run);
     }
 
-    /// Gives the number of its runs during which workers may have crashed, where that is not known
+    /// Returns the number of its runs during which workers may have crashed, where that is not known
     /// yet. A gang may lose several workers in one run, which counts once.
     pub(crate) fn unresolved_crashes(&self) -> u32 {
         let suspects = self.lost_runs.iter().filter(|lost_run| lost_run.is_suspect);
@@ -161,7 +161,7 @@
         runs.len() as u32
     }
 
-    /// Gives until when it waits to know whether its workers crashed, if it does.
+    /// Returns until when it waits to know whether its workers crashed, if it does.
     pub(crate) fn undecided_until_ms(&self, now_ms: u64) -> Option<u64> {
         let until_ms = self.lost_ms + MAX_UNDECIDED_MS;
         (self
--- a/crates/dispatch/src/owner/worker.rs
+++ b/crates/dispatch/src/owner/worker.rs
@@ -35,7 +35,7 @@
 }
 
 impl RemovalReason {
-    /// Tells whether another incarnation runs in its place.
+    /// Returns whether another incarnation runs in its place.
     pub(crate) fn is_replaced(self) -> bool {
         matches!(self, RemovalReason::Replaced | RemovalReason::Restarted)
     }
@@ -335,12 +335,12 @@
         }
     }
 
-    /// Tells whether it counts as unreachable or dead. One missed answer says little.
+    /// Returns whether it counts as unreachable or dead. One missed answer says little.
     pub(crate) fn is_silent(&self) -> bool {
         self.missed_answers >= MAX_MISSED_ANSWERS
     }
 
-    /// Tells whether something may run there that this owner can't see.
+    /// Returns whether something may run there that this owner can't see.
     pub(crate) fn is_in_doubt(&self) -> bool {
         !self.runs.is_empty() && (self.is_silent() || !self.is_known)
     }
@@ -358,7 +358,7 @@
         own.map(|(_, run)| run)
     }
 
-    /// Gives its activity, which decides how often it is polled.
+    /// Returns its activity, which decides how often it is polled.
     pub(crate) fn activity(&self) -> Activity {
         if self.runs.is_empty() {
             return Activity::None;
@@ -371,27 +371,27 @@
         }
     }
 
-    /// Tells whether it may be dead, judging by its answers.
+    /// Returns whether it may be dead, judging by its answers.
     pub(crate) fn may_be_dead(&self) -> bool {
         self.is_silent() || !self.is_known || self.entry.address.is_empty()
     }
 
-    /// Tells whether it is no longer listed, has no runs, and no answer is pending.
+    /// Returns whether it is no longer listed, has no runs, and no answer is pending.
     pub(crate) fn is_obsolete(&self) -> bool {
         !self.is_listed && self.runs.is_empty() && !self.is_poll_pending
     }
 
-    /// Tells whether something waits for its removal, if it is dead.
+    /// Returns whether something waits for its removal, if it is dead.
     pub(crate) fn is_removal_awaited(&self) -> bool {
         !self.runs.is_empty() || !self.is_listed
     }
 
-    /// Tells whether it can be polled.
+    /// Returns whether it can be polled.
     pub(crate) fn can_be_polled(&self) -> bool {
         !self.entry.address.is_empty() && !self.is_poll_pending
     }
 
-    /// Gives when its next poll is due or it may be removed; `None` if only an answer or a new
+    /// Returns when its next poll is due or it may be removed; `None` if only an answer or a new
     /// entry can change that.
     pub(crate) fn next_due_ms(&self) -> Option<u64> {
         if self.is_obsolete() {
@@ -415,20 +415,20 @@
         self.was_leaving |= self.entry.is_leaving;
     }
 
-    /// Tells whether its entry is of this incarnation. The entry of another one says nothing about
+    /// Returns whether its entry is of this incarnation. The entry of another one says nothing about
     /// its resources, nor whether it is draining.
     pub(crate) fn is_reported(&self) -> bool {
         !self.entry.incarnation.differs_from(self.incarnation)
     }
 
-    /// Gives why it can't take any new task, if so.
+    /// Returns why it can't take any new task, if so.
     pub(crate) fn exclusion(&self, now_ms: u64) -> Option<Exclusion> {
         let is_avoided = now_ms < self.avoided_until_ms;
         let avoided = is_avoided.then_some(Exclusion::Shunned);
         self.untimed_exclusion().or(avoided)
     }
 
-    /// Gives the same, without reasons that end with time alone.
+    /// Returns the same, without reasons that end with time alone.
     pub(crate) fn untimed_exclusion(&self) -> Option<Exclusion> {
         if !self.is_listed {
             return Some(Exclusion::Unlisted);
@@ -448,7 +448,7 @@
         None
     }
 
-    /// Gives how many tasks of a step fit.
+    /// Returns how many tasks of a step fit.
     pub(crate) fn capacity_for(&self, step: &Step) -> u32 {
         let mut free = self.free();
         let mut count = 0;
@@ -466,7 +466,7 @@
         self.entry.resources.minus(self.used)
     }
 
-    /// Gives the estimated time of its clock.
+    /// Returns the estimated time of its clock.
     pub(crate) fn clock_ms(&self, now_ms: u64) -> Option<u64> {
         let (clock_ms, at_ms) = self.clock?;
         Some(clock_ms + now_ms.saturating_sub(at_ms))
--- a/crates/dispatch/src/owner/workers.rs
+++ b/crates/dispatch/src/owner/workers.rs
@@ -96,7 +96,7 @@
         self.slots.values()
     }
 
-    /// Gives mutable references to all workers, and marks all of them as changed.
+    /// Returns mutable references to all workers, and marks all of them as changed.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
         let keys: Vec<WorkerKey> = self.slots.keys().collect();
         for key in keys {
@@ -168,7 +168,7 @@
         due
     }
 
-    /// Gives the number of times that a worker was refreshed.
+    /// Returns the number of times that a worker was refreshed.
     pub(crate) fn workers_refreshed(&self) -> u64 {
         self.workers_refreshed
     }
@@ -192,12 +192,12 @@
         self.eligible.iter().map(|key| (*key, &self.slots[*key]))
     }
 
-    /// Gives the number of times that a worker was evaluated for a task.
+    /// Returns the number of times that a worker was evaluated for a task.
     pub(crate) fn evaluated(&self) -> u64 {
         self.evaluated.get()
     }
 
-    /// Gives the number of workers that run something which may end at any time.
+    /// Returns the number of workers that run something which may end at any time.
     pub(crate) fn ending(&self) -> usize {
         self.ending.len()
     }
--- a/crates/dispatch/src/owner/writing.rs
+++ b/crates/dispatch/src/owner/writing.rs
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Tells whether learned data are to be recorded: at intervals, more often while workers are
+    /// Returns whether learned data are to be recorded: at intervals, more often while workers are
     /// silent, and at once when one no longer is.
     fn must_record_learned(&mut self, now_ms: u64) -> bool {
         let mut learned_gap_ms = LEARNED_GAP_MS;
@@ -409,7 +409,7 @@
         &self.writer.unpublished
     }
 
-    /// Tells whether the order to start a run still waits for its record to be stored.
+    /// Returns whether the order to start a run still waits for its record to be stored.
     pub(crate) fn is_recording(&self, worker: WorkerKey, task: TaskId, run: u32) -> bool {
         self.workers
             .get(worker)
--- a/tests/dispatch_crashes.rs
+++ b/tests/dispatch_crashes.rs
@@ -17,7 +17,7 @@
 /// Time after its start at which a crashing task takes its worker down.
 const CRASH_MS: u64 = 10;
 
-/// Gives the id of a task of a job that runs once.
+/// Returns the id of a task of a job that runs once.
 fn task(job: u64, step: u16, index: u16) -> TaskId {
     TaskId {
         job: JobId(job),
@@ -315,7 +315,7 @@
     keeps_ids: bool,
 }
 
-/// Gives the addresses of all workers with runs.
+/// Returns the addresses of all workers with runs.
 pub(crate) fn busy_workers(fleet: &Fleet) -> Vec<Box<str>> {
     let workers = fleet.workers.iter();
     let busy_workers = workers.filter(|(_, worker)| worker.tasks().next().is_some());
--- a/tests/dispatch_exits.rs
+++ b/tests/dispatch_exits.rs
@@ -19,7 +19,7 @@
 /// transit.
 const DETECTION_MS: u64 = 190;
 
-/// Gives the time that a job of consecutive steps takes, in milliseconds.
+/// Returns the time that a job of consecutive steps takes, in milliseconds.
 fn run_job(workers: usize) -> u64 {
     let mut fleet = Fleet::with_shares(&[1_000; 3], workers);
     let owner = owner(&fleet);
--- a/tests/dispatch_incarnations.rs
+++ b/tests/dispatch_incarnations.rs
@@ -16,7 +16,7 @@
 /// Time after which a crashed worker runs again, a tenth of its lease.
 const DOWN_MS: u64 = 600;
 
-/// Gives a fleet whose workers have listed the exits of some tasks that succeeded, so that these
+/// Returns a fleet whose workers have listed the exits of some tasks that succeeded, so that these
 /// exits have higher numbers than those of a worker that has just started.
 fn fleet_with_exits(workers: usize) -> Fleet {
     let mut fleet = Fleet::new(3, workers);
