--- a/crates/dispatch/src/owner/costs.rs
+++ b/crates/dispatch/src/owner/costs.rs
@@ -17,7 +17,7 @@
 use std::collections::BinaryHeap;
 
 /// Part of its requested CPU that a long-running task is expected to use, in percent. Best-effort
-/// tasks get the rest. On days without disturbances, 42 was measured.
+/// tasks get the rest. On days without disturbances, it is 42.
 const LONG_RUNNING_USE_PERCENT: u64 = 50;
 /// Headroom that best-effort tasks must leave to a serving task. Below 1, the task misses its
 /// target, and the task's own load reduces the headroom by a third at its peak.
--- a/crates/dispatch/src/owner/link.rs
+++ b/crates/dispatch/src/owner/link.rs
@@ -7,7 +7,7 @@
 use crate::owner::worker::WorkerKey;
 use crate::policy::link::PACKET_BYTES;
 
-/// Bytes of the headers and the fields of a call to a worker, as measured on the wire: 215 for
+/// Bytes of the headers and the fields of a call to a worker, as on the wire: 215 for
 /// polls, and 260 for orders to start without their texts.
 const POLL_BYTES: u64 = 215;
 const START_BYTES: u64 = 260;
